--- a/src/bookings/bookings.c
+++ b/src/bookings/bookings.c
@@ -192,8 +192,8 @@
     return stretch >= STRETCH_LEAST && stretch <= STRETCH_MOST && stretch % STRETCH_LEAST == 0 ? (int)stretch : 0;
 }
 
-static void apply_run(const char *rest, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_run(const char *rest, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     char uid[64], machine[64];
     const char *slash = strchr(rest, '/');
     if (!slash) return;
@@ -261,5 +261,5 @@
 
 void bookings_init(const struct settings *s) {
     cfg = s;
-    store_observe("run/", apply_run);
+    store_observe_prefix("run/", apply_run);
 }
--- a/src/bookings/bookings_test.c
+++ b/src/bookings/bookings_test.c
@@ -14,13 +14,13 @@
 #include "workers/workers.h"
 
 static struct settings cfg;
-static int64_t stamp = 10;
+static int64_t mod_revision = 10;
 
 static void put(const char *key, const char *json) {
     cJSON *x = json ? cJSON_Parse(json) : NULL;
     assert_true(!json || x);
     store_lock();
-    store_apply(key, x, ++stamp);
+    store_apply(key, x, ++mod_revision);
     store_unlock();
     cJSON_Delete(x);
 }
@@ -93,7 +93,7 @@
     assert_string_equal(json_get_string(v, "d"), "0300");
     assert_string_equal(json_get_string(v, "b"), "2@i-2+0 4@i-1+7");
     store_lock();
-    store_apply("run/req-20001/0", v, ++stamp);
+    store_apply("run/req-20001/0", v, ++mod_revision);
     store_unlock();
     cJSON_Delete(v);
     assert_int_equal(j->bookings->len, 2);
--- a/src/chains/chains.c
+++ b/src/chains/chains.c
@@ -172,9 +172,9 @@
     snprintf(key, sizeof key, "job/%s", uid);
     store_lock();
     const struct job *j = jobs_find(uid);
-    enum name_status status = j && j->known      ? (j->spec.shape == JOB_STANDING ? NAME_SERVICE : NAME_GOOD)
-                              : store_stamp(key) ? NAME_UNREADABLE
-                                                 : NAME_UNKNOWN;
+    enum name_status status = j && j->known             ? (j->spec.shape == JOB_STANDING ? NAME_SERVICE : NAME_GOOD)
+                              : store_key_revision(key) ? NAME_UNREADABLE
+                                                        : NAME_UNKNOWN;
     store_unlock();
     return status;
 }
@@ -258,28 +258,28 @@
 static bool write_cancels(struct http_client *c) {
     struct job *jobs[CANCELS_MOST];
     struct store_txn t;
-    struct store_answer a;
+    struct store_response a;
     store_txn_init(&t);
     store_lock();
-    int n = store_away() ? 0 : chains_next_cancels(jobs, MIN(CANCELS_MOST, cfg->txn_ops));
+    int n = store_unreachable() ? 0 : chains_next_cancels(jobs, MIN(CANCELS_MOST, cfg->txn_ops));
     for (int i = 0; i < n; i++) {
         char key[96];
         snprintf(key, sizeof key, "job/%s", jobs[i]->spec.uid);
-        store_txn_if(&t, key, store_stamp(key));
-        store_txn_set(&t, key, jobs_final_value(jobs[i], JOB_CANCELLED), 0);
+        store_txn_compare(&t, key, store_key_revision(key));
+        store_txn_put(&t, key, jobs_final_value(jobs[i], JOB_CANCELLED), 0);
     }
     store_unlock();
-    enum store_result result = n > 0 ? store_multi(c, STORE_ACCEPT, &t, &a) : STORE_REFUSED;
+    enum store_result result = n > 0 ? store_commit(c, STORE_PRIORITY_ACCEPT, &t, &a) : STORE_REJECTED;
     if (result == STORE_OK) {
         store_lock();
-        store_apply_written(&t, a.epoch);
+        store_apply_committed(&t, a.revision);
         store_unlock();
         log_info("chains: %d jobs cancelled with a job that they need", n);
         peers_hint();
     } else if (result == STORE_CONFLICT) {
-        for (guint i = 0; i < a.failed->len; i++) store_refresh(c, a.failed->pdata[i]);
+        for (guint i = 0; i < a.conflicts->len; i++) store_refresh(c, a.conflicts->pdata[i]);
     }
-    if (n > 0) store_answer_clear(&a);
+    if (n > 0) store_response_clear(&a);
     store_txn_free(&t);
     return result == STORE_OK || result == STORE_CONFLICT;
 }
--- a/src/chains/chains_test.c
+++ b/src/chains/chains_test.c
@@ -18,7 +18,7 @@
 #include "workers/workers.h"
 
 static struct settings cfg;
-static int64_t stamp = 10;
+static int64_t mod_revision = 10;
 
 #define RUNTIME_S 50.0
 
@@ -37,7 +37,7 @@
     char key[64];
     g_snprintf(key, sizeof key, "job/%s", uid);
     store_lock();
-    store_apply(key, x, ++stamp);
+    store_apply(key, x, ++mod_revision);
     store_unlock();
     cJSON_Delete(x);
     g_free(text);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -130,8 +130,8 @@
 
 /* The types are read by one controller and kept in the state service for all: each asking for itself would use up the
  * cloud's calls just when the first machines are to be rented. */
-static void apply_types(const char *rest, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_types(const char *rest, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     const cJSON *x;
     if (*rest || !data) return;
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(data, "flavours")) {
@@ -167,11 +167,11 @@
         store_unlock();
         if (text && strlen(text) < cfg->next_value_kb * 1024 - 64) {
             struct store_txn t;
-            struct store_answer ans;
+            struct store_response ans;
             store_txn_init(&t);
-            store_txn_set(&t, "types", cJSON_Duplicate(a, true), 0);
-            store_multi(c, STORE_BOOK, &t, &ans);
-            store_answer_clear(&ans);
+            store_txn_put(&t, "types", cJSON_Duplicate(a, true), 0);
+            store_commit(c, STORE_PRIORITY_ALLOCATE, &t, &ans);
+            store_response_clear(&ans);
             store_txn_free(&t);
         }
         free(text);
@@ -341,7 +341,7 @@
     tokens_at = clock_now();
     tokens = 1;
     sync_wakeup_init(&wakeup);
-    store_observe("types", apply_types);
+    store_observe_prefix("types", apply_types);
 }
 
 void cloud_start(void) { sync_start_thread(cloud_main, NULL); }
--- a/src/format/format.c
+++ b/src/format/format.c
@@ -48,8 +48,8 @@
     return FORMAT_VERSION;
 }
 
-static void apply_format(const char *node, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_format(const char *node, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     if (strcmp(node, cfg->node) == 0) raise_version(&own_version, data);
     for (int i = 0; i < cfg->n_seeds; i++)
         if (strcmp(node, cfg->seeds[i].node) == 0) raise_version(&peer_version[i], data);
@@ -71,13 +71,13 @@
     snprintf(key, sizeof key, "format/%s", cfg->node);
     cJSON *record = cJSON_CreateObject();
     cJSON_AddNumberToObject(record, "version", version);
-    store_txn_if(t, key, store_stamp(key));
-    store_txn_set(t, key, record, 0);
+    store_txn_compare(t, key, store_key_revision(key));
+    store_txn_put(t, key, record, 0);
     log_info("format: recording that %s reads version %d", cfg->node, version);
     return true;
 }
 
 void format_init(const struct settings *s) {
     cfg = s;
-    store_observe("format/", apply_format);
+    store_observe_prefix("format/", apply_format);
 }
--- a/src/format/format_test.c
+++ b/src/format/format_test.c
@@ -10,12 +10,12 @@
 #include "logging/logging.h"
 
 static struct settings cfg;
-static int64_t stamp = 10;
+static int64_t mod_revision = 10;
 
 static void put(const char *key, const char *json) {
     cJSON *x = json ? cJSON_Parse(json) : NULL;
     store_lock();
-    store_apply(key, x, ++stamp);
+    store_apply(key, x, ++mod_revision);
     store_unlock();
     cJSON_Delete(x);
 }
@@ -41,7 +41,7 @@
     store_txn_init(&t);
     assert_false(format_active());
     assert_true(format_announce(&t));
-    const cJSON *op = cJSON_GetArrayItem(t.ops, 0);
+    const cJSON *op = cJSON_GetArrayItem(t.operations, 0);
     assert_int_equal(t.writes, 1);
     assert_string_equal(json_get_string(op, "set"), "format/n0");
     assert_null(cJSON_GetObjectItem(op, "lease")); /* it outlives the process */
@@ -83,7 +83,7 @@
         store_txn_init(&t);
         int64_t version = 0;
         if (format_announce(&t))
-            json_get_int64(cJSON_GetObjectItem(cJSON_GetArrayItem(t.ops, 0), "data"), "version", &version);
+            json_get_int64(cJSON_GetObjectItem(cJSON_GetArrayItem(t.operations, 0), "data"), "version", &version);
         if (format_divided() != rows[i].in_force || version != rows[i].announces)
             fail_msg("%s: %d, announces %lld", rows[i].what, format_divided(), (long long)version);
         assert_true(format_active()); /* the second layout stays */
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -222,8 +222,8 @@
         if (j->runs[c] & 1) jobs_touch(j, c * bookings_stretch(j));
 }
 
-static void apply_job(const char *uid, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_job(const char *uid, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     if (!data || !jobs_uid_ok(uid)) return;
     struct job *j = jobs_find_or_stub(uid);
     bool first = !j->known;
@@ -329,5 +329,5 @@
         active_of[k] = g_ptr_array_new();
         ended_of[k] = g_ptr_array_new();
     }
-    store_observe("job/", apply_job);
+    store_observe_prefix("job/", apply_job);
 }
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -127,11 +127,11 @@
     g_free(filler);
 }
 
-static void put(const char *state, const char *done, int64_t stamp) {
+static void put(const char *state, const char *done, int64_t mod_revision) {
     char *text = g_strdup_printf("{\"spec\":%s,\"state\":\"%s\",\"done\":\"%s\",\"at\":5}", good, state, done);
     cJSON *o = cJSON_Parse(text);
     store_lock();
-    store_apply("job/req-000412", o, stamp);
+    store_apply("job/req-000412", o, mod_revision);
     store_unlock();
     cJSON_Delete(o);
     g_free(text);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -22,7 +22,7 @@
 
 struct node {
     char name[64], inc[40];
-    int64_t stamp;
+    int64_t mod_revision;
     struct timespec since;
     bool live, workers_lost;
 };
@@ -66,8 +66,8 @@
 const char *membership_inc(void) { return my_inc; }
 
 bool membership_mine(int k) {
-    return store_ready() && shares[k].stamp && strcmp(shares[k].owner, cfg->node) == 0 &&
-           strcmp(shares[k].inc, my_inc) == 0 && store_epoch() >= shares[k].stamp;
+    return store_synced() && shares[k].mod_revision && strcmp(shares[k].owner, cfg->node) == 0 &&
+           strcmp(shares[k].inc, my_inc) == 0 && store_revision() >= shares[k].mod_revision;
 }
 
 double membership_bound(void) {
@@ -78,11 +78,11 @@
     return room - MIN(0.5, room * 0.1) - 0.002 * clock_to_seconds(cfg->cancel);
 }
 
-bool membership_verified(void) { return store_ready() && clock_seconds_since(store_verified()) < membership_bound(); }
+bool membership_verified(void) { return store_synced() && clock_seconds_since(store_last_read()) < membership_bound(); }
 
 /* An owner that the store refuses alone went on starting what it had booked for as long as it may answer workers, 24 s,
  * while others had confirmed cancellations. A start needs the look that a store in reach always gives. */
-bool membership_may_start(void) { return membership_verified() && !store_away(); }
+bool membership_may_start(void) { return membership_verified() && !store_unreachable(); }
 
 bool membership_leads(void) { return strcmp(leader, cfg->node) == 0 && strcmp(leader_inc, my_inc) == 0; }
 
@@ -103,10 +103,10 @@
     int owned = 0;
     for (int k = 0; k < cfg->size; k++)
         owned += strcmp(shares[k].owner, cfg->node) == 0 && strcmp(shares[k].inc, my_inc) == 0;
-    store_budget_parts(membership_live(), membership_writing_part(membership_live(), cfg->size, owned));
+    store_budget_set_fraction(membership_live(), membership_writing_part(membership_live(), cfg->size, owned));
 }
 
-static void apply_node(const char *rest, const cJSON *data, int64_t stamp) {
+static void apply_node(const char *rest, const cJSON *data, int64_t mod_revision) {
     struct node *x = NULL;
     for (int i = 0; i < n_nodes; i++)
         if (strcmp(nodes[i].name, rest) == 0) x = &nodes[i];
@@ -120,25 +120,25 @@
     if (!data && x->live) log_info("controller %s is gone", rest);
     x->live = data != NULL;
     part_budget();
-    x->stamp = data ? stamp : 0;
+    x->mod_revision = data ? mod_revision : 0;
     x->workers_lost = json_get_bool(data, "deaf");
     g_strlcpy(x->inc, inc ? inc : "", sizeof x->inc);
 }
 
-static void apply_leader(const char *rest, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_leader(const char *rest, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     if (*rest) return;
     const char *n = json_get_string(data, "node"), *i = json_get_string(data, "inc");
     g_strlcpy(leader, n ? n : "", sizeof leader);
     g_strlcpy(leader_inc, i ? i : "", sizeof leader_inc);
 }
 
-static void apply_fence(const char *rest, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_fence(const char *rest, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     if (*rest == 0 && cJSON_IsNumber(data)) fence_value = (int64_t)data->valuedouble;
 }
 
-static void apply_share(const char *rest, const cJSON *data, int64_t stamp) {
+static void apply_share(const char *rest, const cJSON *data, int64_t mod_revision) {
     int k = (int)g_ascii_strtoll(rest, NULL, 10);
     if (k < 0 || k >= 64) return;
     struct share *s = &shares[k];
@@ -149,7 +149,7 @@
     }
     g_strlcpy(s->owner, o ? o : "", sizeof s->owner);
     g_strlcpy(s->inc, i ? i : "", sizeof s->inc);
-    s->stamp = data ? stamp : 0;
+    s->mod_revision = data ? mod_revision : 0;
     if (!json_get_int64(data, "fence", &s->fence)) s->fence = 0;
     part_budget();
 }
@@ -157,10 +157,10 @@
 void membership_init(const struct settings *s) {
     cfg = s;
     snprintf(my_inc, sizeof my_inc, "%08x%08x", g_random_int(), g_random_int());
-    store_observe("node/", apply_node);
-    store_observe("leader", apply_leader);
-    store_observe("fence", apply_fence);
-    store_observe("share/", apply_share);
+    store_observe_prefix("node/", apply_node);
+    store_observe_prefix("leader", apply_leader);
+    store_observe_prefix("fence", apply_fence);
+    store_observe_prefix("share/", apply_share);
 }
 
 int membership_plan(int size, const int *owner, int n, int *to) {
@@ -199,19 +199,19 @@
 static void add_me(struct store_txn *t) {
     char key[96];
     snprintf(key, sizeof key, "node/%s", cfg->node);
-    store_txn_if(t, key, store_stamp(key));
+    store_txn_compare(t, key, store_key_revision(key));
 }
 
 /* Gives share K to a node, moving the fence up. Called with the lock held; fills the transaction only. */
 static void give(struct store_txn *t, int k, const struct node *to) {
     char key[96];
     snprintf(key, sizeof key, "share/%d", k);
-    store_txn_if(t, key, shares[k].stamp);
-    store_txn_set(t, key, share_value(to->name, to->inc, fence_value + 1), 0);
-    store_txn_if(t, "fence", store_stamp("fence"));
-    store_txn_set(t, "fence", cJSON_CreateNumber((double)(fence_value + 1)), 0);
+    store_txn_compare(t, key, shares[k].mod_revision);
+    store_txn_put(t, key, share_value(to->name, to->inc, fence_value + 1), 0);
+    store_txn_compare(t, "fence", store_key_revision("fence"));
+    store_txn_put(t, "fence", cJSON_CreateNumber((double)(fence_value + 1)), 0);
     snprintf(key, sizeof key, "node/%s", to->name);
-    store_txn_if(t, key, to->stamp);
+    store_txn_compare(t, key, to->mod_revision);
     add_me(t);
 }
 
@@ -224,7 +224,7 @@
 /* One step of the duties that need the store: become leader, take back, give. True if something is to be sent. */
 static bool next_step(struct store_txn *t) {
     struct node *me = find_node(cfg->node);
-    if (records_refused() || !store_ready() || !me || !me->live || strcmp(me->inc, my_inc) != 0) return false;
+    if (records_refused() || !store_synced() || !me || !me->live || strcmp(me->inc, my_inc) != 0) return false;
     for (int k = 0; k < cfg->size; k++) /* Ours from before a restart: no need to wait for anyone. */
         if (strcmp(shares[k].owner, cfg->node) == 0 && strcmp(shares[k].inc, my_inc) != 0) {
             give(t, k, me);
@@ -235,7 +235,7 @@
         char key[96];
         snprintf(key, sizeof key, "node/%s", cfg->node);
         add_me(t);
-        store_txn_set(t, key, node_value(), my_lease);
+        store_txn_put(t, key, node_value(), my_lease);
         return true;
     }
     struct node *lead = leader[0] ? find_node(leader) : NULL;
@@ -243,14 +243,14 @@
         cJSON *o = cJSON_CreateObject();
         cJSON_AddStringToObject(o, "node", cfg->node);
         cJSON_AddStringToObject(o, "inc", my_inc);
-        store_txn_if(t, "leader", store_stamp("leader"));
+        store_txn_compare(t, "leader", store_key_revision("leader"));
         add_me(t);
         if (lead) {
             char key[96];
             snprintf(key, sizeof key, "node/%s", lead->name);
-            store_txn_if(t, key, lead->stamp);
+            store_txn_compare(t, key, lead->mod_revision);
         }
-        store_txn_set(t, "leader", o, my_lease);
+        store_txn_put(t, "leader", o, my_lease);
         return true;
     }
     if (lead != me) return false;
@@ -282,7 +282,7 @@
     if (orphans && shares[k].owner[0] && !(was && was->live)) {
         char key[96];
         snprintf(key, sizeof key, "node/%s", shares[k].owner);
-        store_txn_if(t, key, 0);
+        store_txn_compare(t, key, 0);
     }
     give(t, k, target);
     log_info("share %d: giving it to %s", k, target->name);
@@ -291,25 +291,25 @@
 
 static void join(struct http_client *c) {
     int64_t lease;
-    if (store_grant(c, cfg->tuning.node_lease, &lease) != STORE_OK) return;
+    if (store_lease_grant(c, cfg->tuning.node_lease, &lease) != STORE_OK) return;
     char key[96];
     struct store_txn t;
-    struct store_answer a;
+    struct store_response a;
     snprintf(key, sizeof key, "node/%s", cfg->node);
     store_refresh(c, key);
     store_txn_init(&t);
     store_lock();
-    store_txn_if(&t, key, store_stamp(key));
+    store_txn_compare(&t, key, store_key_revision(key));
     store_unlock();
-    store_txn_set(&t, key, node_value(), lease);
-    if (store_multi(c, STORE_RENEW, &t, &a) == STORE_OK) {
+    store_txn_put(&t, key, node_value(), lease);
+    if (store_commit(c, STORE_PRIORITY_LEASE, &t, &a) == STORE_OK) {
         store_lock();
         my_lease = lease;
-        store_apply_written(&t, a.epoch);
+        store_apply_committed(&t, a.revision);
         store_unlock();
         log_info("joined as %s/%s", cfg->node, my_inc);
     }
-    store_answer_clear(&a);
+    store_response_clear(&a);
     store_txn_free(&t);
 }
 
@@ -325,7 +325,7 @@
             continue;
         }
         if (clock_seconds_since(renewed) > clock_to_seconds(cfg->tuning.node_lease) / 4) {
-            enum store_result r = store_renew(c, my_lease);
+            enum store_result r = store_lease_renew(c, my_lease);
             if (r == STORE_OK) renewed = clock_now();
             if (r == STORE_CONFLICT) {
                 log_info("our lease has ended; joining anew");
@@ -343,22 +343,22 @@
             store_unlock();
         }
         struct store_txn t;
-        struct store_answer a;
+        struct store_response a;
         store_txn_init(&t);
         store_lock();
         bool send = next_step(&t);
         store_unlock();
         if (send) {
-            enum store_result r = store_multi(c, STORE_RENEW, &t, &a);
+            enum store_result r = store_commit(c, STORE_PRIORITY_LEASE, &t, &a);
             if (r == STORE_OK) {
                 store_lock();
-                store_apply_written(&t, a.epoch);
+                store_apply_committed(&t, a.revision);
                 store_unlock();
             } else if (r == STORE_CONFLICT) {
-                for (guint i = 0; i < a.failed->len; i++) store_refresh(c, a.failed->pdata[i]);
+                for (guint i = 0; i < a.conflicts->len; i++) store_refresh(c, a.conflicts->pdata[i]);
             }
-            store_answer_clear(&a);
-            store_nudge();
+            store_response_clear(&a);
+            store_wake_watch();
         }
         store_txn_free(&t);
         clock_sleep(clock_from_seconds(send ? 0.05 : 0.2));
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -9,7 +9,7 @@
 
 struct share {
     char owner[64], inc[40];
-    int64_t stamp, fence;
+    int64_t mod_revision, fence;
     struct timespec changed;
 };
 
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -27,10 +27,10 @@
     }
 }
 
-static void set(const char *key, const char *json, int64_t stamp) {
+static void set(const char *key, const char *json, int64_t mod_revision) {
     cJSON *x = cJSON_Parse(json);
     store_lock();
-    store_apply(key, x, stamp);
+    store_apply(key, x, mod_revision);
     store_unlock();
     cJSON_Delete(x);
 }
@@ -45,10 +45,10 @@
     store_lock();
     store_apply("share/0", NULL, 11);
     store_apply("share/0", NULL, 10);
-    assert_int_equal(store_stamp("share/0"), 0);
+    assert_int_equal(store_key_revision("share/0"), 0);
     store_unlock();
     set("share/0", "{\"owner\":\"n0\",\"inc\":\"y\",\"fence\":4}", 10);
-    assert_int_equal(membership_share(0)->stamp, 0);
+    assert_int_equal(membership_share(0)->mod_revision, 0);
 }
 
 /* Nothing is ours before the mirror was read in full, whatever a record says. */
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -22,9 +22,9 @@
 
 static void on_peer(struct http_request *r, void *ctx) {
     (void)ctx;
-    if (strcmp(http_path(r), "/hint") == 0) store_nudge();
+    if (strcmp(http_path(r), "/hint") == 0) store_wake_watch();
     store_lock();
-    double age = store_ready() ? clock_seconds_since(store_verified()) : 1e6;
+    double age = store_synced() ? clock_seconds_since(store_last_read()) : 1e6;
     store_unlock();
     char body[64];
     snprintf(body, sizeof body, "{\"store_age_s\":%.2f}", age);
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -34,7 +34,7 @@
 static bool settled(int share) {
     const struct records_share *s = &records_shares[share];
     return membership_mine(share) && !s->barrier && s->fence == membership_share(share)->fence &&
-           s->conflict_epoch <= store_epoch();
+           s->conflict_revision <= store_revision();
 }
 
 /* A change of one team's record on its way. */
@@ -48,7 +48,7 @@
 static void require_share(struct change *c, int share) {
     char key[32];
     snprintf(key, sizeof key, "share/%d", share);
-    store_txn_if(&c->txn, key, membership_share(share)->stamp);
+    store_txn_compare(&c->txn, key, membership_share(share)->mod_revision);
     for (int i = 0; i < c->n_shares; i++)
         if (c->shares[i] == share) return;
     c->shares[c->n_shares++] = share;
@@ -58,7 +58,7 @@
     memset(c, 0, sizeof *c);
     store_txn_init(&c->txn);
     snprintf(c->key, sizeof c->key, "quota/%s", quota_settings->teams[t->team].name);
-    store_txn_if(&c->txn, c->key, store_stamp(c->key));
+    store_txn_compare(&c->txn, c->key, store_key_revision(c->key));
 }
 
 /* Nothing is left in shares beside the home. */
@@ -86,7 +86,7 @@
     } else if (undivided_again(t)) {
         begin_change(c, t);
         require_share(c, t->home);
-        store_txn_remove(&c->txn, c->key);
+        store_txn_delete(&c->txn, c->key);
         return true;
     } else {
         /* Lowered as soon as one controller's settings name less, raised once all name more. */
@@ -106,7 +106,7 @@
     }
     begin_change(c, t);
     require_share(c, t->home);
-    store_txn_set(&c->txn, c->key, quota_record_value(&next), 0);
+    store_txn_put(&c->txn, c->key, quota_record_value(&next), 0);
     return true;
 }
 
@@ -122,25 +122,25 @@
     begin_change(c, t);
     for (int i = 0; i < next.n_parts; i++)
         if (!quota_amount_equal(next.parts[i].limit, t->record.parts[i].limit)) require_share(c, next.parts[i].share);
-    store_txn_set(&c->txn, c->key, quota_record_value(&next), 0);
+    store_txn_put(&c->txn, c->key, quota_record_value(&next), 0);
     return true;
 }
 
 static void send_change(struct http_client *client, struct change *c) {
-    struct store_answer a;
-    enum store_result rc = store_multi(client, STORE_PROGRESS, &c->txn, &a);
+    struct store_response a;
+    enum store_result rc = store_commit(client, STORE_PRIORITY_PROGRESS, &c->txn, &a);
     if (rc == STORE_OK) {
         store_lock();
-        store_apply_written(&c->txn, a.epoch);
+        store_apply_committed(&c->txn, a.revision);
         store_unlock();
     } else if (rc == STORE_CONFLICT) {
         store_refresh(client, c->key);
-        store_nudge();
+        store_wake_watch();
     } else if (rc == STORE_UNKNOWN) {
-        /* It may yet be carried out: nothing is booked in these shares before their stamps have moved. */
+        /* It may yet be carried out: nothing is booked in these shares before their mod revisions have moved. */
         for (int i = 0; i < c->n_shares; i++) records_shares[c->shares[i]].barrier = true;
     }
-    store_answer_clear(&a);
+    store_response_clear(&a);
 }
 
 /* The job has nothing booked, and by its id its team's number of shares puts it into another share now. */
@@ -164,8 +164,8 @@
         if (!waits_elsewhere(j, share)) continue;
         char key[96];
         snprintf(key, sizeof key, "job/%s", j->spec.uid);
-        store_txn_if(&c->txn, key, store_stamp(key));
-        store_txn_set(&c->txn, key, jobs_moved_value(j, quota_share_of_new(j->spec.team, j->spec.uid)), 0);
+        store_txn_compare(&c->txn, key, store_key_revision(key));
+        store_txn_put(&c->txn, key, jobs_moved_value(j, quota_share_of_new(j->spec.team, j->spec.uid)), 0);
         moved++;
     }
     if (moved > 0) require_share(c, share);
@@ -174,7 +174,7 @@
 
 static void run_change(struct http_client *client, struct change *c, bool wanted) {
     if (wanted) send_change(client, c);
-    if (c->txn.conds) store_txn_free(&c->txn);
+    if (c->txn.comparisons) store_txn_free(&c->txn);
 }
 
 static void change_teams(struct http_client *client) {
@@ -194,7 +194,7 @@
 static void move_all_jobs(struct http_client *client) {
     struct change c;
     for (int share = 0; share < quota_settings->size; share++) {
-        int most = MIN(store_budget_room(STORE_PROGRESS), quota_settings->txn_ops);
+        int most = MIN(store_budget_available(STORE_PRIORITY_PROGRESS), quota_settings->txn_ops);
         if (most < 1) return;
         store_lock();
         memset(&c, 0, sizeof c);
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -62,7 +62,7 @@
     int at = part_at(t, share);
     /* A write that was refused may be the second copy of one that was carried out: until the mirror shows whether it
      * was, what the share uses is not known. */
-    if (t->damaged || at < 0 || records_shares[share].conflict_epoch > store_epoch()) return no_room;
+    if (t->damaged || at < 0 || records_shares[share].conflict_revision > store_revision()) return no_room;
     bool closing = quota_part_closing(&t->record, t->home, quota_settings->size, share);
     struct quota_amount may =
         quota_allowance(&t->record, at, quota_view_least_limit(team), t->used, &t->targets, closing);
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -61,8 +61,8 @@
     g_string_free(parts, TRUE);
 }
 
-static void apply_record(const char *name, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_record(const char *name, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     int team = settings_team(quota_settings, name);
     if (team < 0) {
         log_error("quota/%s: the settings name no such team", name);
@@ -99,8 +99,8 @@
     return -1;
 }
 
-static void apply_view(const char *node, const cJSON *data, int64_t stamp) {
-    (void)stamp;
+static void apply_view(const char *node, const cJSON *data, int64_t mod_revision) {
+    (void)mod_revision;
     int n = node_index(node);
     if (n < 0) return;
     views[n].recorded = data != NULL;
@@ -167,8 +167,8 @@
         return false;
     }
     snprintf(key, sizeof key, VIEW_PREFIX "%s", quota_settings->node);
-    store_txn_if(t, key, store_stamp(key));
-    store_txn_set(t, key, value, 0);
+    store_txn_compare(t, key, store_key_revision(key));
+    store_txn_put(t, key, value, 0);
     log_info("quota: recording what our settings say of divided teams");
     return true;
 }
@@ -176,6 +176,6 @@
 void quota_state_init(const struct settings *s) {
     quota_settings = s;
     views = g_new0(struct node_views, (gsize)s->n_seeds + 1);
-    store_observe(RECORD_PREFIX, apply_record);
-    store_observe(VIEW_PREFIX, apply_view);
+    store_observe_prefix(RECORD_PREFIX, apply_record);
+    store_observe_prefix(VIEW_PREFIX, apply_view);
 }
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -177,7 +177,7 @@
 }
 
 /* Takes a page's entries in; false if one can't be read. */
-static bool read_entries(const cJSON *data, int k, int page, int64_t stamp, GHashTable *seen) {
+static bool read_entries(const cJSON *data, int k, int page, int64_t mod_revision, GHashTable *seen) {
     const struct page_names names = {cJSON_GetObjectItemCaseSensitive(data, "sku"),
                                      cJSON_GetObjectItemCaseSensitive(data, "site"),
                                      cJSON_GetObjectItemCaseSensitive(data, "img")};
@@ -195,12 +195,12 @@
          * record holds, in whatever order they are read: once a controller that had read them anew took the machine for
          * another's, left it out of its page, and the others released what ran on it. */
         const struct machine *known = records_find(f[ENTRY_ID]->valuestring);
-        if (known && known->placed > stamp && (known->share != k || known->page != page)) {
+        if (known && known->placed > mod_revision && (known->share != k || known->page != page)) {
             stale[k][page] = true;
             continue;
         }
         struct machine *m = machine_here(f[ENTRY_ID]->valuestring, k, page);
-        m->placed = stamp;
+        m->placed = mod_revision;
         g_hash_table_add(seen, m);
         read_entry(m, f, &names);
     }
@@ -214,12 +214,12 @@
         if (m->page != page || g_hash_table_contains(seen, m)) continue;
         char key[96];
         snprintf(key, sizeof key, "machine/%s", m->id);
-        if (store_stamp(key)) continue; /* its own record says where it goes */
+        if (store_key_revision(key)) continue; /* its own record says where it goes */
         machine_gone(m);
     }
 }
 
-static void apply_page(const char *rest, const cJSON *data, int64_t stamp) {
+static void apply_page(const char *rest, const cJSON *data, int64_t mod_revision) {
     int k = (int)g_ascii_strtoll(rest, NULL, 10);
     const char *slash = strchr(rest, '/');
     if (k < 0 || k >= cfg->size || !slash) return;
@@ -230,7 +230,7 @@
     /* A machine that a page no longer names is gone. One that can't be read names nobody: taken for an empty one, or an
      * entry of it for none, it would release what still runs. */
     bool listed = !data || cJSON_IsArray(cJSON_GetObjectItemCaseSensitive(data, "m"));
-    bool whole = read_entries(data, k, page, stamp, seen) && listed;
+    bool whole = read_entries(data, k, page, mod_revision, seen) && listed;
     if (whole)
         drop_unseen(k, page, seen);
     else
@@ -238,11 +238,11 @@
     g_hash_table_destroy(seen);
 }
 
-static void apply_single(const char *id, const cJSON *data, int64_t stamp) {
+static void apply_single(const char *id, const cJSON *data, int64_t mod_revision) {
     /* As for pages: what a later record has shown holds, in whatever order they are read. A page read on its own, ahead
      * of the watch, was once undone by the transfer before it: machines that ran tasks were taken for gone. */
     struct machine *placed = records_find(id);
-    if (placed && placed->placed > stamp) return;
+    if (placed && placed->placed > mod_revision) return;
     if (!data) {
         if (placed && placed->page < 0) machine_gone(placed);
         return;
@@ -261,7 +261,7 @@
         return;
     }
     struct machine *m = machine_here(id, (int)share, -1);
-    m->placed = stamp;
+    m->placed = mod_revision;
     const char *v;
     if (!json_get_int64(data, "fence", &m->fence)) m->fence = 0;
     if ((v = json_get_string(data, "address")) && *v) g_strlcpy(m->address, v, sizeof m->address);
@@ -556,6 +556,6 @@
     unregistered = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     machines = g_ptr_array_new();
     for (int k = 0; k < RECORDS_SHARES; k++) of_share[k] = g_ptr_array_new();
-    store_observe("fleet/", apply_page);
-    store_observe("machine/", apply_single);
+    store_observe_prefix("fleet/", apply_page);
+    store_observe_prefix("machine/", apply_single);
 }
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -47,7 +47,7 @@
     struct timespec unrecorded_since; /* where it is not known: since when */
     int share;                        /* -1: none */
     int page;                         /* of its share; -1: in a record of its own, on its way between shares */
-    int64_t placed;                   /* stamp of the record that says so */
+    int64_t placed;                   /* mod revision of the record that says so */
     int64_t fence;                    /* its own token from adoption or a raise; the share's may be higher */
     char address[64], sku[64], site[64];
     const struct flavour_info *flavour;
@@ -100,9 +100,9 @@
 /* What the owner remembers of a share. */
 struct records_share {
     int64_t fence;
-    int64_t next;           /* counter of attempts under this fence */
-    bool barrier;           /* a transaction's outcome is unknown: nothing more before the share's stamp has moved */
-    int64_t conflict_epoch; /* the store's, when it last refused a write for its conditions */
+    int64_t next; /* counter of attempts under this fence */
+    bool barrier; /* a transaction's outcome is unknown: nothing more before the share's mod revision has moved */
+    int64_t conflict_revision; /* the store's, when it last refused a write for its conditions */
     struct timespec since, passed, tidied;
     struct timespec apart_until; /* until then a transaction holds one record: one was refused as malformed */
     struct timespec alarm;       /* when a machine last failed to answer for the first time */
--- a/src/records/records_test.c
+++ b/src/records/records_test.c
@@ -18,11 +18,11 @@
 #include "workers/workers.h"
 
 static struct settings cfg;
-static int64_t stamp = 10;
+static int64_t mod_revision = 10;
 
 static void put(const char *key, const cJSON *x) {
     store_lock();
-    store_apply(key, x, ++stamp);
+    store_apply(key, x, ++mod_revision);
     store_unlock();
 }
 
@@ -188,7 +188,7 @@
     cJSON *page = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-009005\",\"\",0,0,0,0,1,\"\"]]}"),
           *none = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[]}"),
           *transfer = cJSON_Parse("{\"share\":1,\"fence\":3,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\"}");
-    int64_t at = stamp += 10;
+    int64_t at = mod_revision += 10;
     store_lock();
     store_apply("fleet/0/98", page, at);
     store_apply("fleet/1/98", page, at + 5); /* the newest, read on its own */
@@ -203,7 +203,7 @@
     store_apply("fleet/1/98", NULL, at + 6);
     assert_null(records_find("i-009005"));
     store_unlock();
-    stamp += 10;
+    mod_revision += 10;
     cJSON_Delete(page);
     cJSON_Delete(none);
     cJSON_Delete(transfer);
--- a/src/rounds/round.h
+++ b/src/rounds/round.h
@@ -21,7 +21,7 @@
 };
 
 /* The transaction that the next so many changes and conditions go into: the last one while it has room. */
-struct store_txn *round_txn(struct round *r, int writes, int conds);
+struct store_txn *round_txn(struct round *r, int writes, int comparisons);
 void round_txn_free(gpointer txn);
 
 /* Books what waits and has room, in order, and lets lower work make way. */
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -167,10 +167,10 @@
     g_free(r);
 }
 
-void rounds_apply(const struct round *r, const struct store_txn *t, int64_t epoch) {
+void rounds_apply(const struct round *r, const struct store_txn *t, int64_t revision) {
     const cJSON *x;
-    store_apply_written(t, epoch);
-    cJSON_ArrayForEach(x, t->ops) {
+    store_apply_committed(t, revision);
+    cJSON_ArrayForEach(x, t->operations) {
         const char *set = json_get_string(x, "set");
         if (!set || !g_str_has_prefix(set, "run/")) continue;
         char uid[64];
@@ -189,32 +189,32 @@
     }
 }
 
-/* After an unknown outcome the share's stamp is moved, so that what may still come late fails. */
+/* After an unknown outcome the share's mod revision is moved, so that what may still come late fails. */
 static bool barrier(struct http_client *c, int k) {
     char key[32];
     struct store_txn t;
-    struct store_answer a;
+    struct store_response a;
     snprintf(key, sizeof key, "share/%d", k);
     store_refresh(c, key);
     store_txn_init(&t);
     store_lock();
     bool mine = membership_mine(k);
     const struct share *s = membership_share(k);
-    store_txn_if(&t, key, s->stamp);
+    store_txn_compare(&t, key, s->mod_revision);
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "owner", s->owner);
     cJSON_AddStringToObject(o, "inc", s->inc);
     cJSON_AddNumberToObject(o, "fence", (double)s->fence);
-    store_txn_set(&t, key, o, 0);
+    store_txn_put(&t, key, o, 0);
     store_unlock();
     bool ok = false;
-    if (mine && store_multi(c, STORE_BOOK, &t, &a) == STORE_OK) {
+    if (mine && store_commit(c, STORE_PRIORITY_ALLOCATE, &t, &a) == STORE_OK) {
         store_lock();
-        store_apply_written(&t, a.epoch);
+        store_apply_committed(&t, a.revision);
         store_unlock();
-        store_nudge();
+        store_wake_watch();
         ok = true;
-        store_answer_clear(&a);
+        store_response_clear(&a);
     }
     store_txn_free(&t);
     return ok;
@@ -232,7 +232,7 @@
 
 static bool run_round(struct http_client *c, int k) {
     struct round *r = NULL;
-    int left = store_budget_room(STORE_PROGRESS);
+    int left = store_budget_available(STORE_PRIORITY_PROGRESS);
     bool again = false;
     store_lock();
     bool mine = membership_mine(k);
@@ -246,7 +246,7 @@
             log_info("share %d: ours under fence %lld", k, (long long)f);
         }
     }
-    if (mine && left < LEAST_CHANGES && needed_end(k)) left = store_budget_room(STORE_BOOK);
+    if (mine && left < LEAST_CHANGES && needed_end(k)) left = store_budget_available(STORE_PRIORITY_ALLOCATE);
     bool blocked = records_shares[k].barrier;
     if (mine && !blocked) r = rounds_decide(k, left);
     store_unlock();
@@ -256,24 +256,25 @@
     }
     for (guint i = 0; r && i < r->txns->len; i++) {
         struct store_txn *t = r->txns->pdata[i];
-        struct store_answer a;
+        struct store_response a;
         if (!t->writes) continue;
-        enum store_result rc = store_multi(c, STORE_BOOK, t, &a);
+        enum store_result rc = store_commit(c, STORE_PRIORITY_ALLOCATE, t, &a);
         if (rc == STORE_OK) {
             store_lock();
-            rounds_apply(r, t, a.epoch);
+            rounds_apply(r, t, a.revision);
             store_unlock();
             again = true;
         } else if (rc == STORE_CONFLICT) {
-            records_shares[k].conflict_epoch = a.epoch;
+            records_shares[k].conflict_revision = a.revision;
             /* Bookings and pages only in the order of the watch: read on their own they would be ahead of the records
              * that they rest on. */
-            for (guint f = 0; f < a.failed->len; f++)
-                if (!g_str_has_prefix(a.failed->pdata[f], "run/") && !g_str_has_prefix(a.failed->pdata[f], "fleet/"))
-                    store_refresh(c, a.failed->pdata[f]);
-            store_nudge();
+            for (guint f = 0; f < a.conflicts->len; f++)
+                if (!g_str_has_prefix(a.conflicts->pdata[f], "run/") &&
+                    !g_str_has_prefix(a.conflicts->pdata[f], "fleet/"))
+                    store_refresh(c, a.conflicts->pdata[f]);
+            store_wake_watch();
             again = true;
-        } else if (rc == STORE_BAD) {
+        } else if (rc == STORE_INVALID) {
             /* Surely not executed. What it held is written apart from other work from now on, and not at once again. */
             if (r->apart || t->writes == 1) round_note_refused(t);
             records_shares[k].apart_until = clock_instant_in(clock_from_seconds(2 * ROUND_REFUSED_S));
@@ -281,10 +282,10 @@
         } else if (rc == STORE_UNKNOWN) {
             records_shares[k].barrier = true;
         }
-        store_answer_clear(&a);
+        store_response_clear(&a);
         /* A conflict is one transaction's own: a fence that all controllers move once kept a share from booking
          * anything for minutes, because what stood behind the raise was dropped with it. */
-        if (rc != STORE_OK && rc != STORE_CONFLICT && rc != STORE_BAD) break;
+        if (rc != STORE_OK && rc != STORE_CONFLICT && rc != STORE_INVALID) break;
     }
     workers_kick();
     again |= (r && r->more) || (mine && left < LEAST_CHANGES);
@@ -297,7 +298,7 @@
 /* A controller that hears none of its workers leaves its shares to others: at once where not one of many is heard in
  * any way, after a report interval where most don't report. */
 static void give_up_when_deaf(const struct watch_hearing *h, struct timespec *hearing) {
-    bool store_seen = clock_seconds_since(store_verified()) <= STORE_SEEN_S;
+    bool store_seen = clock_seconds_since(store_last_read()) <= STORE_SEEN_S;
     double report = clock_to_seconds(round_settings->report);
     if (h->up < 4 || h->reported * 10 >= h->up * 3 || !store_seen) *hearing = clock_now();
     bool deaf = store_seen && watch_deaf(h->up, h->newest_s, report);
--- a/src/rounds/rounds.h
+++ b/src/rounds/rounds.h
@@ -31,7 +31,7 @@
 int rounds_changes(const struct round *r);
 int rounds_largest(const struct round *r);                   /* changes of its largest transaction */
 const GPtrArray *rounds_transactions(const struct round *r); /* struct store_txn, in the order in which they are sent */
-void rounds_apply(const struct round *r, const struct store_txn *t, int64_t epoch); /* it was written */
+void rounds_apply(const struct round *r, const struct store_txn *t, int64_t revision); /* it was written */
 void rounds_round_free(struct round *r);
 int64_t rounds_gang_open(const struct job *j);
 #endif
--- a/src/rounds/rounds_limits_test.c
+++ b/src/rounds/rounds_limits_test.c
@@ -26,9 +26,9 @@
 
 static void check_limits(const char *what, const struct store_txn *t) {
     const cJSON *op;
-    if (t->writes > NEXT_OPS || cJSON_GetArraySize(t->conds) > 4 * NEXT_OPS)
-        fail_msg("%s: %d operations, %d conditions", what, t->writes, cJSON_GetArraySize(t->conds));
-    cJSON_ArrayForEach(op, t->ops) {
+    if (t->writes > NEXT_OPS || cJSON_GetArraySize(t->comparisons) > 4 * NEXT_OPS)
+        fail_msg("%s: %d operations, %d conditions", what, t->writes, cJSON_GetArraySize(t->comparisons));
+    cJSON_ArrayForEach(op, t->operations) {
         char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(op, "data"));
         if (text && strlen(text) > NEXT_BYTES)
             fail_msg("%s: %s, %zu bytes", what, json_get_string(op, "set"), strlen(text));
--- a/src/rounds/write_jobs.c
+++ b/src/rounds/write_jobs.c
@@ -18,15 +18,15 @@
     g_free(p);
 }
 
-struct store_txn *round_txn(struct round *r, int writes, int conds) {
+struct store_txn *round_txn(struct round *r, int writes, int comparisons) {
     struct store_txn *t = r->txns->len ? r->txns->pdata[r->txns->len - 1] : NULL;
     if (!t || (r->apart && t->writes > 0) || t->writes + writes > round_settings->txn_ops ||
-        cJSON_GetArraySize(t->conds) + conds > round_settings->txn_ops * 4) {
+        cJSON_GetArraySize(t->comparisons) + comparisons > round_settings->txn_ops * 4) {
         t = g_new0(struct store_txn, 1);
         store_txn_init(t);
         char key[32];
         snprintf(key, sizeof key, "share/%d", r->share);
-        store_txn_if(t, key, membership_share(r->share)->stamp);
+        store_txn_compare(t, key, membership_share(r->share)->mod_revision);
         g_ptr_array_add(r->txns, t);
     }
     r->left -= writes;
@@ -45,7 +45,7 @@
 void round_note_refused(const struct store_txn *t) {
     const cJSON *op;
     if (!refused_until) refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    cJSON_ArrayForEach(op, t->ops) {
+    cJSON_ArrayForEach(op, t->operations) {
         const char *key = json_get_string(op, "set") ? json_get_string(op, "set") : json_get_string(op, "remove");
         struct timespec *until = g_new0(struct timespec, 1);
         *until = clock_instant_in(clock_from_seconds(ROUND_REFUSED_S));
@@ -60,13 +60,13 @@
      * second copy of one that the connection's end made the client send again, may be carried out after later ones of
      * ours. */
     snprintf(key, sizeof key, "job/%s", j->spec.uid);
-    store_txn_if(t, key, store_stamp(key));
+    store_txn_compare(t, key, store_key_revision(key));
     bookings_key(j, chunk, key, sizeof key);
-    store_txn_if(t, key, store_stamp(key));
+    store_txn_compare(t, key, store_key_revision(key));
     if (value)
-        store_txn_set(t, key, value, 0);
+        store_txn_put(t, key, value, 0);
     else
-        store_txn_remove(t, key);
+        store_txn_delete(t, key);
 }
 
 /* Writes all records of a job in a new stretch, in one transaction: each names it, and one with nothing to keep stands
@@ -115,8 +115,8 @@
     snprintf(key, sizeof key, "job/%s", j->spec.uid);
     if (final && !round_refused_lately(key)) {
         struct store_txn *t = round_txn(r, 2, 1);
-        store_txn_if(t, key, store_stamp(key));
-        store_txn_set(t, key, jobs_final_value(j, JOB_DONE), 0);
+        store_txn_compare(t, key, store_key_revision(key));
+        store_txn_put(t, key, jobs_final_value(j, JOB_DONE), 0);
         r->left++; /* the second was room for a chunk's record beside it */
     }
     for (int c = 0; c < chunks && (r->left > 0 || c == 0); c++) {
--- a/src/rounds/write_pages.c
+++ b/src/rounds/write_pages.c
@@ -104,21 +104,21 @@
     int n;
     struct store_txn *t = round_txn(r, round_settings->txn_ops, 3);
     r->left += round_settings->txn_ops - p->raise_writes;
-    store_txn_if(t, "fence", store_stamp("fence"));
-    store_txn_set(t, "fence", cJSON_CreateNumber((double)p->fence), 0);
+    store_txn_compare(t, "fence", store_key_revision("fence"));
+    store_txn_put(t, "fence", cJSON_CreateNumber((double)p->fence), 0);
     for (int page = 0; page < RECORDS_PAGES; page++) {
         if (!(p->need[page] & PAGE_RAISE)) continue;
         snprintf(key, sizeof key, "fleet/%d/%d", k, page);
-        store_txn_if(t, key, store_stamp(key));
-        store_txn_set(t, key, records_page_value(k, page, &n), 0);
+        store_txn_compare(t, key, store_key_revision(key));
+        store_txn_put(t, key, records_page_value(k, page, &n), 0);
         p->need[page] = 0;
     }
     for (guint i = 0; i < records_of(k)->len; i++) {
         struct machine *m = records_of(k)->pdata[i];
         if (!m->leave) continue;
         snprintf(key, sizeof key, "machine/%s", m->id);
-        store_txn_if(t, key, 0);
-        store_txn_set(t, key, records_single_value(m, m->transfer_to, p->fence), 0);
+        store_txn_compare(t, key, 0);
+        store_txn_put(t, key, records_single_value(m, m->transfer_to, p->fence), 0);
     }
 }
 
@@ -132,20 +132,20 @@
     snprintf(key, sizeof key, "fleet/%d/%d", k, page);
     if (1 + incoming > round_settings->txn_ops || round_refused_lately(key)) return;
     struct store_txn *t = round_txn(r, 1 + incoming, 2 + incoming);
-    store_txn_if(t, key, store_stamp(key));
+    store_txn_compare(t, key, store_key_revision(key));
     cJSON *value = records_page_value(k, page, &n);
     if (n > 0) {
-        store_txn_set(t, key, value, 0);
+        store_txn_put(t, key, value, 0);
     } else {
         cJSON_Delete(value);
-        store_txn_remove(t, key);
+        store_txn_delete(t, key);
     }
     for (guint i = 0; i < records_of(k)->len; i++) {
         struct machine *m = records_of(k)->pdata[i];
         if (!arrives_at(m, page)) continue;
         snprintf(key, sizeof key, "machine/%s", m->id);
-        store_txn_if(t, key, store_stamp(key));
-        store_txn_remove(t, key);
+        store_txn_compare(t, key, store_key_revision(key));
+        store_txn_delete(t, key);
     }
 }
 
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -37,8 +37,8 @@
             return;
         }
         store_lock();
-        bool sees = store_ready() && clock_seconds_since(store_verified()) < 5;
-        bool first = !store_ready();
+        bool sees = store_synced() && clock_seconds_since(store_last_read()) < 5;
+        bool first = !store_synced();
         store_unlock();
         /* Refused by the store while peers are served: others can help the users. In an outage that all see, the
          * nodes stay and say when to come back. */
@@ -97,7 +97,7 @@
 
 void service_tell(void) {
     static unsigned last = 0;
-    unsigned now = store_budget_used();
+    unsigned now = store_budget_requests_sent();
     int answers;
     double median, p95;
     users_latency(&answers, &median, &p95);
@@ -106,12 +106,12 @@
         "status: %u unfinished jobs, %u machines, store %.1f calls/s (pace %.1f, of changes %.1f), store seen %.1f s "
         "ago, %d answers to users "
         "(median %.1f ms, p95 %.1f ms)",
-        jobs_active()->len, records_machines()->len, (now - last) / 10.0, store_budget_pace(false),
-        store_budget_pace(true), clock_seconds_since(store_verified()), answers, median, p95);
+        jobs_active()->len, records_machines()->len, (now - last) / 10.0, store_budget_rate_factor(false),
+        store_budget_rate_factor(true), clock_seconds_since(store_last_read()), answers, median, p95);
     quota_tell();
     store_unlock();
-    static struct store_changes before;
-    struct store_changes written = store_changes_written();
+    static struct store_write_counts before;
+    struct store_write_counts written = store_writes_counted();
     log_info("changes in 10 s: %u jobs, %u bookings, %u releases, %u pages, %u others", written.jobs - before.jobs,
              written.bookings - before.bookings, written.releases - before.releases, written.pages - before.pages,
              written.others - before.others);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -52,20 +52,20 @@
     pace_writes = MIN(pace_writes + dt * PACE_GROWTH, MAX(PACE_MOST, budget_parts));
 }
 
-void store_budget_parts(int controllers, double writing) {
+void store_budget_set_fraction(int controllers, double writing) {
     pthread_mutex_lock(&budget_lock);
     budget_parts = MAX(controllers, 1);
     budget_writing = writing;
     pthread_mutex_unlock(&budget_lock);
 }
 
-static bool budget_take(enum store_class cls, int writes) {
+static bool budget_take(enum store_priority cls, int writes) {
     pthread_mutex_lock(&budget_lock);
     budget_refill();
     double keep = budget_reserve[cls], cap = most_writes();
     bool ok = budget_calls - 1 >= keep * rate_calls() &&
               (writes == 0 || budget_writes >= keep * cap + MIN(writes, cap * 0.5));
-    if (cls != STORE_RENEW && clock_to_seconds(budget_at) < clock_to_seconds(budget_block)) ok = false;
+    if (cls != STORE_PRIORITY_LEASE && clock_to_seconds(budget_at) < clock_to_seconds(budget_block)) ok = false;
     if (ok) {
         budget_calls -= 1;
         budget_writes -= writes;
@@ -75,7 +75,7 @@
     return ok;
 }
 
-int store_budget_room(enum store_class cls) {
+int store_budget_available(enum store_priority cls) {
     pthread_mutex_lock(&budget_lock);
     budget_refill();
     double room = budget_writes - budget_reserve[cls] * most_writes();
@@ -95,14 +95,14 @@
     pthread_mutex_unlock(&budget_lock);
 }
 
-double store_budget_pace(bool changes) {
+double store_budget_rate_factor(bool changes) {
     pthread_mutex_lock(&budget_lock);
     double pace = changes ? pace_writes : pace_calls;
     pthread_mutex_unlock(&budget_lock);
     return pace;
 }
 
-bool store_budget_calls_scarce(void) {
+bool store_budget_requests_scarce(void) {
     pthread_mutex_lock(&budget_lock);
     budget_refill();
     bool scarce = budget_calls < 0.5 * rate_calls();
@@ -110,7 +110,7 @@
     return scarce;
 }
 
-unsigned store_budget_used(void) {
+unsigned store_budget_requests_sent(void) {
     pthread_mutex_lock(&budget_lock);
     unsigned n = budget_used;
     pthread_mutex_unlock(&budget_lock);
@@ -127,45 +127,45 @@
 /* ---- transactions ---- */
 
 void store_txn_init(struct store_txn *t) {
-    t->conds = cJSON_CreateArray();
-    t->ops = cJSON_CreateArray();
+    t->comparisons = cJSON_CreateArray();
+    t->operations = cJSON_CreateArray();
     t->writes = 0;
 }
 
-void store_txn_if(struct store_txn *t, const char *key, int64_t stamp) {
+void store_txn_compare(struct store_txn *t, const char *key, int64_t mod_revision) {
     const cJSON *x;
-    cJSON_ArrayForEach(x, t->conds) if (strcmp(json_get_string(x, "path"), key) == 0) return;
+    cJSON_ArrayForEach(x, t->comparisons) if (strcmp(json_get_string(x, "path"), key) == 0) return;
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "path", key);
-    cJSON_AddNumberToObject(o, "stamp", (double)stamp);
-    cJSON_AddItemToArray(t->conds, o);
+    cJSON_AddNumberToObject(o, "stamp", (double)mod_revision);
+    cJSON_AddItemToArray(t->comparisons, o);
 }
 
-void store_txn_set(struct store_txn *t, const char *key, cJSON *data, int64_t lease) {
+void store_txn_put(struct store_txn *t, const char *key, cJSON *data, int64_t lease) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "set", key);
     cJSON_AddItemToObject(o, "data", data);
     if (lease) cJSON_AddNumberToObject(o, "lease", (double)lease);
-    cJSON_AddItemToArray(t->ops, o);
+    cJSON_AddItemToArray(t->operations, o);
     t->writes++;
 }
 
-void store_txn_remove(struct store_txn *t, const char *key) {
+void store_txn_delete(struct store_txn *t, const char *key) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "remove", key);
-    cJSON_AddItemToArray(t->ops, o);
+    cJSON_AddItemToArray(t->operations, o);
     t->writes++;
 }
 
 void store_txn_free(struct store_txn *t) {
-    cJSON_Delete(t->conds);
-    cJSON_Delete(t->ops);
-    t->conds = t->ops = NULL;
+    cJSON_Delete(t->comparisons);
+    cJSON_Delete(t->operations);
+    t->comparisons = t->operations = NULL;
 }
 
-void store_answer_clear(struct store_answer *a) {
-    if (a->failed) g_ptr_array_free(a->failed, TRUE);
-    a->failed = NULL;
+void store_response_clear(struct store_response *a) {
+    if (a->conflicts) g_ptr_array_free(a->conflicts, TRUE);
+    a->conflicts = NULL;
 }
 
 static enum store_result call(struct http_client *c, const char *method, const char *path, const char *body,
@@ -173,11 +173,11 @@
     char url[512];
     snprintf(url, sizeof url, "http://%s%s", cfg->state, path);
     enum http_outcome o = http_call(c, method, url, body, timeout_ms, status, answer);
-    if (o == HTTP_NOT_SENT) return STORE_REFUSED;
+    if (o == HTTP_NOT_SENT) return STORE_REJECTED;
     if (o == HTTP_UNKNOWN) return STORE_UNKNOWN;
     if (*status == 429) budget_pause(body && strstr(body, "\"then\":"));
-    if (*status == 429 || *status == 503) return STORE_REFUSED;
-    if (*status == 400) return STORE_BAD;
+    if (*status == 429 || *status == 503) return STORE_REJECTED;
+    if (*status == 400) return STORE_INVALID;
     return STORE_OK;
 }
 
@@ -185,23 +185,23 @@
 static void log_bad(const struct store_txn *t) {
     const cJSON *op;
     GString *what = g_string_new("");
-    cJSON_ArrayForEach(op, t->ops) {
+    cJSON_ArrayForEach(op, t->operations) {
         char *value = cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(op, "data"));
         const char *key = json_get_string(op, "set") ? json_get_string(op, "set") : json_get_string(op, "remove");
         g_string_append_printf(what, " %s (%zu bytes)", key, value ? strlen(value) : 0);
         free(value);
     }
     log_error("state service refuses a transaction as malformed: %d operations, %d conditions:%s", t->writes,
-              cJSON_GetArraySize(t->conds), what->str);
+              cJSON_GetArraySize(t->comparisons), what->str);
     g_string_free(what, TRUE);
 }
 
-static struct store_changes changes;
+static struct store_write_counts changes;
 
 static void count_changes(const struct store_txn *t) {
     const cJSON *op;
     pthread_mutex_lock(&budget_lock);
-    cJSON_ArrayForEach(op, t->ops) {
+    cJSON_ArrayForEach(op, t->operations) {
         const char *set = json_get_string(op, "set"), *key = set ? set : json_get_string(op, "remove");
         if (g_str_has_prefix(key, "job/"))
             changes.jobs++;
@@ -215,84 +215,85 @@
     pthread_mutex_unlock(&budget_lock);
 }
 
-struct store_changes store_changes_written(void) {
+struct store_write_counts store_writes_counted(void) {
     pthread_mutex_lock(&budget_lock);
-    struct store_changes now = changes;
+    struct store_write_counts now = changes;
     pthread_mutex_unlock(&budget_lock);
     return now;
 }
 
-enum store_result store_multi(struct http_client *c, enum store_class cls, struct store_txn *t,
-                              struct store_answer *a) {
-    a->epoch = 0;
-    a->failed = NULL;
-    if (!budget_take(cls, t->writes)) return STORE_REFUSED;
+enum store_result store_commit(struct http_client *c, enum store_priority cls, struct store_txn *t,
+                               struct store_response *a) {
+    a->revision = 0;
+    a->conflicts = NULL;
+    if (!budget_take(cls, t->writes)) return STORE_REJECTED;
     cJSON *o = cJSON_CreateObject(), *ans = NULL;
-    cJSON_AddItemReferenceToObject(o, "if", t->conds);
-    if (t->writes) cJSON_AddItemReferenceToObject(o, "then", t->ops);
+    cJSON_AddItemReferenceToObject(o, "if", t->comparisons);
+    if (t->writes) cJSON_AddItemReferenceToObject(o, "then", t->operations);
     char *body = cJSON_PrintUnformatted(o);
     cJSON_Delete(o);
     long status;
     /* Users wait 2 s for a poll and 5 s for a submission: a silent store must leave time for a refusal. */
     enum store_result r = call(c, "POST", "/multi", body, t->writes ? 2000 : 1200, &ans, &status);
     if (r == STORE_OK) {
-        if (status == 200 && json_get_int64(ans, "epoch", &a->epoch)) {
+        if (status == 200 && json_get_int64(ans, "epoch", &a->revision)) {
         } else if (status == 409) {
             r = STORE_CONFLICT;
-            json_get_int64(ans, "epoch", &a->epoch);
-            a->failed = g_ptr_array_new_with_free_func(g_free);
+            json_get_int64(ans, "epoch", &a->revision);
+            a->conflicts = g_ptr_array_new_with_free_func(g_free);
             const cJSON *x;
             cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(ans, "failed")) if (cJSON_IsString(x))
-                g_ptr_array_add(a->failed, g_strdup(x->valuestring));
+                g_ptr_array_add(a->conflicts, g_strdup(x->valuestring));
         } else {
             r = STORE_UNKNOWN;
         }
     }
-    if (r == STORE_BAD) log_bad(t);
+    if (r == STORE_INVALID) log_bad(t);
     if (r == STORE_OK) count_changes(t);
     free(body);
     cJSON_Delete(ans);
     return r;
 }
 
-enum store_result store_get(struct http_client *c, const char *key, cJSON **data, int64_t *stamp, int64_t *epoch) {
+enum store_result store_get(struct http_client *c, const char *key, cJSON **data, int64_t *mod_revision,
+                            int64_t *revision) {
     char path[300];
     cJSON *ans = NULL;
     long status;
     *data = NULL;
-    *stamp = 0;
-    *epoch = 0;
-    if (!budget_take(STORE_CANCEL, 0)) return STORE_REFUSED;
+    *mod_revision = 0;
+    *revision = 0;
+    if (!budget_take(STORE_PRIORITY_CANCEL, 0)) return STORE_REJECTED;
     snprintf(path, sizeof path, "/kv/%s", key);
     enum store_result r = call(c, "GET", path, NULL, 1500, &ans, &status);
-    if (r == STORE_OK && status == 200 && json_get_int64(ans, "stamp", stamp))
+    if (r == STORE_OK && status == 200 && json_get_int64(ans, "stamp", mod_revision))
         *data = cJSON_DetachItemFromObjectCaseSensitive(ans, "data");
-    else if (r == STORE_OK && status == 404 && json_get_int64(ans, "epoch", epoch))
+    else if (r == STORE_OK && status == 404 && json_get_int64(ans, "epoch", revision))
         r = STORE_OK;
     else
-        r = STORE_REFUSED; /* a read that brought nothing changed nothing */
+        r = STORE_REJECTED; /* a read that brought nothing changed nothing */
     cJSON_Delete(ans);
     return r;
 }
 
-enum store_result store_grant(struct http_client *c, struct timespec ttl, int64_t *lease) {
+enum store_result store_lease_grant(struct http_client *c, struct timespec ttl, int64_t *lease) {
     char body[64];
     cJSON *ans = NULL;
     long status;
     snprintf(body, sizeof body, "{\"ttl_ms\":%lld}", (long long)(clock_to_seconds(ttl) * 1000));
-    budget_take(STORE_RENEW, 0);
+    budget_take(STORE_PRIORITY_LEASE, 0);
     enum store_result r = call(c, "POST", "/grants", body, 1500, &ans, &status);
     if (r == STORE_OK && !(status == 200 && json_get_int64(ans, "lease", lease))) r = STORE_UNKNOWN;
     cJSON_Delete(ans);
     return r;
 }
 
-enum store_result store_renew(struct http_client *c, int64_t lease) {
+enum store_result store_lease_renew(struct http_client *c, int64_t lease) {
     char path[64];
     cJSON *ans = NULL;
     long status;
     snprintf(path, sizeof path, "/grants/%lld/renew", (long long)lease);
-    budget_take(STORE_RENEW, 0);
+    budget_take(STORE_PRIORITY_LEASE, 0);
     enum store_result r = call(c, "POST", path, "{}", 1200, &ans, &status);
     cJSON_Delete(ans);
     if (r == STORE_OK && status == 404) return STORE_CONFLICT;
@@ -304,74 +305,74 @@
 
 struct observer {
     char *prefix;
-    store_applier fn;
+    store_observer fn;
 };
-struct stamp_row {
-    int64_t stamp;
+struct key_revision {
+    int64_t mod_revision;
     bool gone;
 };
 static pthread_mutex_t mirror_lock = PTHREAD_MUTEX_INITIALIZER;
 static GArray *observers;
-static GHashTable *stamps; /* key -> stamp_row; a removed key stays until the watch has passed its removal */
-static int64_t mirror_epoch;
+static GHashTable *key_revisions; /* key -> key_revision; a removed key stays until the watch has passed its removal */
+static int64_t mirror_revision;
 static bool mirror_ready;
 static struct timespec mirror_verified;
 static struct sync_wakeup nudge;
 
 void store_lock(void) { pthread_mutex_lock(&mirror_lock); }
 void store_unlock(void) { pthread_mutex_unlock(&mirror_lock); }
-int64_t store_epoch(void) { return mirror_epoch; }
-bool store_ready(void) { return mirror_ready; }
-struct timespec store_verified(void) {
+int64_t store_revision(void) { return mirror_revision; }
+bool store_synced(void) { return mirror_ready; }
+struct timespec store_last_read(void) {
     return mirror_verified;
 }
 
-void store_observe(const char *prefix, store_applier fn) {
+void store_observe_prefix(const char *prefix, store_observer fn) {
     if (!observers) observers = g_array_new(FALSE, FALSE, sizeof(struct observer));
-    if (!stamps) stamps = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    if (!key_revisions) key_revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     struct observer o = {g_strdup(prefix), fn};
     g_array_append_val(observers, o);
 }
 
-void store_apply(const char *key, const cJSON *data, int64_t stamp) {
-    struct stamp_row *row = g_hash_table_lookup(stamps, key);
+void store_apply(const char *key, const cJSON *data, int64_t mod_revision) {
+    struct key_revision *row = g_hash_table_lookup(key_revisions, key);
     /* What a late watch or read brings must not undo what a newer one, or our own write, has shown. */
-    if (row && row->stamp >= stamp) return;
+    if (row && row->mod_revision >= mod_revision) return;
     if (!row) {
-        row = g_new0(struct stamp_row, 1);
-        g_hash_table_insert(stamps, g_strdup(key), row);
+        row = g_new0(struct key_revision, 1);
+        g_hash_table_insert(key_revisions, g_strdup(key), row);
     }
-    row->stamp = stamp;
+    row->mod_revision = mod_revision;
     row->gone = data == NULL;
     for (guint i = 0; i < observers->len; i++) {
         struct observer *o = &g_array_index(observers, struct observer, i);
-        if (g_str_has_prefix(key, o->prefix)) o->fn(key + strlen(o->prefix), data, stamp);
+        if (g_str_has_prefix(key, o->prefix)) o->fn(key + strlen(o->prefix), data, mod_revision);
     }
 }
 
-void store_apply_written(const struct store_txn *t, int64_t epoch) {
+void store_apply_committed(const struct store_txn *t, int64_t revision) {
     const cJSON *op;
-    cJSON_ArrayForEach(op, t->ops) {
+    cJSON_ArrayForEach(op, t->operations) {
         const char *set = json_get_string(op, "set"), *removed = json_get_string(op, "remove");
-        if (set) store_apply(set, cJSON_GetObjectItemCaseSensitive(op, "data"), epoch);
-        if (removed) store_apply(removed, NULL, epoch);
+        if (set) store_apply(set, cJSON_GetObjectItemCaseSensitive(op, "data"), revision);
+        if (removed) store_apply(removed, NULL, revision);
     }
 }
 
-int64_t store_stamp(const char *key) {
-    struct stamp_row *row = g_hash_table_lookup(stamps, key);
-    return row && !row->gone ? row->stamp : 0;
+int64_t store_key_revision(const char *key) {
+    struct key_revision *row = g_hash_table_lookup(key_revisions, key);
+    return row && !row->gone ? row->mod_revision : 0;
 }
 
 bool store_refresh(struct http_client *c, const char *key) {
     cJSON *data;
-    int64_t stamp, epoch;
-    if (store_get(c, key, &data, &stamp, &epoch) != STORE_OK) return false;
+    int64_t mod_revision, revision;
+    if (store_get(c, key, &data, &mod_revision, &revision) != STORE_OK) return false;
     store_lock();
     if (data)
-        store_apply(key, data, stamp);
-    else if (store_stamp(key) && store_stamp(key) <= epoch)
-        store_apply(key, NULL, epoch);
+        store_apply(key, data, mod_revision);
+    else if (store_key_revision(key) && store_key_revision(key) <= revision)
+        store_apply(key, NULL, revision);
     store_unlock();
     cJSON_Delete(data);
     return true;
@@ -380,9 +381,9 @@
 static gboolean sweep_gone(gpointer key, gpointer value, gpointer data) {
     (void)key;
     (void)data;
-    struct stamp_row *row = value;
+    struct key_revision *row = value;
     /* Kept well past the removal: a slow read that began before it must not bring the key back. */
-    return row->gone && row->stamp + 5000 <= mirror_epoch;
+    return row->gone && row->mod_revision + 5000 <= mirror_revision;
 }
 
 static bool read_all(struct http_client *c) {
@@ -398,18 +399,18 @@
         char *esc = g_uri_escape_string(since->str, "/", FALSE);
         snprintf(path, sizeof path, "/kv?prefix=&since=%s&most=500", esc);
         g_free(esc);
-        budget_take(STORE_RENEW, 0);
-        int64_t epoch = 0;
+        budget_take(STORE_PRIORITY_LEASE, 0);
+        int64_t revision = 0;
         ok = call(c, "GET", path, NULL, 3000, &ans, &status) == STORE_OK && status == 200 &&
-             json_get_int64(ans, "epoch", &epoch);
+             json_get_int64(ans, "epoch", &revision);
         if (ok) {
-            if (first < 0) first = epoch;
+            if (first < 0) first = revision;
             store_lock();
             cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(ans, "rows")) {
-                int64_t stamp;
+                int64_t mod_revision;
                 const char *key = json_get_string(x, "path");
-                if (!key || !json_get_int64(x, "stamp", &stamp)) continue;
-                store_apply(key, cJSON_GetObjectItemCaseSensitive(x, "data"), stamp);
+                if (!key || !json_get_int64(x, "stamp", &mod_revision)) continue;
+                store_apply(key, cJSON_GetObjectItemCaseSensitive(x, "data"), mod_revision);
                 g_hash_table_add(seen, g_strdup(key));
                 g_string_assign(since, key);
             }
@@ -424,14 +425,14 @@
         GHashTableIter it;
         gpointer k, v;
         store_lock();
-        g_hash_table_iter_init(&it, stamps);
+        g_hash_table_iter_init(&it, key_revisions);
         while (g_hash_table_iter_next(&it, &k, &v)) {
-            struct stamp_row *row = v;
-            if (!row->gone && row->stamp <= first && !g_hash_table_contains(seen, k))
+            struct key_revision *row = v;
+            if (!row->gone && row->mod_revision <= first && !g_hash_table_contains(seen, k))
                 g_ptr_array_add(lost, g_strdup(k));
         }
         for (guint i = 0; i < lost->len; i++) store_apply(lost->pdata[i], NULL, first);
-        mirror_epoch = first;
+        mirror_revision = first;
         mirror_verified = sent;
         mirror_ready = true;
         store_unlock();
@@ -442,14 +443,14 @@
     return ok;
 }
 
-void store_nudge(void) { sync_wakeup_signal(&nudge); }
+void store_wake_watch(void) { sync_wakeup_signal(&nudge); }
 
 static int hold_most(void) {
     /* An idle watch must come back well within the time for which a look at the store stays good. */
     return (int)(CLAMP((clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease)) / 8, 0.1, 0.7) * 1000);
 }
 
-bool store_away(void) {
+bool store_unreachable(void) {
     /* Just before an idle watch returns, the last one that did was sent two holds ago. */
     return !mirror_ready || clock_seconds_since(mirror_verified) >
                                 2 * hold_most() / 1000.0 + clock_to_seconds(cfg->tuning.watch_gap) + 0.9;
@@ -472,21 +473,21 @@
         /* After a failure the first look asks for no hold: its answer is what everyone waits for. */
         int hold_ms = failed ? 0 : hold_most();
         failed = true;
-        snprintf(path, sizeof path, "/changes?prefix=&since=%lld&hold_ms=%d", (long long)mirror_epoch, hold_ms);
-        budget_take(STORE_RENEW, 0);
+        snprintf(path, sizeof path, "/changes?prefix=&since=%lld&hold_ms=%d", (long long)mirror_revision, hold_ms);
+        budget_take(STORE_PRIORITY_LEASE, 0);
         enum store_result r = call(c, "GET", path, NULL, 4000, &ans, &status);
-        int64_t epoch;
-        if (r == STORE_OK && status == 200 && json_get_int64(ans, "epoch", &epoch)) {
+        int64_t revision;
+        if (r == STORE_OK && status == 200 && json_get_int64(ans, "epoch", &revision)) {
             store_lock();
             cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(ans, "events")) {
-                int64_t stamp;
-                if (!json_get_int64(x, "stamp", &stamp)) continue;
+                int64_t mod_revision;
+                if (!json_get_int64(x, "stamp", &mod_revision)) continue;
                 const char *set = json_get_string(x, "set"), *gone = json_get_string(x, "remove");
-                if (set) store_apply(set, cJSON_GetObjectItemCaseSensitive(x, "data"), stamp);
-                if (gone) store_apply(gone, NULL, stamp);
+                if (set) store_apply(set, cJSON_GetObjectItemCaseSensitive(x, "data"), mod_revision);
+                if (gone) store_apply(gone, NULL, mod_revision);
             }
-            if (epoch > mirror_epoch) mirror_epoch = epoch;
-            g_hash_table_foreach_remove(stamps, sweep_gone, NULL);
+            if (revision > mirror_revision) mirror_revision = revision;
+            g_hash_table_foreach_remove(key_revisions, sweep_gone, NULL);
             mirror_verified = sent;
             store_unlock();
             failed = false;
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -20,20 +20,21 @@
 static struct http_client *c;
 static int applied;
 
-static void count_applied(const char *rest, const cJSON *data, int64_t stamp) {
+static void count_applied(const char *rest, const cJSON *data, int64_t mod_revision) {
     (void)rest;
     (void)data;
-    (void)stamp;
+    (void)mod_revision;
     applied++;
 }
 
-static enum store_result set(const char *key, const char *json, int64_t stamp, int64_t lease, struct store_answer *a) {
+static enum store_result set(const char *key, const char *json, int64_t mod_revision, int64_t lease,
+                             struct store_response *a) {
     struct store_txn t;
     store_txn_init(&t);
-    store_txn_if(&t, key, stamp);
-    store_txn_set(&t, key, cJSON_Parse(json), lease);
+    store_txn_compare(&t, key, mod_revision);
+    store_txn_put(&t, key, cJSON_Parse(json), lease);
     clock_sleep(clock_from_seconds(0.15)); /* the budget refills */
-    enum store_result r = store_multi(c, STORE_RENEW, &t, a);
+    enum store_result r = store_commit(c, STORE_PRIORITY_LEASE, &t, a);
     store_txn_free(&t);
     return r;
 }
@@ -43,23 +44,23 @@
     (void)state;
     static const struct {
         enum standin_trouble trouble;
-        int64_t stamp, lease;
+        int64_t mod_revision, lease;
         enum store_result want;
         bool there;
     } rows[] = {
-        {STANDIN_OUTAGE, 0, 0, STORE_REFUSED, false},     {STANDIN_BUDGET, 0, 0, STORE_REFUSED, false},
-        {STANDIN_NONE, 0, 99, STORE_BAD, false},          {STANDIN_NONE, 7, 0, STORE_CONFLICT, false},
+        {STANDIN_OUTAGE, 0, 0, STORE_REJECTED, false},    {STANDIN_BUDGET, 0, 0, STORE_REJECTED, false},
+        {STANDIN_NONE, 0, 99, STORE_INVALID, false},      {STANDIN_NONE, 7, 0, STORE_CONFLICT, false},
         {STANDIN_LOST_ANSWER, 0, 0, STORE_UNKNOWN, true}, {STANDIN_NONE, 0, 0, STORE_OK, true},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char key[16];
-        struct store_answer a;
+        struct store_response a;
         g_snprintf(key, sizeof key, "x/%zu", i);
         standin_state_trouble(rows[i].trouble);
-        assert_int_equal(set(key, "{\"v\":1}", rows[i].stamp, rows[i].lease, &a), rows[i].want);
-        if (rows[i].want == STORE_CONFLICT) assert_string_equal(a.failed->pdata[0], key);
-        if (rows[i].want == STORE_OK) assert_true(a.epoch > 0);
-        store_answer_clear(&a);
+        assert_int_equal(set(key, "{\"v\":1}", rows[i].mod_revision, rows[i].lease, &a), rows[i].want);
+        if (rows[i].want == STORE_CONFLICT) assert_string_equal(a.conflicts->pdata[0], key);
+        if (rows[i].want == STORE_OK) assert_true(a.revision > 0);
+        store_response_clear(&a);
         standin_state_trouble(STANDIN_NONE);
         char *v = standin_state_value(key);
         assert_int_equal(v != NULL, rows[i].there);
@@ -67,15 +68,15 @@
     }
 }
 
-/* A transaction that is applied late fails once the stamp it names has moved. */
+/* A transaction that is applied late fails once the mod revision it names has moved. */
 static void late_transaction(void **state) {
     (void)state;
-    struct store_answer a;
+    struct store_response a;
     assert_int_equal(set("y", "{\"owner\":\"old\"}", 0, 0, &a), STORE_OK);
-    int64_t old = a.epoch;
+    int64_t old = a.revision;
     assert_int_equal(set("y", "{\"owner\":\"new\"}", old, 0, &a), STORE_OK);
     assert_int_equal(set("y", "{\"owner\":\"old\"}", old, 0, &a), STORE_CONFLICT);
-    store_answer_clear(&a);
+    store_response_clear(&a);
     char *v = standin_state_value("y");
     assert_string_equal(v, "{\"owner\":\"new\"}");
     g_free(v);
@@ -84,7 +85,7 @@
 static bool mirrored(const char *key, bool there) {
     for (int i = 0; i < 60; i++) {
         store_lock();
-        bool is = store_ready() && (store_stamp(key) != 0) == there;
+        bool is = store_synced() && (store_key_revision(key) != 0) == there;
         store_unlock();
         if (is) return true;
         clock_sleep(clock_from_seconds(0.05));
@@ -104,8 +105,8 @@
     standin_state_remove("z/1");
     clock_sleep(clock_from_seconds(0.4));
     store_lock();
-    assert_true(store_stamp("z/1") != 0);
-    assert_true(clock_seconds_since(store_verified()) > 0.3);
+    assert_true(store_key_revision("z/1") != 0);
+    assert_true(clock_seconds_since(store_last_read()) > 0.3);
     store_unlock();
     standin_state_trouble(STANDIN_NONE);
     assert_true(mirrored("z/1", false));
@@ -161,20 +162,20 @@
 static void refusals(void **state) {
     (void)state;
     for (int changes = 0; changes < 2; changes++) {
-        double before[] = {store_budget_pace(false), store_budget_pace(true)};
+        double before[] = {store_budget_rate_factor(false), store_budget_rate_factor(true)};
         struct store_txn t;
-        struct store_answer a;
+        struct store_response a;
         store_txn_init(&t);
-        store_txn_if(&t, "x/refused", 0);
-        if (changes) store_txn_set(&t, "x/refused", cJSON_CreateObject(), 0);
+        store_txn_compare(&t, "x/refused", 0);
+        if (changes) store_txn_put(&t, "x/refused", cJSON_CreateObject(), 0);
         clock_sleep(clock_from_seconds(0.3)); /* the budget refills */
         standin_state_trouble(STANDIN_BUDGET);
-        assert_int_equal(store_multi(c, STORE_CANCEL, &t, &a), STORE_REFUSED);
+        assert_int_equal(store_commit(c, STORE_PRIORITY_CANCEL, &t, &a), STORE_REJECTED);
         standin_state_trouble(STANDIN_NONE);
-        store_answer_clear(&a);
+        store_response_clear(&a);
         store_txn_free(&t);
-        assert_true(store_budget_pace(false) < before[0]);
-        assert_int_equal(store_budget_pace(true) < before[1], changes);
+        assert_true(store_budget_rate_factor(false) < before[0]);
+        assert_int_equal(store_budget_rate_factor(true) < before[1], changes);
     }
 }
 
@@ -184,7 +185,7 @@
     if (!settings_parse(text, "f.json", &cfg, err, sizeof err) || !standin_state_start(cfg.state)) return 1;
     g_free(text);
     store_init(&cfg);
-    store_observe("z/", count_applied);
+    store_observe_prefix("z/", count_applied);
     c = http_client_new();
     const struct CMUnitTest tests[] = {cmocka_unit_test(results), cmocka_unit_test(late_transaction),
                                        cmocka_unit_test(mirror),  cmocka_unit_test(sent_or_not),
--- a/src/users/users.c
+++ b/src/users/users.c
@@ -173,7 +173,7 @@
     store_lock();
     struct job *j = jobs_find(a->uid);
     bool terminal = j && j->known && j->state != JOB_QUEUED, known = j && j->known;
-    bool away = store_away(), ready = !away && (known || refusal || cloud_flavours_known());
+    bool away = store_unreachable(), ready = !away && (known || refusal || cloud_flavours_known());
     if (terminal) answer_known(a, j);
     if (!known && ready && !refusal)
         a->refusal = (unsigned)jobs_feasible(&spec, cfg, cloud_flavours(), cloud_flavours_count(), why, sizeof why);
@@ -229,7 +229,7 @@
     g_strlcpy(a->uid, uid, sizeof a->uid);
     store_lock();
     struct job *j = jobs_find(uid);
-    bool terminal = j && j->known && j->state != JOB_QUEUED, ready = !store_away();
+    bool terminal = j && j->known && j->state != JOB_QUEUED, ready = !store_unreachable();
     bool to_write = cancel || (j && chains_to_cancel(j));
     if (terminal) answer_known(a, j);
     store_unlock();
@@ -263,19 +263,20 @@
 
 /* After a conflict the failed keys were read again, at a revision after the question came. A read that failed leaves
  * the older record: then it is not known, so not told. */
-static bool not_read_again(const struct store_txn *t, const struct store_answer *answer, const char *key) {
-    for (guint f = 0; answer->failed && f < answer->failed->len; f++) {
-        if (strcmp(answer->failed->pdata[f], key) != 0) continue;
+static bool not_read_again(const struct store_txn *t, const struct store_response *answer, const char *key) {
+    for (guint f = 0; answer->conflicts && f < answer->conflicts->len; f++) {
+        if (strcmp(answer->conflicts->pdata[f], key) != 0) continue;
         const cJSON *x;
         int64_t was = -1;
-        cJSON_ArrayForEach(x, t->conds) if (!strcmp(json_get_string(x, "path"), key)) json_get_int64(x, "stamp", &was);
-        return store_stamp(key) == was;
+        cJSON_ArrayForEach(x, t->comparisons) if (!strcmp(json_get_string(x, "path"), key))
+            json_get_int64(x, "stamp", &was);
+        return store_key_revision(key) == was;
     }
     return false;
 }
 
 static void poll_answer(struct user_request *a, enum store_result rc, const struct store_txn *t,
-                        const struct store_answer *answer) {
+                        const struct store_response *answer) {
     if (rc != STORE_OK && rc != STORE_CONFLICT) {
         refuse(a->req, 503, "the state service is out of reach", 2);
         return;
@@ -304,7 +305,7 @@
     for (guint i = 0; i < batch->len; i++) {
         const struct user_request *a = batch->pdata[i];
         snprintf(key, sizeof key, "job/%s", a->uid);
-        store_txn_if(t, key, store_stamp(key));
+        store_txn_compare(t, key, store_key_revision(key));
     }
     store_unlock();
 }
@@ -319,22 +320,22 @@
         g_ptr_array_set_size(batch, 0);
         gather(&queues[1], batch, most);
         /* The batch widens where requests are scarce: polls by the hundred, a request each, left none for bookings. */
-        if (batch->len < (guint)cfg->txn_ops && store_budget_calls_scarce()) {
+        if (batch->len < (guint)cfg->txn_ops && store_budget_requests_scarce()) {
             clock_sleep(clock_from_seconds(POLL_GATHER_S));
             gather_more(&queues[1], batch, most);
         }
         struct store_txn t;
-        struct store_answer answer;
+        struct store_response answer;
         store_txn_init(&t);
         poll_fill(batch, &t);
-        enum store_result rc = store_multi(c, STORE_ACCEPT, &t, &answer);
+        enum store_result rc = store_commit(c, STORE_PRIORITY_ACCEPT, &t, &answer);
         if (rc == STORE_CONFLICT)
-            for (guint i = 0; i < answer.failed->len; i++) store_refresh(c, answer.failed->pdata[i]);
+            for (guint i = 0; i < answer.conflicts->len; i++) store_refresh(c, answer.conflicts->pdata[i]);
         for (guint i = 0; i < batch->len; i++) {
             poll_answer(batch->pdata[i], rc, &t, &answer);
             request_free(batch->pdata[i]);
         }
-        store_answer_clear(&answer);
+        store_response_clear(&answer);
         store_txn_free(&t);
     }
     return NULL;
@@ -351,14 +352,14 @@
         struct job *j = jobs_find(a->uid);
         bool twice = false;
         for (guint k = 0; k < i; k++) twice |= strcmp(((struct user_request *)batch->pdata[k])->uid, a->uid) == 0;
-        store_txn_if(t, key, store_stamp(key));
+        store_txn_compare(t, key, store_key_revision(key));
         a->was_known = j && j->known;
         if (twice) continue;
         if (a->kind == REQUEST_SUBMIT && !(j && j->known) && !a->refusal) {
             enum job_state state = chains_cancelled_among(a->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
-            store_txn_set(t, key, jobs_value(a->spec_text, state, clock_time_of_day(), share_of_new(a)), 0);
+            store_txn_put(t, key, jobs_value(a->spec_text, state, clock_time_of_day(), share_of_new(a)), 0);
         } else if (j && j->known && j->state == JOB_QUEUED && (a->kind == REQUEST_CANCEL || chains_to_cancel(j))) {
-            store_txn_set(t, key, jobs_final_value(j, JOB_CANCELLED), 0);
+            store_txn_put(t, key, jobs_final_value(j, JOB_CANCELLED), 0);
         }
     }
 }
@@ -375,9 +376,9 @@
         snprintf(key, sizeof key, "job/%s", a->uid);
         if (rc != STORE_OK) {
             store_lock();
-            bool away = store_away();
+            bool away = store_unreachable();
             store_unlock();
-            if (rc == STORE_REFUSED && !away && a->refusal != 503)
+            if (rc == STORE_REJECTED && !away && a->refusal != 503)
                 refuse(a->req, 429, "over the write budget", 1);
             else
                 refuse(a->req, 503, "the state service did not answer", 2);
@@ -387,7 +388,7 @@
         bool wrote = false;
         int running;
         const cJSON *x;
-        cJSON_ArrayForEach(x, t->ops) wrote |= strcmp(json_get_string(x, "set"), key) == 0;
+        cJSON_ArrayForEach(x, t->operations) wrote |= strcmp(json_get_string(x, "set"), key) == 0;
         store_lock();
         struct job *j = jobs_find(a->uid);
         if (a->kind == REQUEST_SUBMIT) {
@@ -441,28 +442,28 @@
 
 /* Brings the mirror up to what an attempt's answer shows of the keys that it names. */
 static void learn_outcome(struct http_client *c, enum store_result rc, const struct store_txn *t,
-                          const struct store_answer *answer) {
+                          const struct store_response *answer) {
     if (rc == STORE_OK) {
         store_lock();
-        store_apply_written(t, answer->epoch);
+        store_apply_committed(t, answer->revision);
         store_unlock();
         if (t->writes) peers_hint();
     } else if (rc == STORE_CONFLICT) {
-        for (guint i = 0; i < answer->failed->len; i++) store_refresh(c, answer->failed->pdata[i]);
+        for (guint i = 0; i < answer->conflicts->len; i++) store_refresh(c, answer->conflicts->pdata[i]);
     } else if (rc == STORE_UNKNOWN) {
         /* The answer is lost: the keys tell whether it was applied. What may yet be applied late is a submission that
          * its user repeats, or a cancel that its user repeats. */
         const cJSON *x;
-        cJSON_ArrayForEach(x, t->ops) store_refresh(c, json_get_string(x, "set"));
+        cJSON_ArrayForEach(x, t->operations) store_refresh(c, json_get_string(x, "set"));
     }
 }
 
 /* Over the rate, not out of reach: the next round's writes go in a moment. Sent away, the user would be back a second
  * later at the earliest. */
 static bool only_over_rate(enum store_result rc, struct timespec began) {
-    if (rc != STORE_REFUSED || clock_seconds_since(began) >= OVER_RATE_S) return false;
+    if (rc != STORE_REJECTED || clock_seconds_since(began) >= OVER_RATE_S) return false;
     store_lock();
-    bool away = store_away();
+    bool away = store_unreachable();
     store_unlock();
     return !away;
 }
@@ -470,25 +471,26 @@
 /* Writes the batch's submissions and cancels, and leaves in t what was asked last, and in asked when. */
 static enum store_result accept_write(struct http_client *c, GPtrArray *batch, struct store_txn *t,
                                       struct timespec *asked) {
-    enum store_class cls = any_cancels(batch) ? STORE_CANCEL : STORE_ACCEPT;
-    enum store_result rc = STORE_REFUSED;
+    enum store_priority cls = any_cancels(batch) ? STORE_PRIORITY_CANCEL : STORE_PRIORITY_ACCEPT;
+    enum store_result rc = STORE_REJECTED;
     struct timespec began = *asked = clock_now();
     for (int attempt = 0; attempt < ATTEMPTS_MOST;) {
-        struct store_answer answer;
+        struct store_response answer;
         store_txn_free(t);
         store_txn_init(t);
         store_lock();
         accept_fill(batch, t);
         store_unlock();
         *asked = clock_now();
-        rc = store_multi(c, cls, t, &answer);
+        rc = store_commit(c, cls, t, &answer);
         learn_outcome(c, rc, t, &answer);
-        store_answer_clear(&answer);
+        store_response_clear(&answer);
         if (only_over_rate(rc, began)) {
             clock_sleep(clock_from_seconds(OVER_RATE_PAUSE_S));
             continue;
         }
-        if (rc == STORE_OK || rc == STORE_REFUSED || rc == STORE_BAD || clock_seconds_since(began) > ATTEMPTS_S) break;
+        if (rc == STORE_OK || rc == STORE_REJECTED || rc == STORE_INVALID || clock_seconds_since(began) > ATTEMPTS_S)
+            break;
         attempt++;
     }
     return rc;
--- a/src/workers/checkin.c
+++ b/src/workers/checkin.c
@@ -27,7 +27,7 @@
  * the last look at the store, and over as soon as store or owner is in reach. */
 bool workers_may_proxy(const struct machine *m) {
     const char *owner = m->share < 0 ? "" : membership_share(m->share)->owner;
-    return store_away() && membership_verified() && strcmp(m->site, workers_settings->area) == 0 &&
+    return store_unreachable() && membership_verified() && strcmp(m->site, workers_settings->area) == 0 &&
            strcmp(owner, workers_settings->node) != 0 && !peers_reach(owner);
 }
 
@@ -135,7 +135,7 @@
     }
     store_lock();
     struct machine *m = records_find(id);
-    if (!store_ready())
+    if (!store_synced())
         http_reply(r, 503, NULL, 1);
     else if (!m)
         on_unrecorded(r, id, address);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -248,7 +248,7 @@
     bool may_start = membership_may_start();
     for (guint i = 0; i < ms->len; i++) {
         struct machine *m = ms->pdata[i];
-        if (store_away() && m->known && !records_mine(m)) end_cancelled_elsewhere(m);
+        if (store_unreachable() && m->known && !records_mine(m)) end_cancelled_elsewhere(m);
         if ((!m->kick && !m->hello) || !records_mine(m)) continue;
         if (!m->address[0] || m->sending || (m->unknown && !m->hello) || m->dead || (!m->up && !m->hello)) continue;
         if (!membership_verified()) continue;
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -20,9 +20,9 @@
 
 static struct settings cfg;
 
-static void put(const char *key, const char *json, int64_t stamp) {
+static void put(const char *key, const char *json, int64_t mod_revision) {
     cJSON *x = cJSON_Parse(json);
-    store_apply(key, x, stamp);
+    store_apply(key, x, mod_revision);
     cJSON_Delete(x);
 }
 
@@ -33,7 +33,7 @@
     "\"together\":false,\"spread\":false,\"reclaimable\":false,\"runtime_s\":1,\"checkpoint_s\":0,\"flush_s\":0}," \
     "\"state\":\"queued\",\"done\":\"00\",\"at\":1}"
 
-static int64_t stamp = 1000000;
+static int64_t mod_revision = 1000000;
 
 /* One machine on a page of its own, with bookings of one job under base 5, ordered by us unless inherited. */
 static struct machine *fresh(const char *id, int64_t fence, const char *uid, const char *bookings, bool inherited) {
@@ -41,12 +41,12 @@
     g_snprintf(json, sizeof json,
                "{\"sku\":[\"g\"],\"site\":[\"za\"],\"img\":[],\"m\":[[\"%s\",\"\",0,0,0,%lld,1,\"\"]]}", id,
                (long long)fence);
-    put("fleet/0/0", json, ++stamp);
+    put("fleet/0/0", json, ++mod_revision);
     struct machine *m = records_find(id);
     assert_non_null(m);
     g_snprintf(key, sizeof key, "run/%s/0", uid);
     g_snprintf(json, sizeof json, "{\"f\":5,\"b\":\"%s\"}", bookings);
-    put(key, json, ++stamp);
+    put(key, json, ++mod_revision);
     assert_true(records_mine(m));
     for (guint i = 0; i < m->bookings->len; i++) ((struct booking *)m->bookings->pdata[i])->inherited = inherited;
     return m;
@@ -55,8 +55,8 @@
 static void away(const char *uid) {
     char key[64];
     g_snprintf(key, sizeof key, "run/%s/0", uid);
-    store_apply(key, NULL, ++stamp);
-    store_apply("fleet/0/0", NULL, ++stamp);
+    store_apply(key, NULL, ++mod_revision);
+    store_apply("fleet/0/0", NULL, ++mod_revision);
 }
 
 static bool report(struct machine *m, int tenure, int seq, int64_t fence, const char *tasks, bool checkin) {
@@ -111,7 +111,7 @@
         {"a state not known to us may run", T("running"), T("resting"), 1, 3, 0, true, false, false, false, 0},
     };
     store_lock();
-    put("job/req-10001", SPEC("req-10001", "batch", "2"), ++stamp);
+    put("job/req-10001", SPEC("req-10001", "batch", "2"), ++mod_revision);
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char id[32];
         g_snprintf(id, sizeof id, "i-%06zu", 100 + i);
@@ -173,7 +173,7 @@
     char json[300];
     g_snprintf(json, sizeof json, "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-000901\",\"\",0,0,0,%lld,1,\"\"]]}",
                (long long)f + 7);
-    put("fleet/0/0", json, ++stamp);
+    put("fleet/0/0", json, ++mod_revision);
     assert_int_equal(records_token(m), f + 7);
     assert_true(records_find("i-000901")->bookings->pdata[0] == b); /* what is known of it stays */
     report(m, 1, 3, f + 7, "", true);
@@ -187,12 +187,12 @@
     (void)state;
     int64_t f = membership_share(0)->fence;
     store_lock();
-    put("job/req-10002", SPEC("req-10002", "batch", "2"), ++stamp);
+    put("job/req-10002", SPEC("req-10002", "batch", "2"), ++mod_revision);
     struct machine *m = fresh("i-000902", 0, "req-10002", "0@i-000902+0 1@i-000902+1", false);
     report(m, 1, 1, f, "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"running\"}", true);
     assert_int_equal(orders(m, "run"), 1);
     char *text = site_with(SPEC("req-10002", "batch", "2"), "\"queued\"", "\"cancelled\"");
-    put("job/req-10002", text, ++stamp);
+    put("job/req-10002", text, ++mod_revision);
     g_free(text);
     assert_int_equal(orders(m, "run"), 0);
     assert_int_equal(orders(m, "stop"), 1);
@@ -210,7 +210,7 @@
     (void)state;
     int64_t f = membership_share(0)->fence;
     store_lock();
-    put("job/req-10004", SPEC("req-10004", "batch", "2"), ++stamp);
+    put("job/req-10004", SPEC("req-10004", "batch", "2"), ++mod_revision);
     struct machine *m = fresh("i-000940", 0, "req-10004", "0@i-000940+0 1@i-000940+1", true);
     static const char tasks[] =
         "{\"task\":\"req-10004/0\",\"try\":5,\"state\":\"running\"},"
@@ -218,7 +218,7 @@
     report(m, 1, 1, f - 1, tasks, true);
     assert_int_equal(orders(m, "stop"), 0);
     char *text = site_with(SPEC("req-10004", "batch", "2"), "\"queued\"", "\"cancelled\"");
-    put("job/req-10004", text, ++stamp);
+    put("job/req-10004", text, ++mod_revision);
     g_free(text);
     report(m, 1, 2, f - 1, tasks, true);
     assert_int_equal(orders(m, "stop"), 1);
@@ -321,15 +321,15 @@
 static void stands_in(void **state) {
     (void)state;
     store_lock();
-    put("share/1", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":70}", ++stamp);
+    put("share/1", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":70}", ++mod_revision);
     put("fleet/1/0",
         "{\"sku\":[\"g\"],\"site\":[\"za\",\"zb\"],\"m\":[[\"i-000960\",\"\",0,0,0,0,1,\"\"],"
         "[\"i-000961\",\"\",0,1,0,0,1,\"\"]]}",
-        ++stamp);
+        ++mod_revision);
     struct machine *here = records_find("i-000960"), *there = records_find("i-000961");
     char *text = site_with(SPEC("req-10005", "batch", "2"), "\"queued\"", "\"cancelled\"");
-    put("job/req-10005", SPEC("req-10005", "batch", "2"), ++stamp);
-    put("job/req-10005", text, ++stamp);
+    put("job/req-10005", SPEC("req-10005", "batch", "2"), ++mod_revision);
+    put("job/req-10005", text, ++mod_revision);
     g_free(text);
     assert_false(workers_may_proxy(here)); /* the store is in reach */
     store_unlock();
@@ -339,7 +339,7 @@
     while (!away && clock_seconds_since(start) < 8) {
         clock_sleep(clock_from_seconds(0.1));
         store_lock();
-        away = store_away();
+        away = store_unreachable();
         store_unlock();
     }
     store_lock();
@@ -497,11 +497,11 @@
         if (at) memcpy(at, uid, strlen(uid));
         store_lock();
         char *spec = site_with(SPEC("req-10601", "batch", "2"), "req-10601", uid);
-        put(key, spec, ++stamp);
+        put(key, spec, ++mod_revision);
         struct machine *m = fresh(id, 0, uid, booked, true);
         if (rows[i].cancelled) {
             char *text = site_with(spec, "\"queued\"", "\"cancelled\"");
-            put(key, text, ++stamp);
+            put(key, text, ++mod_revision);
             g_free(text);
         }
         cJSON *o = cJSON_Parse(tasks);
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -12,8 +12,8 @@
 #include "site.h"
 
 int64_t owned_next_stamp(void) {
-    static int64_t stamp = 1000000;
-    return ++stamp;
+    static int64_t mod_revision = 1000000;
+    return ++mod_revision;
 }
 
 void owned_start(const struct settings *s) {
--- a/tests/standin/state.c
+++ b/tests/standin/state.c
@@ -14,11 +14,11 @@
 
 struct row {
     char *text;
-    int64_t stamp, lease;
+    int64_t mod_revision, lease;
 };
 struct event {
     char *key, *text; /* text NULL: removed */
-    int64_t stamp;
+    int64_t mod_revision;
 };
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static GTree *rows;
@@ -30,7 +30,7 @@
     double ttl_s;
     struct timespec renewed;
 };
-static int64_t epoch = 1, next_lease = 1;
+static int64_t revision = 1, next_lease = 1;
 static enum standin_trouble trouble;
 static double late_s; /* > 0: every second transaction that writes gets no answer and is carried out that much later */
 static double slow_s;
@@ -56,7 +56,7 @@
     struct event *e = g_new0(struct event, 1);
     e->key = g_strdup(key);
     e->text = g_strdup(text);
-    e->stamp = epoch;
+    e->mod_revision = revision;
     g_ptr_array_add(events, e);
 }
 
@@ -75,7 +75,7 @@
     note_done(key, text);
     struct row *r = g_new0(struct row, 1);
     r->text = g_strdup(text);
-    r->stamp = epoch;
+    r->mod_revision = revision;
     r->lease = lease;
     g_tree_replace(rows, g_strdup(key), r);
     note(key, text);
@@ -87,7 +87,7 @@
 
 static int64_t stamp_of(const char *key) {
     struct row *r = g_tree_lookup(rows, key);
-    return r ? r->stamp : 0;
+    return r ? r->mod_revision : 0;
 }
 
 struct keys_of {
@@ -111,7 +111,7 @@
         if (clock_seconds_since(l->renewed) < l->ttl_s) continue;
         struct keys_of c = {GPOINTER_TO_INT(k), g_ptr_array_new_with_free_func(g_free)};
         g_tree_foreach(rows, collect, &c);
-        if (c.keys->len) epoch++;
+        if (c.keys->len) revision++;
         for (guint i = 0; i < c.keys->len; i++) drop(c.keys->pdata[i]);
         g_ptr_array_free(c.keys, TRUE);
         g_hash_table_iter_remove(&it);
@@ -143,9 +143,9 @@
     return second_writes > limit_rps ? 429 : 0;
 }
 
-static bool names_own(const cJSON *conds, const char *key) {
+static bool names_own(const cJSON *comparisons, const char *key) {
     const cJSON *x;
-    cJSON_ArrayForEach(x, conds) if (strcmp(json_get_string(x, "path"), key) == 0) return true;
+    cJSON_ArrayForEach(x, comparisons) if (strcmp(json_get_string(x, "path"), key) == 0) return true;
     return false;
 }
 
@@ -172,11 +172,11 @@
     }
     if (cJSON_GetArraySize(failed)) {
         cJSON_AddItemToObject(out, "failed", failed);
-        cJSON_AddNumberToObject(out, "epoch", (double)epoch);
+        cJSON_AddNumberToObject(out, "epoch", (double)revision);
         return 409;
     }
     cJSON_Delete(failed);
-    if (cJSON_GetArraySize(then)) epoch++;
+    if (cJSON_GetArraySize(then)) revision++;
     cJSON_ArrayForEach(x, then) {
         int64_t l = 0;
         json_get_int64(x, "lease", &l);
@@ -188,7 +188,7 @@
             drop(json_get_string(x, "remove"));
         }
     }
-    cJSON_AddNumberToObject(out, "epoch", (double)epoch);
+    cJSON_AddNumberToObject(out, "epoch", (double)revision);
     return 200;
 }
 
@@ -208,7 +208,7 @@
     cJSON *x = cJSON_CreateObject();
     cJSON_AddStringToObject(x, "path", k);
     cJSON_AddItemToObject(x, "data", cJSON_Parse(r->text));
-    cJSON_AddNumberToObject(x, "stamp", (double)r->stamp);
+    cJSON_AddNumberToObject(x, "stamp", (double)r->mod_revision);
     cJSON_AddItemToArray(data, x);
     return FALSE;
 }
@@ -222,10 +222,10 @@
         cJSON *x = cJSON_CreateObject();
         cJSON_AddStringToObject(x, e->text ? "set" : "remove", e->key);
         if (e->text) cJSON_AddItemToObject(x, "data", cJSON_Parse(e->text));
-        cJSON_AddNumberToObject(x, "stamp", (double)e->stamp);
+        cJSON_AddNumberToObject(x, "stamp", (double)e->mod_revision);
         cJSON_AddItemToArray(list, x);
     }
-    cJSON_AddNumberToObject(out, "epoch", (double)epoch);
+    cJSON_AddNumberToObject(out, "epoch", (double)revision);
 }
 
 static void on_request(struct http_request *r, void *ctx) {
@@ -262,16 +262,16 @@
         }
     } else if (strcmp(p, "/kv") == 0) {
         g_tree_foreach(rows, list_row, cJSON_AddArrayToObject(out, "rows"));
-        cJSON_AddNumberToObject(out, "epoch", (double)epoch);
+        cJSON_AddNumberToObject(out, "epoch", (double)revision);
         cJSON_AddBoolToObject(out, "has_next", false);
     } else if (g_str_has_prefix(p, "/kv/")) {
         struct row *row = g_tree_lookup(rows, p + 4);
         if (row) {
             cJSON_AddItemToObject(out, "data", cJSON_Parse(row->text));
-            cJSON_AddNumberToObject(out, "stamp", (double)row->stamp);
+            cJSON_AddNumberToObject(out, "stamp", (double)row->mod_revision);
         } else {
             status = 404;
-            cJSON_AddNumberToObject(out, "epoch", (double)epoch);
+            cJSON_AddNumberToObject(out, "epoch", (double)revision);
         }
     } else if (strcmp(p, "/grants") == 0) {
         struct lease *l = g_new0(struct lease, 1);
@@ -325,14 +325,14 @@
 
 void standin_state_put(const char *key, const char *json) {
     pthread_mutex_lock(&lock);
-    epoch++;
+    revision++;
     put(key, json, 0);
     pthread_mutex_unlock(&lock);
 }
 
 void standin_state_remove(const char *key) {
     pthread_mutex_lock(&lock);
-    epoch++;
+    revision++;
     drop(key);
     pthread_mutex_unlock(&lock);
 }
@@ -366,7 +366,7 @@
     g_tree_foreach(rows, drop_from_page, &p);
     if (p.page) {
         char *text = cJSON_PrintUnformatted(p.page);
-        epoch++;
+        revision++;
         put(p.key, text, 0);
         free(text);
     }
@@ -453,7 +453,7 @@
 
 int standin_state_epoch(void) {
     pthread_mutex_lock(&lock);
-    int now = (int)epoch;
+    int now = (int)revision;
     pthread_mutex_unlock(&lock);
     return now;
 }
--- a/tests/standin/state.h
+++ b/tests/standin/state.h
@@ -34,5 +34,6 @@
 int standin_state_calls(const char *path);
 int standin_state_requests(void); /* of all paths */
 int standin_state_epoch(void);
-int standin_state_unguarded(void); /* changes of bookings or pages that don't name the stamp of what they replace */
+int standin_state_unguarded(
+    void); /* changes of bookings or pages that don't name the mod revision of what they replace */
 #endif
