--- a/rehearsal/play.c
+++ b/rehearsal/play.c
@@ -53,7 +53,7 @@
     GString *file = g_string_new("divide = (");
     for (int i = 0; i < s->n_teams; i++)
         g_string_append_printf(file, "%s { team = \"%s\", shares = %d }", i ? "," : "", s->teams[i].name,
-                               undivided ? 1 : s->teams[i].shares);
+                               undivided ? 1 : s->teams[i].shards);
     g_string_append(file, " )\n");
     return g_string_free(file, FALSE);
 }
@@ -183,10 +183,10 @@
         char key[64];
         char *record = NULL;
         g_snprintf(key, sizeof key, "quota/%s", s->teams[i].name);
-        while (s->teams[i].shares > 1 && !(record = standin_state_value(key)) &&
+        while (s->teams[i].shards > 1 && !(record = standin_state_value(key)) &&
                clock_seconds_since(start) < DIVIDED_WITHIN_S)
             clock_sleep(clock_from_seconds(0.05));
-        bool there = record || s->teams[i].shares <= 1;
+        bool there = record || s->teams[i].shards <= 1;
         g_free(record);
         if (!there) return false;
     }
@@ -195,7 +195,7 @@
 
 static bool begin(struct play *p, const char *program, bool undivided) {
     char *teams = teams_json(p->s), *file = quota_file(p->s, undivided);
-    const struct cluster_site site = {.controllers = p->s->controllers, .shares = p->s->controllers, .teams = {teams}};
+    const struct cluster_site site = {.controllers = p->s->controllers, .shards = p->s->controllers, .teams = {teams}};
     bool ok = cluster_start(program, &site);
     standin_cloud_willing();
     standin_cloud_capacity(p->s->machines);
--- a/rehearsal/play.h
+++ b/rehearsal/play.h
@@ -15,7 +15,7 @@
     int starts, changes, requests; /* tasks started; of the store: changes and requests */
 };
 
-/* Prints what happens in order. Undivided: every team keeps to one share, whatever the scenario says. */
+/* Prints what happens in order. Undivided: every team keeps to one shard, whatever the scenario says. */
 bool play_scenario(const char *program, const struct scenario *s, unsigned seed, bool undivided,
                    struct play_result *out);
 #endif
--- a/rehearsal/scenario.c
+++ b/rehearsal/scenario.c
@@ -96,7 +96,7 @@
     {"name", FIELD_TEXT, true, 0, SCENARIO_NAME, AT(scenario_team, name), NULL},
     {"guarantee", FIELD_NUMBER, false, 0, 1000, AT(scenario_team, guarantee), NULL},
     {"limit", FIELD_NUMBER, false, 0, 1000, AT(scenario_team, limit), NULL},
-    {"shares", FIELD_WHOLE, false, 1, 5, AT(scenario_team, shares), NULL},
+    {"shares", FIELD_WHOLE, false, 1, 5, AT(scenario_team, shards), NULL},
     {NULL, FIELD_TEXT, false, 0, 0, 0, NULL},
 };
 static const struct field step_fields[] = {
@@ -110,7 +110,7 @@
 
 static void read_team(struct reader *r, const config_setting_t *group, struct scenario *s) {
     struct scenario_team *t = &s->teams[s->n_teams++];
-    t->shares = 1;
+    t->shards = 1;
     read_group(r, group, team_fields, t, s);
     if (t->limit > 0 && t->guarantee > t->limit) fail(r, "guarantee", "above the limit");
 }
--- a/rehearsal/scenario.h
+++ b/rehearsal/scenario.h
@@ -23,14 +23,14 @@
 struct scenario_team {
     char name[SCENARIO_NAME];
     double guarantee, limit; /* in GPUs; 0: none */
-    int shares;
+    int shards;
 };
 
 struct scenario_step {
     double at; /* seconds from the beginning */
     enum scenario_action action;
     int team, count; /* jobs, or tasks of a gang */
-    int controller;  /* -1: the owner of the team's first share, as it is then or was when a step last named it so */
+    int controller;  /* -1: the owner of the team's first shard, as it is then or was when a step last named it so */
 };
 
 struct scenario {
--- a/src/chains/chains.c
+++ b/src/chains/chains.c
@@ -234,7 +234,7 @@
 static bool our_turn(struct job *j) {
     j->cascade_ours = j->cascade_ours || told_by_us(j);
     double waited = clock_seconds_since(j->cascade_since);
-    return j->cascade_ours || waited > ANYONE_AFTER_S || (waited > OWNER_AFTER_S && membership_mine(jobs_share(j)));
+    return j->cascade_ours || waited > ANYONE_AFTER_S || (waited > OWNER_AFTER_S && membership_owns(jobs_shard(j)));
 }
 
 int chains_next_cancels(struct job **out, int most) {
--- a/src/chains/chains_test.c
+++ b/src/chains/chains_test.c
@@ -215,7 +215,7 @@
     assert_int_equal(chains_next_cancels(next, DEEP + WIDE), 0);
     ends("req-400000", "[]", "cancelled", 0);
     store_lock();
-    /* Neither was the user told here, nor is the share ours: others go first. */
+    /* Neither was the user told here, nor is the shard ours: others go first. */
     assert_int_equal(chains_next_cancels(next, DEEP + WIDE), 0);
     jobs_find("req-400000")->told_cancelled = true;
     assert_int_equal(chains_next_cancels(next, 16), 16);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -22,7 +22,7 @@
 
 #define FLAVOURS_MOST 64
 #define ORDERS_MOST \
-    128 /* by share, type, zone and kind; one controller may own all shares. Those beyond come next time */
+    128 /* by shard, type, zone and kind; one controller may own all shards. Those beyond come next time */
 
 static const struct settings *cfg;
 static struct flavour_info flavours[FLAVOURS_MOST];
@@ -91,13 +91,13 @@
 static double tokens;
 static struct timespec tokens_at, held_off;
 
-/* The part of the calls that goes with the shares owned: one that owns none has little to ask. */
+/* The part of the calls that goes with the shards owned: one that owns none has little to ask. */
 static double call_rate(void) {
     int mine = 0;
     store_lock();
     int all = quota_any_divided() ? cfg->size : MIN(cfg->size, cfg->n_teams);
-    for (int k = 0; k < all; k++) mine += membership_mine(k);
-    double least = 0.2 / membership_live();
+    for (int k = 0; k < all; k++) mine += membership_owns(k);
+    double least = 0.2 / membership_live_controllers();
     store_unlock();
     return cfg->cloud_rps * MAX((double)mine / all, least);
 }
@@ -240,11 +240,11 @@
         const cJSON *x, *hosts = cJSON_GetObjectItemCaseSensitive(a, "hosts");
         store_lock();
         cJSON_ArrayForEach(x, hosts) if (cJSON_IsString(x))
-            records_rented(o.share, x->valuestring, o.sku, o.site, o.spot);
+            records_rented(o.shard, x->valuestring, o.sku, o.site, o.spot);
         note_capacity(&o, cJSON_GetArraySize(hosts) >= o.count);
         store_unlock();
         log_info("cloud: rented %d of %d %s in %s (%s) for share %d", cJSON_GetArraySize(hosts), o.count, o.sku, o.site,
-                 o.spot ? "spot" : "ordinary", o.share);
+                 o.spot ? "spot" : "ordinary", o.shard);
         pending.open = false;
     } else if (out == HTTP_ANSWERED && status == 503) {
         const char *e = json_get_string(a, "error");
@@ -289,8 +289,8 @@
     for (;;) {
         sync_wakeup_wait(&wakeup, clock_from_seconds(0.25));
         store_lock();
-        bool leads = membership_leads(), typed_once = n_flavours > 0;
-        double list_every = MAX(2.5, 6 * membership_live() / cfg->cloud_rps);
+        bool leads = membership_is_leader(), typed_once = n_flavours > 0;
+        double list_every = MAX(2.5, 6 * membership_live_controllers() / cfg->cloud_rps);
         store_unlock();
         if ((!typed_once && (leads || clock_seconds_since(began) > 6)) || (leads && clock_seconds_since(typed) > 120)) {
             if (!may_call(false)) continue;
@@ -305,7 +305,7 @@
         store_lock();
         int back = renting_return_plan(ids, 100, &busy);
         store_unlock();
-        /* A plan for a whole share is worth its time only when a call can be made. */
+        /* A plan for a whole shard is worth its time only when a call can be made. */
         if (!may_call(busy > 0)) continue;
         store_lock();
         bool list_first = clock_seconds_since(listed) > 4 * list_every;
@@ -321,7 +321,8 @@
             if (!pending.open) {
                 pending.open = true;
                 pending.order = orders[0];
-                g_snprintf(pending.claim, sizeof pending.claim, "%s-%s-%u", cfg->node, membership_inc(), ++claims);
+                g_snprintf(pending.claim, sizeof pending.claim, "%s-%s-%u", cfg->node, membership_incarnation(),
+                           ++claims);
             }
             rent(c);
             if (wants > 1) cloud_kick();
--- a/src/failures/failures.c
+++ b/src/failures/failures.c
@@ -77,7 +77,7 @@
 void failures_read(struct job *j, int recorded) {
     j->failed_tries_recorded = CLAMP(recorded, 0, TRIES_MOST);
     /* What its owner knows may be newer than what is on record; all others know no more than the record. */
-    if (!membership_mine(jobs_share(j))) j->failed_tries = j->failed_tries_recorded;
+    if (!membership_owns(jobs_shard(j))) j->failed_tries = j->failed_tries_recorded;
 }
 
 void failures_forget_machine(struct machine *m) {
--- a/src/failures/failures_test.c
+++ b/src/failures/failures_test.c
@@ -113,7 +113,7 @@
     assert_int_equal(planned_tried, 1);
 }
 
-/* The record tells the next owner, also when nothing is booked. The last of the tests: the share is another's after
+/* The record tells the next owner, also when nothing is booked. The last of the tests: the shard is another's after
  * it. */
 static void count_survives_a_change_of_owner(void **state) {
     (void)state;
--- a/src/format/format.c
+++ b/src/format/format.c
@@ -44,7 +44,7 @@
 /* The version that our own record is to name. */
 static int wanted_version(void) {
     for (int i = 0; i < cfg->n_teams; i++)
-        if (cfg->teams[i].shares > 1) return FORMAT_DIVIDED;
+        if (cfg->teams[i].shards > 1) return FORMAT_DIVIDED;
     return FORMAT_VERSION;
 }
 
--- a/src/format/format_test.c
+++ b/src/format/format_test.c
@@ -61,7 +61,7 @@
     (void)state;
     static const struct {
         const char *what;
-        int shares; /* of a team, by our own settings */
+        int shards; /* of a team, by our own settings */
         const char *key, *record;
         bool in_force;
         int announces; /* version that our own record is to name; 0: it names it already */
@@ -78,7 +78,7 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct store_txn t;
-        cfg.teams[0].shares = rows[i].shares;
+        cfg.teams[0].shards = rows[i].shards;
         put(rows[i].key, rows[i].record);
         store_txn_init(&t);
         int64_t version = 0;
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -44,9 +44,9 @@
 }
 GPtrArray *jobs_active(void) { return active; }
 static int home_of(const struct job *j) { return j->spec.team < 0 ? 0 : j->spec.team % cfg->size; }
-int jobs_share(const struct job *j) { return j->share >= 0 ? j->share : home_of(j); }
+int jobs_shard(const struct job *j) { return j->shard >= 0 ? j->shard : home_of(j); }
 
-static int foreign; /* unfinished jobs in other shares than their teams' homes */
+static int foreign; /* unfinished jobs in other shards than their teams' homes */
 bool jobs_any_foreign(void) { return foreign > 0; }
 
 struct job *jobs_find_or_stub(const char *uid) {
@@ -54,7 +54,7 @@
     if (j) return j;
     j = g_new0(struct job, 1);
     g_strlcpy(j->spec.uid, uid, sizeof j->spec.uid);
-    j->spec.team = j->share = -1;
+    j->spec.team = j->shard = -1;
     j->rank = RANK_IDLE;
     j->deadline = INFINITY;
     j->bookings = g_ptr_array_new();
@@ -80,7 +80,7 @@
 
 void jobs_list(struct job *j) {
     bool is_active = j->known && j->state == JOB_QUEUED, is_ended = j->known && !is_active && j->n_runs > 0;
-    int k = jobs_share(j);
+    int k = jobs_shard(j);
     if (is_active != j->listed_active) {
         if (is_active) {
             insert_sorted(active, j);
@@ -89,7 +89,7 @@
             g_ptr_array_remove(active, j);
             g_ptr_array_remove(active_of[k], j);
         }
-        foreign += j->share < 0 ? 0 : is_active ? 1 : -1;
+        foreign += j->shard < 0 ? 0 : is_active ? 1 : -1;
         j->listed_active = is_active;
     }
     if (is_ended != j->listed_ended) {
@@ -184,30 +184,30 @@
     return true;
 }
 
-/* The share that a record names: only one of a divided team's job does. */
-static int share_of(const cJSON *data) {
-    int64_t share = -1;
-    return json_get_int64(data, SHARE, &share) && share >= 0 && share < cfg->size ? (int)share : -1;
+/* The shard that a record names: only one of a divided team's job does. */
+static int shard_of(const cJSON *data) {
+    int64_t shard = -1;
+    return json_get_int64(data, SHARE, &shard) && shard >= 0 && shard < cfg->size ? (int)shard : -1;
 }
 
-/* Takes the job out of the lists of one share and into those of another. */
-static void enter_share(struct job *j, int share) {
-    if (share == j->share) return;
+/* Takes the job out of the lists of one shard and into those of another. */
+static void enter_shard(struct job *j, int shard) {
+    if (shard == j->shard) return;
     if (j->listed_active) {
-        g_ptr_array_remove(active_of[jobs_share(j)], j);
-        foreign += (share >= 0) - (j->share >= 0);
+        g_ptr_array_remove(active_of[jobs_shard(j)], j);
+        foreign += (shard >= 0) - (j->shard >= 0);
     }
-    if (j->listed_ended) g_ptr_array_remove_fast(ended_of[jobs_share(j)], j);
-    j->share = share;
-    if (j->listed_active) insert_sorted(active_of[jobs_share(j)], j);
-    if (j->listed_ended) g_ptr_array_add(ended_of[jobs_share(j)], j);
+    if (j->listed_ended) g_ptr_array_remove_fast(ended_of[jobs_shard(j)], j);
+    j->shard = shard;
+    if (j->listed_active) insert_sorted(active_of[jobs_shard(j)], j);
+    if (j->listed_ended) g_ptr_array_add(ended_of[jobs_shard(j)], j);
 }
 
 /* A final state is all that is asked for from now on. */
 static void enter_final_state(struct job *j, enum job_state state) {
     j->state = state;
     j->ended = clock_now();
-    if (membership_mine(jobs_share(j)))
+    if (membership_owns(jobs_shard(j)))
         log_info("job %s (%s, %d tasks, estimate %.0f s) is %s %.1f s after it came, %.1f s after it was ready",
                  j->spec.uid, j->spec.jobclass, j->spec.tasks, j->spec.runtime_s, state_names[state],
                  clock_time_of_day() - j->submitted, j->ready > 0 ? clock_time_of_day() - j->ready : 0);
@@ -228,7 +228,7 @@
     struct job *j = jobs_find_or_stub(uid);
     bool first = !j->known;
     if (first && !read_spec(j, data)) return;
-    enter_share(j, share_of(data));
+    enter_shard(j, shard_of(data));
     enum job_state state = state_of(data);
     bool ends = j->state == JOB_QUEUED && state != JOB_QUEUED;
     if (ends) {
@@ -257,7 +257,7 @@
     return j->state == JOB_QUEUED && j->known && j->spec.shape != JOB_STANDING && j->n_pend == j->spec.tasks;
 }
 
-static cJSON *value_of(cJSON *spec, enum job_state state, double at, int share) {
+static cJSON *value_of(cJSON *spec, enum job_state state, double at, int shard) {
     cJSON *o = cJSON_CreateObject();
     bool chained = cJSON_GetArraySize(cJSON_GetObjectItemCaseSensitive(spec, "prereqs")) > 0;
     cJSON_AddItemToObject(o, chained ? CHAINED_SPEC : SPEC, spec);
@@ -266,20 +266,20 @@
     const char *owner = json_get_string(spec, "owner");
     int team = owner ? settings_team(cfg, owner) : -1;
     /* Of an undivided team's job it is left out, so that its record is the one that all versions know. */
-    if (team >= 0 && share >= 0 && share != team % cfg->size) cJSON_AddNumberToObject(o, SHARE, share);
+    if (team >= 0 && shard >= 0 && shard != team % cfg->size) cJSON_AddNumberToObject(o, SHARE, shard);
     return o;
 }
 
-cJSON *jobs_value(const char *spec_text, enum job_state state, double at, int share) {
+cJSON *jobs_value(const char *spec_text, enum job_state state, double at, int shard) {
     /* Parsed, not raw: the same value is applied to our own records once it is written. */
-    return value_of(cJSON_Parse(spec_text), state, at, share);
+    return value_of(cJSON_Parse(spec_text), state, at, shard);
 }
 
-cJSON *jobs_moved_value(const struct job *j, int share) {
-    return jobs_value(j->spec_text, j->state, j->submitted, share);
+cJSON *jobs_moved_value(const struct job *j, int shard) {
+    return jobs_value(j->spec_text, j->state, j->submitted, shard);
 }
 
-/* All else in a record: names, state, two times and a share. */
+/* All else in a record: names, state, two times and a shard. */
 #define RECORD_BYTES 100
 
 size_t jobs_record_most(void) { return (size_t)(cfg->next_value_kb * 1024); }
@@ -302,7 +302,7 @@
     cJSON *spec = cJSON_Parse(j->spec_text);
     /* Accepted by the first version under the present limit, it may be too large to be rewritten under the next. */
     if (jobs_record_bytes(j->spec_text) > jobs_record_most()) keep_needed_fields(spec);
-    cJSON *o = value_of(spec, state, j->submitted, j->share);
+    cJSON *o = value_of(spec, state, j->submitted, j->shard);
     /* From when on the times of jobs that need it count, for whoever owns them by then. */
     if (state == JOB_DONE) cJSON_AddNumberToObject(o, "end", clock_time_of_day());
     return o;
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -17,7 +17,7 @@
     struct job_spec spec;
     bool known; /* false: only heard of through a booking */
     char *spec_text;
-    int share; /* that its record names, of a divided team's job; -1: its team's home */
+    int shard; /* that its record names, of a divided team's job; -1: its team's home */
     enum job_state state;
     double submitted;     /* time of day of the acceptance */
     double finished;      /* time of day at which its record says done; 0: not done, or recorded by the first version */
@@ -61,11 +61,11 @@
 struct job *jobs_find(const char *uid);
 struct job *jobs_find_or_stub(const char *uid);
 GPtrArray *jobs_active(void);     /* struct job, not terminal, oldest first */
-GPtrArray *jobs_active_of(int k); /* those of a share, oldest first */
+GPtrArray *jobs_active_of(int k); /* those of a shard, oldest first */
 GPtrArray *jobs_ended_of(int k);  /* terminal, with bookings still on record */
 void jobs_list(struct job *j);    /* puts it into the lists that it belongs to by now */
-int jobs_share(const struct job *j);
-bool jobs_any_foreign(void); /* an unfinished job is in another share than its team's home */
+int jobs_shard(const struct job *j);
+bool jobs_any_foreign(void); /* an unfinished job is in another shard than its team's home */
 bool jobs_bit(const uint8_t *bits, int i);
 void jobs_mark_done(struct job *j, int task);      /* reported, to be recorded in the next round */
 bool jobs_complete(const struct job *j);           /* all tasks reported done, and the record does not say so yet */
@@ -73,9 +73,9 @@
 void jobs_set_stretch(struct job *j, int stretch); /* its records have that stretch from now on */
 void jobs_run_record(struct job *j, int chunk, bool there); /* a record of its bookings was read or written */
 void jobs_done_bits(struct job *j, const char *bits, int from, int n);
-/* Values of a job's record: as accepted into a share, moved to another, and in a final state. */
-cJSON *jobs_value(const char *spec_text, enum job_state state, double at, int share);
-cJSON *jobs_moved_value(const struct job *j, int share);
+/* Values of a job's record: as accepted into a shard, moved to another, and in a final state. */
+cJSON *jobs_value(const char *spec_text, enum job_state state, double at, int shard);
+cJSON *jobs_moved_value(const struct job *j, int shard);
 cJSON *jobs_final_value(const struct job *j, enum job_state state);
 /* Bytes that a record may take, so that it can be rewritten under the service's next limit, and those of a spec's. */
 size_t jobs_record_most(void);
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -163,11 +163,11 @@
     assert_int_equal(j->state, JOB_DONE);
 }
 
-/* Only a job in another share than its team's home names it; a record that names another moves it. */
-static void shares(void **state) {
+/* Only a job in another shard than its team's home names it; a record that names another moves it. */
+static void shards(void **state) {
     (void)state;
     static const struct {
-        const char *share; /* as in the record */
+        const char *shard; /* as in the record */
         int lies;
         bool foreign;
     } rows[] = {{"", 0, false},
@@ -180,11 +180,11 @@
     char *spec = site_with(good, "req-000412", "req-000777");
     store_lock();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        char *text = g_strdup_printf("{\"spec\":%s,\"state\":\"queued\",\"at\":5%s}", spec, rows[i].share);
+        char *text = g_strdup_printf("{\"spec\":%s,\"state\":\"queued\",\"at\":5%s}", spec, rows[i].shard);
         cJSON *o = cJSON_Parse(text);
         store_apply("job/req-000777", o, 100 + (int64_t)i);
         struct job *j = jobs_find("req-000777");
-        if (jobs_share(j) != rows[i].lies || jobs_any_foreign() != rows[i].foreign) fail_msg("%s", text);
+        if (jobs_shard(j) != rows[i].lies || jobs_any_foreign() != rows[i].foreign) fail_msg("%s", text);
         assert_int_equal(jobs_active_of(rows[i].lies)->len, 1);
         assert_int_equal(jobs_active_of(1 - rows[i].lies)->len, 0);
         cJSON *value = jobs_final_value(j, JOB_CANCELLED);
@@ -214,6 +214,6 @@
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(admission), cmocka_unit_test(bits),
                                        cmocka_unit_test(prerequisites), cmocka_unit_test(records),
-                                       cmocka_unit_test(shares)};
+                                       cmocka_unit_test(shards)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/ledger/ledger.c
+++ b/src/ledger/ledger.c
@@ -19,8 +19,8 @@
 /* Where a replica could go on at once: room, and the image at hand. */
 static struct machine *replica_target(const struct booking *b) {
     const struct job *j = b->job;
-    for (guint i = 0; i < records_of(b->m->share)->len; i++) {
-        struct machine *m = records_of(b->m->share)->pdata[i];
+    for (guint i = 0; i < records_of(b->m->shard)->len; i++) {
+        struct machine *m = records_of(b->m->shard)->pdata[i];
         if (m == b->m || !m->open || m->draining || !placement_fits(m, &j->spec)) continue;
         if (!g_hash_table_contains(m->images, j->spec.image) || (m->used_gpu <= 0 && m->used_cpu <= 0)) continue;
         /* In its own zone it takes its own place among a spread job's tasks. */
@@ -35,7 +35,7 @@
  * again at once where their image is. Without them a drain that holds a replica would be paid for until it gives up.
  * All or none: a machine that keeps one task is not given back. */
 static void move_off(struct machine *m) {
-    rounds_scratch(m->share);
+    rounds_scratch(m->shard);
     for (guint b = 0; b < m->bookings->len; b++) {
         struct booking *x = m->bookings->pdata[b];
         const struct job_spec *s = &x->job->spec;
@@ -96,7 +96,7 @@
     int drains = ledger_drains(n, h, cfg->tuning.margin, cfg->tuning.admission, draining);
     /* Nothing is returned before each machine shows its rows; in a large fleet some have always just booted, and while
      * they are few only they wait for their own. */
-    if (unsteady * 16 <= n && drains > 0 && !records_shares[k].fit_nowhere) {
+    if (unsteady * 16 <= n && drains > 0 && !records_shards[k].fit_nowhere) {
         g_array_sort(order, least_first);
         for (guint i = 0; i < order->len && drains > 0; i++, drains--) {
             struct machine *m = g_array_index(order, struct candidate, i).m;
@@ -111,7 +111,7 @@
     g_array_free(order, TRUE);
 }
 
-/* The periodic line of a share: what waits, what there is, what is left. */
+/* The periodic line of a shard: what waits, what there is, what is left. */
 void ledger_tell(int k) {
     int up[2] = {0, 0}, booting[2] = {0, 0}, draining = 0, waiting[4] = {0, 0, 0, 0};
     double gpus[2] = {0, 0}, used[2] = {0, 0}, filler = 0, occupied = 0;
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,4 +1,4 @@
-/* Headroom, drains, and the periodic line of a share. */
+/* Headroom, drains, and the periodic line of a shard. */
 #ifndef FF_LEDGER_H
 #define FF_LEDGER_H
 #include <stdbool.h>
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -21,56 +21,58 @@
 #define NODES_MOST 64
 
 struct node {
-    char name[64], inc[40];
+    char name[64], incarnation[40];
     int64_t mod_revision;
     struct timespec since;
-    bool live, workers_lost;
+    bool live, workers_unreachable;
 };
 
 static const struct settings *cfg;
-static struct share shares[64];
+static struct shard shards[64];
 static struct node nodes[NODES_MOST];
 static int n_nodes;
-static char leader[64], leader_inc[40];
-static int64_t fence_value;
-static char my_inc[40];
+static char leader[64], leader_incarnation[40];
+static int64_t fencing_counter;
+static char my_incarnation[40];
 static int64_t my_lease;
-static bool my_workers_lost;
-static struct timespec workers_lost_since;
-static int times_lost; /* in a row, each soon after the last */
+static bool my_workers_unreachable;
+static struct timespec workers_unreachable_since;
+static int times_unreachable; /* in a row, each soon after the last */
 
 /* Both with store_lock held. */
-bool membership_workers_lost(void) { return my_workers_lost; }
+bool membership_workers_unreachable(void) { return my_workers_unreachable; }
 
 #define WORKERS_RETRY_S 15.0
 #define WORKERS_RETRY_MOST_S 120.0
 
-double membership_workers_retry_s(int times_lost) {
+double membership_workers_retry_s(int times_unreachable) {
     double s = WORKERS_RETRY_S;
-    for (int i = 1; i < times_lost && s < WORKERS_RETRY_MOST_S; i++) s *= 2;
+    for (int i = 1; i < times_unreachable && s < WORKERS_RETRY_MOST_S; i++) s *= 2;
     return MIN(s, WORKERS_RETRY_MOST_S);
 }
 
-void membership_set_workers_lost(bool lost) {
-    if (lost == my_workers_lost) return;
-    my_workers_lost = lost;
-    /* Where it can ask workers, and they can't report, it takes them for back each time: the shares must not go to and
+void membership_set_workers_unreachable(bool lost) {
+    if (lost == my_workers_unreachable) return;
+    my_workers_unreachable = lost;
+    /* Where it can ask workers, and they can't report, it takes them for back each time: the shards must not go to and
      * fro with that. */
-    if (lost) times_lost = clock_seconds_since(workers_lost_since) < 2 * WORKERS_RETRY_MOST_S ? times_lost + 1 : 1;
-    workers_lost_since = clock_now();
+    if (lost)
+        times_unreachable =
+            clock_seconds_since(workers_unreachable_since) < 2 * WORKERS_RETRY_MOST_S ? times_unreachable + 1 : 1;
+    workers_unreachable_since = clock_now();
     log_info(lost ? "most workers are silent here: giving the shares to others" : "workers can be reached again");
 }
 
-const struct share *membership_share(int k) { return &shares[k]; }
-int64_t membership_fence(void) { return fence_value; }
-const char *membership_inc(void) { return my_inc; }
+const struct shard *membership_shard(int k) { return &shards[k]; }
+int64_t membership_fencing_token(void) { return fencing_counter; }
+const char *membership_incarnation(void) { return my_incarnation; }
 
-bool membership_mine(int k) {
-    return store_synced() && shares[k].mod_revision && strcmp(shares[k].owner, cfg->node) == 0 &&
-           strcmp(shares[k].inc, my_inc) == 0 && store_revision() >= shares[k].mod_revision;
+bool membership_owns(int k) {
+    return store_synced() && shards[k].mod_revision && strcmp(shards[k].owner, cfg->node) == 0 &&
+           strcmp(shards[k].incarnation, my_incarnation) == 0 && store_revision() >= shards[k].mod_revision;
 }
 
-double membership_bound(void) {
+double membership_read_validity_s(void) {
     /* A cancellation told elsewhere after our last look must be kept within cancel_s, and an answered report keeps
      * tasks alive for lease_s more, counted from when it was sent, which is before we answer it. The margin covers the
      * drift of both clocks, twice, and the steps of timers; no more, since a zone that is cut off lives on by it. */
@@ -78,23 +80,27 @@
     return room - MIN(0.5, room * 0.1) - 0.002 * clock_to_seconds(cfg->cancel);
 }
 
-bool membership_verified(void) { return store_synced() && clock_seconds_since(store_last_read()) < membership_bound(); }
+bool membership_may_answer(void) {
+    return store_synced() && clock_seconds_since(store_last_read()) < membership_read_validity_s();
+}
 
 /* An owner that the store refuses alone went on starting what it had booked for as long as it may answer workers, 24 s,
  * while others had confirmed cancellations. A start needs the look that a store in reach always gives. */
-bool membership_may_start(void) { return membership_verified() && !store_unreachable(); }
+bool membership_may_start_tasks(void) { return membership_may_answer() && !store_unreachable(); }
 
-bool membership_leads(void) { return strcmp(leader, cfg->node) == 0 && strcmp(leader_inc, my_inc) == 0; }
+bool membership_is_leader(void) {
+    return strcmp(leader, cfg->node) == 0 && strcmp(leader_incarnation, my_incarnation) == 0;
+}
 
-int membership_live(void) {
+int membership_live_controllers(void) {
     int n = 0;
     for (int i = 0; i < n_nodes; i++) n += nodes[i].live;
     return n > 0 ? n : 1;
 }
 
-double membership_writing_part(int live, int size, int owned) {
-    /* Changes go with shares, but for the jobs that any controller accepts: one that came back and owns nothing yet
-     * once held a third of them, while an owner of two shares wrote for 13 s what it knew after a cut. */
+double membership_write_fraction(int live, int size, int owned) {
+    /* Changes go with shards, but for the jobs that any controller accepts: one that came back and owns nothing yet
+     * once held a third of them, while an owner of two shards wrote for 13 s what it knew after a cut. */
     const double accepts = 0.25;
     return (accepts + owned) / (accepts * MAX(live, 1) + size);
 }
@@ -102,8 +108,9 @@
 static void part_budget(void) {
     int owned = 0;
     for (int k = 0; k < cfg->size; k++)
-        owned += strcmp(shares[k].owner, cfg->node) == 0 && strcmp(shares[k].inc, my_inc) == 0;
-    store_budget_set_fraction(membership_live(), membership_writing_part(membership_live(), cfg->size, owned));
+        owned += strcmp(shards[k].owner, cfg->node) == 0 && strcmp(shards[k].incarnation, my_incarnation) == 0;
+    store_budget_set_fraction(membership_live_controllers(),
+                              membership_write_fraction(membership_live_controllers(), cfg->size, owned));
 }
 
 static void apply_node(const char *rest, const cJSON *data, int64_t mod_revision) {
@@ -115,14 +122,14 @@
         x = &nodes[n_nodes++];
         g_strlcpy(x->name, rest, sizeof x->name);
     }
-    const char *inc = json_get_string(data, "inc");
-    if (data && (!x->live || strcmp(x->inc, inc ? inc : "") != 0)) x->since = clock_now();
+    const char *incarnation = json_get_string(data, "inc");
+    if (data && (!x->live || strcmp(x->incarnation, incarnation ? incarnation : "") != 0)) x->since = clock_now();
     if (!data && x->live) log_info("controller %s is gone", rest);
     x->live = data != NULL;
     part_budget();
     x->mod_revision = data ? mod_revision : 0;
-    x->workers_lost = json_get_bool(data, "deaf");
-    g_strlcpy(x->inc, inc ? inc : "", sizeof x->inc);
+    x->workers_unreachable = json_get_bool(data, "deaf");
+    g_strlcpy(x->incarnation, incarnation ? incarnation : "", sizeof x->incarnation);
 }
 
 static void apply_leader(const char *rest, const cJSON *data, int64_t mod_revision) {
@@ -130,25 +137,25 @@
     if (*rest) return;
     const char *n = json_get_string(data, "node"), *i = json_get_string(data, "inc");
     g_strlcpy(leader, n ? n : "", sizeof leader);
-    g_strlcpy(leader_inc, i ? i : "", sizeof leader_inc);
+    g_strlcpy(leader_incarnation, i ? i : "", sizeof leader_incarnation);
 }
 
-static void apply_fence(const char *rest, const cJSON *data, int64_t mod_revision) {
+static void apply_fencing_counter(const char *rest, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
-    if (*rest == 0 && cJSON_IsNumber(data)) fence_value = (int64_t)data->valuedouble;
+    if (*rest == 0 && cJSON_IsNumber(data)) fencing_counter = (int64_t)data->valuedouble;
 }
 
-static void apply_share(const char *rest, const cJSON *data, int64_t mod_revision) {
+static void apply_shard(const char *rest, const cJSON *data, int64_t mod_revision) {
     int k = (int)g_ascii_strtoll(rest, NULL, 10);
     if (k < 0 || k >= 64) return;
-    struct share *s = &shares[k];
+    struct shard *s = &shards[k];
     const char *o = json_get_string(data, "owner"), *i = json_get_string(data, "inc");
-    if (strcmp(s->owner, o ? o : "") != 0 || strcmp(s->inc, i ? i : "") != 0) {
+    if (strcmp(s->owner, o ? o : "") != 0 || strcmp(s->incarnation, i ? i : "") != 0) {
         s->changed = clock_now();
         log_info("share %d: owner %s", k, o ? o : "nobody");
     }
     g_strlcpy(s->owner, o ? o : "", sizeof s->owner);
-    g_strlcpy(s->inc, i ? i : "", sizeof s->inc);
+    g_strlcpy(s->incarnation, i ? i : "", sizeof s->incarnation);
     s->mod_revision = data ? mod_revision : 0;
     if (!json_get_int64(data, "fence", &s->fence)) s->fence = 0;
     part_budget();
@@ -156,14 +163,14 @@
 
 void membership_init(const struct settings *s) {
     cfg = s;
-    snprintf(my_inc, sizeof my_inc, "%08x%08x", g_random_int(), g_random_int());
+    snprintf(my_incarnation, sizeof my_incarnation, "%08x%08x", g_random_int(), g_random_int());
     store_observe_prefix("node/", apply_node);
     store_observe_prefix("leader", apply_leader);
-    store_observe_prefix("fence", apply_fence);
-    store_observe_prefix("share/", apply_share);
+    store_observe_prefix("fence", apply_fencing_counter);
+    store_observe_prefix("share/", apply_shard);
 }
 
-int membership_plan(int size, const int *owner, int n, int *to) {
+int membership_plan_assignment(int size, const int *owner, int n, int *to) {
     int held[NODES_MOST] = {0}, least = 0, most = 0;
     if (n <= 0) return -1;
     for (int k = 0; k < size; k++)
@@ -181,18 +188,18 @@
     return -1;
 }
 
-static cJSON *share_value(const char *owner, const char *inc, int64_t fence) {
+static cJSON *shard_value(const char *owner, const char *incarnation, int64_t fence) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "owner", owner);
-    cJSON_AddStringToObject(o, "inc", inc);
+    cJSON_AddStringToObject(o, "inc", incarnation);
     cJSON_AddNumberToObject(o, "fence", (double)fence);
     return o;
 }
 
 static cJSON *node_value(void) {
     cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "inc", my_inc);
-    if (my_workers_lost) cJSON_AddBoolToObject(o, "deaf", true);
+    cJSON_AddStringToObject(o, "inc", my_incarnation);
+    if (my_workers_unreachable) cJSON_AddBoolToObject(o, "deaf", true);
     return o;
 }
 
@@ -202,14 +209,14 @@
     store_txn_compare(t, key, store_key_revision(key));
 }
 
-/* Gives share K to a node, moving the fence up. Called with the lock held; fills the transaction only. */
-static void give(struct store_txn *t, int k, const struct node *to) {
+/* Gives shard K to a node, moving the fence up. Called with the lock held; fills the transaction only. */
+static void assign_shard(struct store_txn *t, int k, const struct node *to) {
     char key[96];
     snprintf(key, sizeof key, "share/%d", k);
-    store_txn_compare(t, key, shares[k].mod_revision);
-    store_txn_put(t, key, share_value(to->name, to->inc, fence_value + 1), 0);
+    store_txn_compare(t, key, shards[k].mod_revision);
+    store_txn_put(t, key, shard_value(to->name, to->incarnation, fencing_counter + 1), 0);
     store_txn_compare(t, "fence", store_key_revision("fence"));
-    store_txn_put(t, "fence", cJSON_CreateNumber((double)(fence_value + 1)), 0);
+    store_txn_put(t, "fence", cJSON_CreateNumber((double)(fencing_counter + 1)), 0);
     snprintf(key, sizeof key, "node/%s", to->name);
     store_txn_compare(t, key, to->mod_revision);
     add_me(t);
@@ -224,14 +231,15 @@
 /* One step of the duties that need the store: become leader, take back, give. True if something is to be sent. */
 static bool next_step(struct store_txn *t) {
     struct node *me = find_node(cfg->node);
-    if (records_refused() || !store_synced() || !me || !me->live || strcmp(me->inc, my_inc) != 0) return false;
+    if (records_refused() || !store_synced() || !me || !me->live || strcmp(me->incarnation, my_incarnation) != 0)
+        return false;
     for (int k = 0; k < cfg->size; k++) /* Ours from before a restart: no need to wait for anyone. */
-        if (strcmp(shares[k].owner, cfg->node) == 0 && strcmp(shares[k].inc, my_inc) != 0) {
-            give(t, k, me);
+        if (strcmp(shards[k].owner, cfg->node) == 0 && strcmp(shards[k].incarnation, my_incarnation) != 0) {
+            assign_shard(t, k, me);
             return true;
         }
     if (quota_announce(t) || format_announce(t)) return true;
-    if (me->workers_lost != my_workers_lost) {
+    if (me->workers_unreachable != my_workers_unreachable) {
         char key[96];
         snprintf(key, sizeof key, "node/%s", cfg->node);
         add_me(t);
@@ -239,10 +247,10 @@
         return true;
     }
     struct node *lead = leader[0] ? find_node(leader) : NULL;
-    if (!lead || !lead->live || strcmp(lead->inc, leader_inc) != 0) {
+    if (!lead || !lead->live || strcmp(lead->incarnation, leader_incarnation) != 0) {
         cJSON *o = cJSON_CreateObject();
         cJSON_AddStringToObject(o, "node", cfg->node);
-        cJSON_AddStringToObject(o, "inc", my_inc);
+        cJSON_AddStringToObject(o, "inc", my_incarnation);
         store_txn_compare(t, "leader", store_key_revision("leader"));
         add_me(t);
         if (lead) {
@@ -256,35 +264,35 @@
     if (lead != me) return false;
     int owner[64] = {0}, live[NODES_MOST], n = 0, to = -1, index[NODES_MOST] = {0};
     bool hearing = false;
-    for (int i = 0; i < n_nodes; i++) hearing |= nodes[i].live && !nodes[i].workers_lost;
+    for (int i = 0; i < n_nodes; i++) hearing |= nodes[i].live && !nodes[i].workers_unreachable;
     for (int i = 0; i < n_nodes; i++) {
         index[i] = -1;
-        if (nodes[i].live && !(hearing && nodes[i].workers_lost)) {
+        if (nodes[i].live && !(hearing && nodes[i].workers_unreachable)) {
             index[i] = n;
             live[n++] = i;
         }
     }
     bool orphans = false;
     for (int k = 0; k < cfg->size; k++) {
-        struct node *o = shares[k].owner[0] ? find_node(shares[k].owner) : NULL;
+        struct node *o = shards[k].owner[0] ? find_node(shards[k].owner) : NULL;
         owner[k] = o && o->live ? index[o - nodes] : -1; /* -1 for one that has lost the workers, too */
         if (owner[k] < 0) orphans = true;
     }
-    int k = membership_plan(cfg->size, owner, n, &to);
+    int k = membership_plan_assignment(cfg->size, owner, n, &to);
     if (k < 0) return false;
     struct node *target = &nodes[live[to]];
-    /* A planned shift waits until the controller has stayed a while, so that shares don't flap with it, and until what
+    /* A planned shift waits until the controller has stayed a while, so that shards don't flap with it, and until what
      * brought the controller has passed: a new owner has to ask all machines anew. */
     double settled = clock_to_seconds(cfg->lease) / 2;
-    if (!orphans && (clock_seconds_since(target->since) < settled || clock_seconds_since(shares[k].changed) < settled))
+    if (!orphans && (clock_seconds_since(target->since) < settled || clock_seconds_since(shards[k].changed) < settled))
         return false;
-    struct node *was = shares[k].owner[0] ? find_node(shares[k].owner) : NULL;
-    if (orphans && shares[k].owner[0] && !(was && was->live)) {
+    struct node *was = shards[k].owner[0] ? find_node(shards[k].owner) : NULL;
+    if (orphans && shards[k].owner[0] && !(was && was->live)) {
         char key[96];
-        snprintf(key, sizeof key, "node/%s", shares[k].owner);
+        snprintf(key, sizeof key, "node/%s", shards[k].owner);
         store_txn_compare(t, key, 0);
     }
-    give(t, k, target);
+    assign_shard(t, k, target);
     log_info("share %d: giving it to %s", k, target->name);
     return true;
 }
@@ -307,7 +315,7 @@
         my_lease = lease;
         store_apply_committed(&t, a.revision);
         store_unlock();
-        log_info("joined as %s/%s", cfg->node, my_inc);
+        log_info("joined as %s/%s", cfg->node, my_incarnation);
     }
     store_response_clear(&a);
     store_txn_free(&t);
@@ -334,12 +342,12 @@
             }
         }
         store_lock();
-        bool try_again =
-            my_workers_lost && clock_seconds_since(workers_lost_since) > membership_workers_retry_s(times_lost);
+        bool try_again = my_workers_unreachable &&
+                         clock_seconds_since(workers_unreachable_since) > membership_workers_retry_s(times_unreachable);
         store_unlock();
         if (try_again && watch_try_workers(c)) {
             store_lock();
-            membership_set_workers_lost(false);
+            membership_set_workers_unreachable(false);
             store_unlock();
         }
         struct store_txn t;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,4 +1,4 @@
-/* Who lives, who leads, who owns which share. */
+/* Who lives, who leads, who owns which shard. */
 #ifndef FF_MEMBERSHIP_H
 #define FF_MEMBERSHIP_H
 #include <stdbool.h>
@@ -7,8 +7,8 @@
 
 #include "../store/store.h"
 
-struct share {
-    char owner[64], inc[40];
+struct shard {
+    char owner[64], incarnation[40];
     int64_t mod_revision, fence;
     struct timespec changed;
 };
@@ -17,26 +17,26 @@
 void membership_start(void);
 
 /* All of these with store_lock held. */
-const struct share *membership_share(int k);
-bool membership_mine(int k);     /* share K is ours, and the mirror holds all that its former owner wrote */
-double membership_bound(void);   /* for how many seconds a look at the store entitles to answer workers */
-bool membership_verified(void);  /* recent enough to answer workers: a cancellation told elsewhere can still be kept */
-bool membership_may_start(void); /* recent enough to start tasks: few can have been cancelled elsewhere since */
-int membership_live(void);       /* live controllers */
-int64_t membership_fence(void);  /* the counter as mirrored */
-const char *membership_inc(void);
-bool membership_leads(void); /* this node is the leader */
-
-/* A controller that no longer hears the workers says so in its record; its shares go to those who may hear them. */
-void membership_set_workers_lost(bool lost);
-bool membership_workers_lost(void);
+const struct shard *membership_shard(int k);
+bool membership_owns(int k);             /* shard K is ours, and the mirror holds all that its former owner wrote */
+double membership_read_validity_s(void); /* for how many seconds a look at the store entitles to answer workers */
+bool membership_may_answer(void); /* recent enough to answer workers: a cancellation told elsewhere can still be kept */
+bool membership_may_start_tasks(void);  /* recent enough to start tasks: few can have been cancelled elsewhere since */
+int membership_live_controllers(void);  /* live controllers */
+int64_t membership_fencing_token(void); /* the counter as mirrored */
+const char *membership_incarnation(void);
+bool membership_is_leader(void); /* this node is the leader */
+
+/* A controller that no longer hears the workers says so in its record; its shards go to those who may hear them. */
+void membership_set_workers_unreachable(bool lost);
+bool membership_workers_unreachable(void);
 
 /* Pure: after how long a controller that has lost the workers so many times lately tries whether they are back. */
-double membership_workers_retry_s(int times_lost);
+double membership_workers_retry_s(int times_unreachable);
 
-/* Pure: the part of the store's changes that is due to a controller with so many shares. */
-double membership_writing_part(int live, int size, int owned);
+/* Pure: the part of the store's changes that is due to a controller with so many shards. */
+double membership_write_fraction(int live, int size, int owned);
 
-/* Pure: the share to move and where, so that the owned counts differ by one at most. -1: nothing to move. */
-int membership_plan(int size, const int *owner, int nodes, int *to);
+/* Pure: the shard to move and where, so that the owned counts differ by one at most. -1: nothing to move. */
+int membership_plan_assignment(int size, const int *owner, int nodes, int *to);
 #endif
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -10,7 +10,7 @@
 static void plan(void **state) {
     (void)state;
     static const struct {
-        int size, owner[6], nodes, share, to;
+        int size, owner[6], nodes, shard, to;
     } rows[] = {
         {3, {0, 1, 2}, 3, -1, 0},   /* even: nothing moves */
         {3, {0, 0, 0}, 2, 0, 1},    /* one has all, a new one gets one */
@@ -21,8 +21,8 @@
         {6, {0, 0, 0, 1, 1, 2}, 3, 0, 2},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        int to = -1, k = membership_plan(rows[i].size, rows[i].owner, rows[i].nodes, &to);
-        assert_int_equal(k, rows[i].share);
+        int to = -1, k = membership_plan_assignment(rows[i].size, rows[i].owner, rows[i].nodes, &to);
+        assert_int_equal(k, rows[i].shard);
         if (k >= 0) assert_int_equal(to, rows[i].to);
     }
 }
@@ -40,30 +40,30 @@
     (void)state;
     set("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":5}", 10);
     set("share/0", "{\"owner\":\"n0\",\"inc\":\"y\",\"fence\":4}", 9);
-    assert_string_equal(membership_share(0)->owner, "n1");
-    assert_int_equal(membership_share(0)->fence, 5);
+    assert_string_equal(membership_shard(0)->owner, "n1");
+    assert_int_equal(membership_shard(0)->fence, 5);
     store_lock();
     store_apply("share/0", NULL, 11);
     store_apply("share/0", NULL, 10);
     assert_int_equal(store_key_revision("share/0"), 0);
     store_unlock();
     set("share/0", "{\"owner\":\"n0\",\"inc\":\"y\",\"fence\":4}", 10);
-    assert_int_equal(membership_share(0)->mod_revision, 0);
+    assert_int_equal(membership_shard(0)->mod_revision, 0);
 }
 
 /* Nothing is ours before the mirror was read in full, whatever a record says. */
 static void not_ours_unread(void **state) {
     (void)state;
     char json[128];
-    g_snprintf(json, sizeof json, "{\"owner\":\"n0\",\"inc\":\"%s\",\"fence\":9}", membership_inc());
+    g_snprintf(json, sizeof json, "{\"owner\":\"n0\",\"inc\":\"%s\",\"fence\":9}", membership_incarnation());
     set("share/1", json, 20);
     store_lock();
-    assert_false(membership_mine(1));
-    assert_false(membership_verified());
+    assert_false(membership_owns(1));
+    assert_false(membership_may_answer());
     store_unlock();
 }
 
-/* Changes go with the shares: together all of them, and a controller without shares has enough to accept jobs. */
+/* Changes go with the shards: together all of them, and a controller without shards has enough to accept jobs. */
 static void writing_part(void **state) {
     (void)state;
     static const struct {
@@ -72,7 +72,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         double sum = 0;
         for (int n = 0; n < rows[i].live; n++) {
-            double part = membership_writing_part(rows[i].live, rows[i].size, rows[i].owned[n]);
+            double part = membership_write_fraction(rows[i].live, rows[i].size, rows[i].owned[n]);
             assert_true(part > 0 && part >= rows[i].owned[n] * 0.8 / rows[i].size);
             sum += part;
         }
@@ -80,7 +80,7 @@
     }
 }
 
-/* A controller that loses the workers again and again stays without shares ever longer, but not for ever. */
+/* A controller that loses the workers again and again stays without shards ever longer, but not for ever. */
 static void workers_retry(void **state) {
     (void)state;
     static const struct {
--- a/src/preempt/preempt.c
+++ b/src/preempt/preempt.c
@@ -12,7 +12,7 @@
 static const struct settings *cfg;
 
 bool preempt_quota_left(const struct preempt_usage *u, const struct job *j, int tasks) {
-    const struct quota_bound most = quota_bound(j->spec.team, jobs_share(j));
+    const struct quota_bound most = quota_bound(j->spec.team, jobs_shard(j));
     return u->cpu + tasks * j->spec.vcpus <= most.vcpus + 1e-6 && u->gpu + tasks * j->spec.gpus <= most.gpus + 1e-6;
 }
 
--- a/src/preempt/preempt.h
+++ b/src/preempt/preempt.h
@@ -11,7 +11,7 @@
 struct preempt_usage { /* what a team's tasks take */
     double cpu, gpu;
 };
-/* Whether the team's limit, or its share's part of it, leaves room for so many more tasks of the job. */
+/* Whether the team's limit, or its shard's part of it, leaves room for so many more tasks of the job. */
 bool preempt_quota_left(const struct preempt_usage *u, const struct job *j, int tasks);
 void preempt_refresh(void);      /* before a round's questions */
 double preempt_beyond(int team); /* what a team holds beyond its guarantee */
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -1,4 +1,4 @@
-/* The changes that an owner writes of divided teams: their records, and the shares of waiting jobs. */
+/* The changes that an owner writes of divided teams: their records, and the shards of waiting jobs. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdio.h>
@@ -16,24 +16,24 @@
  * yet, and must not take from bookings. */
 #define CHANGES_PART 0.15
 #define CHANGES_BURST 3.0
-#define MOVE_EVERY_S 0.2 /* between looks for jobs that wait in another share than they should */
+#define MOVE_EVERY_S 0.2 /* between looks for jobs that wait in another shard than they should */
 
 static double changes_left = CHANGES_BURST;
 static struct timespec changes_counted;
 
 static bool may_change(void) {
     struct timespec now = clock_now();
-    double rate = quota_settings->state_write_rps * CHANGES_PART / membership_live();
+    double rate = quota_settings->state_write_rps * CHANGES_PART / membership_live_controllers();
     changes_left =
         MIN(changes_left + (clock_to_seconds(now) - clock_to_seconds(changes_counted)) * rate, CHANGES_BURST);
     changes_counted = now;
     return changes_left >= 1;
 }
 
-/* The share is ours, and all that we wrote of it is in the mirror: what it uses is known. */
-static bool settled(int share) {
-    const struct records_share *s = &records_shares[share];
-    return membership_mine(share) && !s->barrier && s->fence == membership_share(share)->fence &&
+/* The shard is ours, and all that we wrote of it is in the mirror: what it uses is known. */
+static bool settled(int shard) {
+    const struct records_shard *s = &records_shards[shard];
+    return membership_owns(shard) && !s->barrier && s->fence == membership_shard(shard)->fence &&
            s->conflict_revision <= store_revision();
 }
 
@@ -41,17 +41,17 @@
 struct change {
     struct store_txn txn;
     char key[128];
-    int shares[QUOTA_SHARES_MOST]; /* those that it is conditional on */
-    int n_shares;
+    int shards[QUOTA_SHARES_MOST]; /* those that it is conditional on */
+    int n_shards;
 };
 
-static void require_share(struct change *c, int share) {
+static void require_shard(struct change *c, int shard) {
     char key[32];
-    snprintf(key, sizeof key, "share/%d", share);
-    store_txn_compare(&c->txn, key, membership_share(share)->mod_revision);
-    for (int i = 0; i < c->n_shares; i++)
-        if (c->shares[i] == share) return;
-    c->shares[c->n_shares++] = share;
+    snprintf(key, sizeof key, "share/%d", shard);
+    store_txn_compare(&c->txn, key, membership_shard(shard)->mod_revision);
+    for (int i = 0; i < c->n_shards; i++)
+        if (c->shards[i] == shard) return;
+    c->shards[c->n_shards++] = shard;
 }
 
 static void begin_change(struct change *c, const struct quota_team *t) {
@@ -61,9 +61,9 @@
     store_txn_compare(&c->txn, c->key, store_key_revision(c->key));
 }
 
-/* Nothing is left in shares beside the home. */
+/* Nothing is left in shards beside the home. */
 static bool undivided_again(const struct quota_team *t) {
-    if (t->record.shares > 1 || t->record.n_parts > 1) return false;
+    if (t->record.shards > 1 || t->record.n_parts > 1) return false;
     for (int k = 0; k < quota_settings->size; k++) {
         GPtrArray *lists[] = {jobs_active_of(k), jobs_ended_of(k)};
         for (size_t l = 0; k != t->home && l < G_N_ELEMENTS(lists); l++)
@@ -81,11 +81,11 @@
     if (t->damaged || !settled(t->home)) return false;
     if (t->recorded) quota_look(t);
     if (!t->recorded) {
-        if (!known || agreed.shares <= 1 || !format_divided()) return false;
-        next = quota_record_create(t->home, quota_settings->size, agreed.shares, agreed.limit, agreed.guarantee);
+        if (!known || agreed.shards <= 1 || !format_divided()) return false;
+        next = quota_record_create(t->home, quota_settings->size, agreed.shards, agreed.limit, agreed.guarantee);
     } else if (undivided_again(t)) {
         begin_change(c, t);
-        require_share(c, t->home);
+        require_shard(c, t->home);
         store_txn_delete(&c->txn, c->key);
         return true;
     } else {
@@ -96,32 +96,32 @@
                 if (t->record.limit.of[d] > 0 && (limit.of[d] == 0 || limit.of[d] > t->record.limit.of[d]))
                     limit.of[d] = t->record.limit.of[d];
         struct quota_amount guarantee = known ? agreed.guarantee : t->record.guarantee;
-        int shares = known && agreed.shares > 0 ? agreed.shares : t->record.shares;
-        bool same = quota_amount_equal(limit, t->record.limit) && shares == t->record.shares &&
+        int shards = known && agreed.shards > 0 ? agreed.shards : t->record.shards;
+        bool same = quota_amount_equal(limit, t->record.limit) && shards == t->record.shards &&
                     quota_amount_equal(guarantee, t->record.guarantee);
         if (!same)
-            quota_record_change(&next, t->home, quota_settings->size, shares, limit, guarantee);
+            quota_record_change(&next, t->home, quota_settings->size, shards, limit, guarantee);
         else if (!quota_record_prune(&next, t->home, quota_settings->size, t->used))
             return false;
     }
     begin_change(c, t);
-    require_share(c, t->home);
+    require_shard(c, t->home);
     store_txn_put(&c->txn, c->key, quota_record_value(&next), 0);
     return true;
 }
 
-/* Parts of our own shares, towards what is due to each. */
+/* Parts of our own shards, towards what is due to each. */
 static bool change_parts(struct change *c, struct quota_team *t) {
     bool owned[QUOTA_SHARES_MOST], any = false;
     if (!t->recorded) return false;
-    for (int i = 0; i < t->record.n_parts; i++) any |= owned[i] = settled(t->record.parts[i].share);
+    for (int i = 0; i < t->record.n_parts; i++) any |= owned[i] = settled(t->record.parts[i].shard);
     if (!any) return false;
     quota_look(t);
     struct quota_record next = t->record;
     if (!quota_rebalance(&next, t->home, quota_settings->size, t->used, &t->targets, owned)) return false;
     begin_change(c, t);
     for (int i = 0; i < next.n_parts; i++)
-        if (!quota_amount_equal(next.parts[i].limit, t->record.parts[i].limit)) require_share(c, next.parts[i].share);
+        if (!quota_amount_equal(next.parts[i].limit, t->record.parts[i].limit)) require_shard(c, next.parts[i].shard);
     store_txn_put(&c->txn, c->key, quota_record_value(&next), 0);
     return true;
 }
@@ -137,38 +137,38 @@
         store_refresh(client, c->key);
         store_wake_watch();
     } else if (rc == STORE_UNKNOWN) {
-        /* It may yet be carried out: nothing is booked in these shares before their mod revisions have moved. */
-        for (int i = 0; i < c->n_shares; i++) records_shares[c->shares[i]].barrier = true;
+        /* It may yet be carried out: nothing is booked in these shards before their mod revisions have moved. */
+        for (int i = 0; i < c->n_shards; i++) records_shards[c->shards[i]].barrier = true;
     }
     store_response_clear(&a);
 }
 
-/* The job has nothing booked, and by its id its team's number of shares puts it into another share now. */
-static bool waits_elsewhere(const struct job *j, int share) {
+/* The job has nothing booked, and by its id its team's number of shards puts it into another shard now. */
+static bool waits_elsewhere(const struct job *j, int shard) {
     if (j->bookings->len > 0 || j->n_touched > 0 || !j->spec_text || j->spec.team < 0) return false;
     const struct quota_team *t = quota_team_at(j->spec.team);
     bool damaged = t && t->damaged;
-    return !damaged && quota_share_of_new(j->spec.team, j->spec.uid) != share;
+    return !damaged && quota_shard_of_new(j->spec.team, j->spec.uid) != shard;
 }
 
-/* Jobs that wait follow the number of their team's shares: they leave one that closes, and part among new ones. Late
+/* Jobs that wait follow the number of their team's shards: they leave one that closes, and part among new ones. Late
  * bookings of theirs fail, since their records have changed. */
-static bool move_jobs(struct change *c, int share, int most) {
+static bool move_jobs(struct change *c, int shard, int most) {
     int moved = 0;
-    GPtrArray *jobs = jobs_active_of(share);
-    if (!settled(share)) return false;
+    GPtrArray *jobs = jobs_active_of(shard);
+    if (!settled(shard)) return false;
     memset(c, 0, sizeof *c);
     store_txn_init(&c->txn);
     for (guint i = 0; i < jobs->len && moved < most; i++) {
         const struct job *j = jobs->pdata[i];
-        if (!waits_elsewhere(j, share)) continue;
+        if (!waits_elsewhere(j, shard)) continue;
         char key[96];
         snprintf(key, sizeof key, "job/%s", j->spec.uid);
         store_txn_compare(&c->txn, key, store_key_revision(key));
-        store_txn_put(&c->txn, key, jobs_moved_value(j, quota_share_of_new(j->spec.team, j->spec.uid)), 0);
+        store_txn_put(&c->txn, key, jobs_moved_value(j, quota_shard_of_new(j->spec.team, j->spec.uid)), 0);
         moved++;
     }
-    if (moved > 0) require_share(c, share);
+    if (moved > 0) require_shard(c, shard);
     return moved > 0;
 }
 
@@ -190,15 +190,15 @@
     }
 }
 
-/* What waits in a closing share is not served there: it moves as fast as the store lets it beside bookings. */
+/* What waits in a closing shard is not served there: it moves as fast as the store lets it beside bookings. */
 static void move_all_jobs(struct http_client *client) {
     struct change c;
-    for (int share = 0; share < quota_settings->size; share++) {
+    for (int shard = 0; shard < quota_settings->size; shard++) {
         int most = MIN(store_budget_available(STORE_PRIORITY_PROGRESS), quota_settings->txn_ops);
         if (most < 1) return;
         store_lock();
         memset(&c, 0, sizeof c);
-        bool wanted = move_jobs(&c, share, most);
+        bool wanted = move_jobs(&c, shard, most);
         store_unlock();
         run_change(client, &c, wanted);
     }
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -13,9 +13,9 @@
 
 #define DEMANDS_MOST 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
 
-static int part_at(const struct quota_record *r, int share) {
+static int part_at(const struct quota_record *r, int shard) {
     for (int i = 0; i < r->n_parts; i++)
-        if (r->parts[i].share == share) return i;
+        if (r->parts[i].shard == shard) return i;
     return -1;
 }
 
@@ -34,8 +34,8 @@
     memset(t->stopping, 0, sizeof t->stopping);
     *lasting = (struct quota_amount){{0}};
     for (int i = 0; i < t->record.n_parts; i++) {
-        int share = t->record.parts[i].share;
-        GPtrArray *lists[] = {jobs_active_of(share), jobs_ended_of(share)};
+        int shard = t->record.parts[i].shard;
+        GPtrArray *lists[] = {jobs_active_of(shard), jobs_ended_of(shard)};
         for (size_t l = 0; l < G_N_ELEMENTS(lists); l++)
             for (guint n = 0; n < lists[l]->len; n++) {
                 const struct job *j = lists[l]->pdata[n];
@@ -106,10 +106,10 @@
     for (guint i = 0; i < order->len && n < DEMANDS_MOST; i++) {
         const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
         int waiting = tasks_waiting(j);
-        if (waiting <= 0 || part_at(&t->record, jobs_share(j)) < 0) continue;
-        if (quota_part_closing(&t->record, t->home, quota_settings->size, jobs_share(j))) continue;
+        if (waiting <= 0 || part_at(&t->record, jobs_shard(j)) < 0) continue;
+        if (quota_part_closing(&t->record, t->home, quota_settings->size, jobs_shard(j))) continue;
         jobs[n] = j;
-        demands[n++] = (struct quota_demand){.share = jobs_share(j),
+        demands[n++] = (struct quota_demand){.shard = jobs_shard(j),
                                              .tasks = waiting,
                                              .each = quota_amount_used(&j->spec, 1),
                                              .whole = j->spec.shape == JOB_GROUP,
--- a/src/quota/parts.c
+++ b/src/quota/parts.c
@@ -7,20 +7,20 @@
 
 #define CHUNKS 16 /* a part changes by a sixteenth of the limit at least, so that it need not change often */
 
-int quota_share_at(int home, int size, int i) { return (home + i) % size; }
+int quota_shard_at(int home, int size, int i) { return (home + i) % size; }
 
-int quota_share_for(const char *uid, int home, int size, int shares) {
-    return quota_share_at(home, size, (int)(g_str_hash(uid) % (guint)MAX(shares, 1)));
+int quota_shard_for(const char *uid, int home, int size, int shards) {
+    return quota_shard_at(home, size, (int)(g_str_hash(uid) % (guint)MAX(shards, 1)));
 }
 
-struct quota_part *quota_part_of(struct quota_record *r, int share) {
+struct quota_part *quota_part_of(struct quota_record *r, int shard) {
     for (int i = 0; i < r->n_parts; i++)
-        if (r->parts[i].share == share) return &r->parts[i];
+        if (r->parts[i].shard == shard) return &r->parts[i];
     return NULL;
 }
 
-bool quota_part_closing(const struct quota_record *r, int home, int size, int share) {
-    return (share - home + size) % size >= r->shares;
+bool quota_part_closing(const struct quota_record *r, int home, int size, int shard) {
+    return (shard - home + size) % size >= r->shards;
 }
 
 static const struct quota_amount nothing;
@@ -30,14 +30,14 @@
 const char *quota_record_fault(const struct quota_record *r) {
     struct quota_amount limit = r->unassigned, guarantee = r->guarantee_unassigned;
     if (r->n_parts < 1 || r->n_parts > QUOTA_SHARES_MOST) return "its number of parts";
-    if (r->shares < 1 || r->shares > QUOTA_SHARES_MOST) return "its number of shares";
+    if (r->shards < 1 || r->shards > QUOTA_SHARES_MOST) return "its number of shares";
     if (r->epoch < 1) return "its epoch";
     if (negative(r->limit) || negative(r->guarantee) || negative(r->guarantee_unassigned)) return "a negative amount";
     for (int i = 0; i < r->n_parts; i++) {
         const struct quota_part *p = &r->parts[i];
         if (negative(p->limit) || negative(p->guarantee)) return "a negative part";
         for (int o = 0; o < i; o++)
-            if (r->parts[o].share == p->share) return "a share with two parts";
+            if (r->parts[o].shard == p->shard) return "a share with two parts";
         limit = quota_amount_sum(limit, p->limit);
         guarantee = quota_amount_sum(guarantee, p->guarantee);
     }
@@ -46,42 +46,42 @@
     return NULL;
 }
 
-/* The guarantee lies in equal parts with the shares that take new jobs, the rest of the division with the first. These
+/* The guarantee lies in equal parts with the shards that take new jobs, the rest of the division with the first. These
  * parts need not follow the demand: see quota_beyond. */
 static void divide_guarantee(struct quota_record *r, int home, int size) {
     r->guarantee_unassigned = nothing;
     for (int i = 0; i < r->n_parts; i++) {
         struct quota_part *p = &r->parts[i];
         p->guarantee = nothing;
-        if (quota_part_closing(r, home, size, p->share)) continue;
+        if (quota_part_closing(r, home, size, p->shard)) continue;
         for (int d = 0; d < QUOTA_DIMENSIONS; d++) {
-            p->guarantee.of[d] = r->guarantee.of[d] / r->shares;
-            if (p->share == home) p->guarantee.of[d] += r->guarantee.of[d] % r->shares;
+            p->guarantee.of[d] = r->guarantee.of[d] / r->shards;
+            if (p->shard == home) p->guarantee.of[d] += r->guarantee.of[d] % r->shards;
         }
     }
 }
 
 static void add_missing_parts(struct quota_record *r, int home, int size) {
-    for (int i = 0; i < r->shares; i++) {
-        int share = quota_share_at(home, size, i);
-        if (quota_part_of(r, share) || r->n_parts == QUOTA_SHARES_MOST) continue;
-        r->parts[r->n_parts++] = (struct quota_part){.share = share};
+    for (int i = 0; i < r->shards; i++) {
+        int shard = quota_shard_at(home, size, i);
+        if (quota_part_of(r, shard) || r->n_parts == QUOTA_SHARES_MOST) continue;
+        r->parts[r->n_parts++] = (struct quota_part){.shard = shard};
     }
 }
 
-struct quota_record quota_record_create(int home, int size, int shares, struct quota_amount limit,
+struct quota_record quota_record_create(int home, int size, int shards, struct quota_amount limit,
                                         struct quota_amount guarantee) {
-    struct quota_record r = {.epoch = 1, .shares = shares, .limit = limit, .guarantee = guarantee};
+    struct quota_record r = {.epoch = 1, .shards = shards, .limit = limit, .guarantee = guarantee};
     add_missing_parts(&r, home, size);
     quota_part_of(&r, home)->limit = limit;
     divide_guarantee(&r, home, size);
     return r;
 }
 
-void quota_record_change(struct quota_record *r, int home, int size, int shares, struct quota_amount limit,
+void quota_record_change(struct quota_record *r, int home, int size, int shards, struct quota_amount limit,
                          struct quota_amount guarantee) {
     r->epoch++;
-    r->shares = shares;
+    r->shards = shards;
     r->unassigned = quota_amount_sum(r->unassigned, quota_amount_difference(limit, r->limit));
     r->limit = limit;
     r->guarantee = guarantee;
@@ -95,15 +95,15 @@
         const struct quota_part *p = &r->parts[i];
         bool empty = quota_amount_equal(p->limit, nothing) && quota_amount_equal(p->guarantee, nothing) &&
                      quota_amount_equal(used[i], nothing);
-        if (!empty || !quota_part_closing(r, home, size, p->share)) r->parts[kept++] = *p;
+        if (!empty || !quota_part_closing(r, home, size, p->shard)) r->parts[kept++] = *p;
     }
     bool pruned = kept < r->n_parts;
     r->n_parts = kept;
     return pruned;
 }
 
-bool quota_record_move(struct quota_record *r, int share, struct quota_amount by) {
-    struct quota_part *p = quota_part_of(r, share);
+bool quota_record_move(struct quota_record *r, int shard, struct quota_amount by) {
+    struct quota_part *p = quota_part_of(r, shard);
     if (!p) return false;
     struct quota_amount part = quota_amount_sum(p->limit, by), rest = quota_amount_difference(r->unassigned, by);
     if (negative(part)) return false;
@@ -114,9 +114,9 @@
     return true;
 }
 
-static int part_index(const struct quota_record *r, int share) {
+static int part_index(const struct quota_record *r, int shard) {
     for (int i = 0; i < r->n_parts; i++)
-        if (r->parts[i].share == share) return i;
+        if (r->parts[i].shard == shard) return i;
     return -1;
 }
 
@@ -153,7 +153,7 @@
     }
     for (int i = 0; i < n && t.gatherer < 0; i++) {
         const struct quota_demand *w = &demands[i];
-        int at = part_index(r, w->share), fit = tasks_that_fit(r, w, free);
+        int at = part_index(r, w->shard), fit = tasks_that_fit(r, w, free);
         if (at < 0) continue;
         if (fit < w->tasks)
             for (int d = 0; d < QUOTA_DIMENSIONS; d++) t.scarce[d] |= bounded(r, d) && w->each.of[d] > 0;
@@ -169,7 +169,7 @@
     return t;
 }
 
-/* How much more all shares should hold than they do. */
+/* How much more all shards should hold than they do. */
 static struct quota_amount shortage(const struct quota_record *r, const struct quota_targets *targets) {
     struct quota_amount sum = nothing;
     for (int i = 0; i < r->n_parts; i++) {
@@ -179,7 +179,7 @@
     return sum;
 }
 
-/* By how much a part is lowered: what is wanted elsewhere and not there already, a chunk at least, as far as the share
+/* By how much a part is lowered: what is wanted elsewhere and not there already, a chunk at least, as far as the shard
  * can spare it. A closing part goes as a whole. */
 static int64_t surplus(int64_t part, int64_t keep, int64_t wanted, int64_t chunk, bool closing) {
     int64_t spare = MAX(part - keep, 0);
@@ -193,7 +193,7 @@
     for (int i = 0; i < r->n_parts; i++) {
         struct quota_part *p = &r->parts[i];
         if (!owned[i]) continue;
-        bool closing = quota_part_closing(r, home, size, p->share);
+        bool closing = quota_part_closing(r, home, size, p->shard);
         struct quota_amount wanted = quota_amount_difference(shortage(r, targets), r->unassigned), by = nothing;
         for (int d = 0; d < QUOTA_DIMENSIONS; d++) {
             int64_t keep = closing ? used[i].of[d] : MAX(used[i].of[d], targets->of[i].of[d]);
@@ -201,11 +201,11 @@
             if (r->unassigned.of[d] < 0) keep = used[i].of[d];
             by.of[d] = -surplus(p->limit.of[d], keep, wanted.of[d], r->limit.of[d] / CHUNKS, closing);
         }
-        changed |= !quota_amount_equal(by, nothing) && quota_record_move(r, p->share, by);
+        changed |= !quota_amount_equal(by, nothing) && quota_record_move(r, p->shard, by);
     }
     for (int i = 0; i < r->n_parts; i++) {
         const struct quota_part *p = &r->parts[i];
-        if (!owned[i] || quota_part_closing(r, home, size, p->share)) continue;
+        if (!owned[i] || quota_part_closing(r, home, size, p->shard)) continue;
         struct quota_amount wanted = shortage(r, targets), by = nothing;
         for (int d = 0; d < QUOTA_DIMENSIONS; d++) {
             int64_t lacks = targets->of[i].of[d] - p->limit.of[d];
@@ -214,12 +214,12 @@
             int64_t others = wanted.of[d] - lacks, spare = r->unassigned.of[d] - others;
             by.of[d] = MIN(r->unassigned.of[d], MAX(lacks, MIN(spare, r->limit.of[d] / CHUNKS)));
         }
-        changed |= !quota_amount_equal(by, nothing) && quota_record_move(r, p->share, by);
+        changed |= !quota_amount_equal(by, nothing) && quota_record_move(r, p->shard, by);
     }
     return changed;
 }
 
-/* What the parts hold beyond the limit, and the other shares beyond their parts: they started it before there was a
+/* What the parts hold beyond the limit, and the other shards beyond their parts: they started it before there was a
  * limit. Each owner leaves all of that free by itself, so that no start leads above the limit whatever the others do
  * meanwhile. */
 static int64_t to_leave_free(const struct quota_record *r, int part, int d, int64_t limit,
@@ -252,7 +252,7 @@
 
 struct quota_amount quota_beyond(const struct quota_record *r, int part, const struct quota_amount *used) {
     struct quota_amount floor = r->guarantee, out;
-    /* Another share stops nothing that lies within its own part: its own floor is never below that. So both together
+    /* Another shard stops nothing that lies within its own part: its own floor is never below that. So both together
      * leave the team its whole guarantee, though neither knows what the other decides. */
     for (int i = 0; i < r->n_parts; i++)
         if (i != part) floor = quota_amount_difference(floor, quota_amount_least(used[i], r->parts[i].guarantee));
--- a/src/quota/parts.h
+++ b/src/quota/parts.h
@@ -1,8 +1,8 @@
-/* The parts of a divided team's limit and guarantee: escrow. Each share holds a part of the limit and books against it
+/* The parts of a divided team's limit and guarantee: escrow. Each shard holds a part of the limit and books against it
  * without asking. Pure: no I/O, no clock, no state.
  *
  * Invariant of every record: parts plus unassigned = limit, and the same for the guarantee. Parts are never negative;
- * `unassigned` of the limit is, where the limit was lowered below what the shares hold. */
+ * `unassigned` of the limit is, where the limit was lowered below what the shards hold. */
 #ifndef FF_QUOTA_PARTS_H
 #define FF_QUOTA_PARTS_H
 #include <stdbool.h>
@@ -13,45 +13,45 @@
 #define QUOTA_SHARES_MOST 16 /* of a team: its record stays below 1 KiB */
 
 struct quota_part {
-    int share;
+    int shard;
     struct quota_amount limit, guarantee;
 };
 
 struct quota_record {
-    int64_t epoch; /* rises with every change of the limit, the guarantee or the number of shares */
-    int shares;    /* the first so many of the team's shares take new jobs; parts of others are closing */
+    int64_t epoch; /* rises with every change of the limit, the guarantee or the number of shards */
+    int shards;    /* the first so many of the team's shards take new jobs; parts of others are closing */
     struct quota_amount limit, guarantee;
     struct quota_amount unassigned, guarantee_unassigned;
     struct quota_part parts[QUOTA_SHARES_MOST];
     int n_parts;
 };
 
-/* The share that holds the i-th part of a team: the first is the team's home, its only one where it is undivided. */
-int quota_share_at(int home, int size, int i);
-/* The share of a new job, by its id. */
-int quota_share_for(const char *uid, int home, int size, int shares);
+/* The shard that holds the i-th part of a team: the first is the team's home, its only one where it is undivided. */
+int quota_shard_at(int home, int size, int i);
+/* The shard of a new job, by its id. */
+int quota_shard_for(const char *uid, int home, int size, int shards);
 
 /* NULL, or what contradicts the invariant. */
 const char *quota_record_fault(const struct quota_record *r);
-struct quota_part *quota_part_of(struct quota_record *r, int share); /* NULL: none */
-bool quota_part_closing(const struct quota_record *r, int home, int size, int share);
+struct quota_part *quota_part_of(struct quota_record *r, int shard); /* NULL: none */
+bool quota_part_closing(const struct quota_record *r, int home, int size, int shard);
 
 /* The first record of a team: its home holds the whole limit, as it did before. */
-struct quota_record quota_record_create(int home, int size, int shares, struct quota_amount limit,
+struct quota_record quota_record_create(int home, int size, int shards, struct quota_amount limit,
                                         struct quota_amount guarantee);
-/* A new epoch with another limit, guarantee or number of shares. No part of the limit changes: what is unassigned
+/* A new epoch with another limit, guarantee or number of shards. No part of the limit changes: what is unassigned
  * does, and may fall below zero until the owners have lowered their parts. */
-void quota_record_change(struct quota_record *r, int home, int size, int shares, struct quota_amount limit,
+void quota_record_change(struct quota_record *r, int home, int size, int shards, struct quota_amount limit,
                          struct quota_amount guarantee);
-/* Removes closing parts that hold nothing, of shares that use nothing; true if there were any. */
+/* Removes closing parts that hold nothing, of shards that use nothing; true if there were any. */
 bool quota_record_prune(struct quota_record *r, int home, int size, const struct quota_amount *used);
-/* Raises (or lowers) a share's part from (or to) what is unassigned; false, and no change, if either would fall below
+/* Raises (or lowers) a shard's part from (or to) what is unassigned; false, and no change, if either would fall below
  * zero by it. */
-bool quota_record_move(struct quota_record *r, int share, struct quota_amount by);
+bool quota_record_move(struct quota_record *r, int shard, struct quota_amount by);
 
-/* What one waiting job asks for, in the order in which the team's jobs are served whatever share they are in. */
+/* What one waiting job asks for, in the order in which the team's jobs are served whatever shard they are in. */
 struct quota_demand {
-    int share, tasks;
+    int shard, tasks;
     struct quota_amount each;
     bool whole;      /* all tasks or none */
     bool may_gather; /* what gets free may be held back for it until all of it fits */
@@ -63,25 +63,25 @@
     int gatherer;                              /* index of the demand that room is held back for; -1: none */
 };
 
-/* What each share's part should come to: what it uses, and what waits there as far as the limit goes, in order. All
+/* What each shard's part should come to: what it uses, and what waits there as far as the limit goes, in order. All
  * controllers compute the same from the same records. `used` is in the order of the parts. `lasting` is what the team
  * uses for work that does not end by itself: nothing is held back for a job that does not fit beside that. */
 struct quota_targets quota_targets(const struct quota_record *r, const struct quota_amount *used,
                                    struct quota_amount lasting, const struct quota_demand *demands, int n);
 
-/* What one owner changes of its own shares' parts towards the targets: lowers those from which others need something,
- * raises those that need something from what is unassigned. No part falls below what the share uses. Changes the record
- * and says whether it did. `owned` says of each part whether its share is the caller's. */
+/* What one owner changes of its own shards' parts towards the targets: lowers those from which others need something,
+ * raises those that need something from what is unassigned. No part falls below what the shard uses. Changes the record
+ * and says whether it did. `owned` says of each part whether its shard is the caller's. */
 bool quota_rebalance(struct quota_record *r, int home, int size, const struct quota_amount *used,
                      const struct quota_targets *targets, const bool *owned);
 
-/* What a share may use in all: its part, less what the limit lacks to all parts, and no more than its target where the
+/* What a shard may use in all: its part, less what the limit lacks to all parts, and no more than its target where the
  * limit is scarce. `limit` is the lowest that any controller's settings name, 0 where none does. Dimensions without a
  * limit: INT64_MAX. */
 struct quota_amount quota_allowance(const struct quota_record *r, int part, struct quota_amount limit,
                                     const struct quota_amount *used, const struct quota_targets *targets, bool closing);
 
-/* How much of the team's work in a share may be stopped for others: what the team uses beyond its whole guarantee, as
- * far as the other shares surely keep their parts of it. */
+/* How much of the team's work in a shard may be stopped for others: what the team uses beyond its whole guarantee, as
+ * far as the other shards surely keep their parts of it. */
 struct quota_amount quota_beyond(const struct quota_record *r, int part, const struct quota_amount *used);
 #endif
--- a/src/quota/parts_properties.cpp
+++ b/src/quota/parts_properties.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int kSize = 5;  // shares of the cluster
+constexpr int kSize = 5;  // shards of the cluster
 constexpr int kHome = 1;
 constexpr int kUnit = 1000;
 constexpr int kRoundsToSettle = 40;
@@ -22,15 +22,15 @@
 
 struct Operation {
     Kind kind;
-    int share;  // by position among the parts
+    int shard;  // by position among the parts
     int vcpus, gpus;
-    int shares;       // of a change
+    int shards;       // of a change
     unsigned owners;  // one bit a part: whose owner acts
 };
 
 std::ostream &operator<<(std::ostream &out, const Operation &o) {
-    return out << "{" << static_cast<int>(o.kind) << " share " << o.share << " " << o.vcpus << "/" << o.gpus
-               << " shares " << o.shares << " owners " << o.owners << "}";
+    return out << "{" << static_cast<int>(o.kind) << " share " << o.shard << " " << o.vcpus << "/" << o.gpus
+               << " shares " << o.shards << " owners " << o.owners << "}";
 }
 
 quota_amount amount(int vcpus, int gpus) { return quota_amount{{int64_t{vcpus} * kUnit, int64_t{gpus} * kUnit}}; }
@@ -40,24 +40,24 @@
         rc::gen::set(&Operation::kind,
                      rc::gen::element(Kind::kBook, Kind::kBook, Kind::kBook, Kind::kRelease, Kind::kRebalance,
                                       Kind::kRebalance, Kind::kChange, Kind::kPrune)),
-        rc::gen::set(&Operation::share, rc::gen::inRange(0, QUOTA_SHARES_MOST)),
+        rc::gen::set(&Operation::shard, rc::gen::inRange(0, QUOTA_SHARES_MOST)),
         rc::gen::set(&Operation::vcpus, rc::gen::inRange(0, 9)), rc::gen::set(&Operation::gpus, rc::gen::inRange(0, 5)),
-        rc::gen::set(&Operation::shares, rc::gen::inRange(1, kSize + 1)),
+        rc::gen::set(&Operation::shards, rc::gen::inRange(1, kSize + 1)),
         rc::gen::set(&Operation::owners, rc::gen::inRange(0u, 1u << kSize)));
 }
 
 struct Team {
     quota_record record;
-    std::array<quota_amount, kSize> used_by_share{};  // by share, whatever parts there are
+    std::array<quota_amount, kSize> used_by_shard{};  // by shard, whatever parts there are
 
     std::vector<quota_amount> used() const {
         std::vector<quota_amount> out(QUOTA_SHARES_MOST);
-        for (int i = 0; i < record.n_parts; i++) out[i] = used_by_share[record.parts[i].share];
+        for (int i = 0; i < record.n_parts; i++) out[i] = used_by_shard[record.parts[i].shard];
         return out;
     }
     quota_amount total() const {
         quota_amount sum{};
-        for (const auto &u : used_by_share) sum = quota_amount_sum(sum, u);
+        for (const auto &u : used_by_shard) sum = quota_amount_sum(sum, u);
         return sum;
     }
 };
@@ -68,7 +68,7 @@
     std::vector<quota_demand> out;
     for (const auto &o : operations) {
         if (o.vcpus + o.gpus == 0) continue;
-        out.push_back({r.parts[o.share % r.n_parts].share, o.shares, amount(o.vcpus, o.gpus), o.kind == Kind::kBook,
+        out.push_back({r.parts[o.shard % r.n_parts].shard, o.shards, amount(o.vcpus, o.gpus), o.kind == Kind::kBook,
                        o.kind != Kind::kPrune});
     }
     return out;
@@ -80,24 +80,24 @@
     const auto used = team.used();
     const auto targets =
         quota_targets(&r, used.data(), quota_amount{}, demands.data(), static_cast<int>(demands.size()));
-    const int part = o.share % r.n_parts, share = r.parts[part].share;
+    const int part = o.shard % r.n_parts, shard = r.parts[part].shard;
     const quota_amount size = amount(o.vcpus, o.gpus);
     if (o.kind == Kind::kBook) {
-        const bool closing = quota_part_closing(&r, kHome, kSize, share);
+        const bool closing = quota_part_closing(&r, kHome, kSize, shard);
         const auto may = quota_allowance(&r, part, r.limit, used.data(), &targets, closing);
         const auto next = quota_amount_sum(used[part], size);
         if (size.of[0] + size.of[1] == 0 || !within(next, may)) return;
-        team.used_by_share[share] = next;
+        team.used_by_shard[shard] = next;
         // The limit may have been lowered below what runs, but no start leads above it.
         for (int d = 0; d < QUOTA_DIMENSIONS; d++)
             RC_ASSERT(r.limit.of[d] == 0 || size.of[d] == 0 || team.total().of[d] <= r.limit.of[d]);
     } else if (o.kind == Kind::kRelease) {
         for (int d = 0; d < QUOTA_DIMENSIONS; d++)
-            team.used_by_share[share].of[d] = std::max<int64_t>(team.used_by_share[share].of[d] - size.of[d], 0);
+            team.used_by_shard[shard].of[d] = std::max<int64_t>(team.used_by_shard[shard].of[d] - size.of[d], 0);
     } else if (o.kind == Kind::kRebalance) {
         bool owned[QUOTA_SHARES_MOST] = {};
         const quota_record before = r;
-        for (int i = 0; i < r.n_parts; i++) owned[i] = (o.owners >> r.parts[i].share & 1) != 0;
+        for (int i = 0; i < r.n_parts; i++) owned[i] = (o.owners >> r.parts[i].shard & 1) != 0;
         quota_rebalance(&r, kHome, kSize, used.data(), &targets, owned);
         for (int i = 0; i < r.n_parts; i++) {
             const bool lowered = !within(before.parts[i].limit, r.parts[i].limit);
@@ -109,14 +109,14 @@
     } else if (o.kind == Kind::kChange) {
         const quota_amount limit = amount(o.vcpus * 4, 4 + o.gpus * 4);
         const int64_t epoch = r.epoch;
-        quota_record_change(&r, kHome, kSize, o.shares, limit, quota_amount_least(limit, amount(o.vcpus, o.gpus)));
+        quota_record_change(&r, kHome, kSize, o.shards, limit, quota_amount_least(limit, amount(o.vcpus, o.gpus)));
         RC_ASSERT(r.epoch == epoch + 1);
     } else {
         quota_record_prune(&r, kHome, kSize, used.data());
     }
 }
 
-Team created(int shares) { return Team{quota_record_create(kHome, kSize, shares, amount(40, 16), amount(10, 4)), {}}; }
+Team created(int shards) { return Team{quota_record_create(kHome, kSize, shards, amount(40, 16), amount(10, 4)), {}}; }
 
 }  // namespace
 
@@ -148,7 +148,7 @@
                 owned[i] = true;
                 changes += quota_rebalance(&team.record, kHome, kSize, used.data(), &targets, owned);
             }
-        // Each share gives and takes a bounded number of times: nothing is passed to and fro.
+        // Each shard gives and takes a bounded number of times: nothing is passed to and fro.
         RC_ASSERT(changes <= 4 * team.record.n_parts);
         for (int i = 0; i < team.record.n_parts; i++)
             RC_ASSERT(targets.gatherer >= 0 || within(targets.of[i], team.record.parts[i].limit) ||
@@ -174,7 +174,7 @@
     ok &= rc::check("owners that stop work at the same time leave the team its guarantee", [] {
         Team team = created(*rc::gen::inRange(1, kSize + 1));
         for (int i = 0; i < team.record.n_parts; i++)
-            team.used_by_share[team.record.parts[i].share] = amount(*rc::gen::inRange(0, 9), *rc::gen::inRange(0, 5));
+            team.used_by_shard[team.record.parts[i].shard] = amount(*rc::gen::inRange(0, 9), *rc::gen::inRange(0, 5));
         const auto used = team.used();
         quota_amount left{};
         for (int i = 0; i < team.record.n_parts; i++)
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -12,9 +12,9 @@
 
 static int n_divided; /* teams with a record, readable or not */
 
-static int part_at(const struct quota_team *t, int share) {
+static int part_at(const struct quota_team *t, int shard) {
     for (int i = 0; i < t->record.n_parts; i++)
-        if (t->record.parts[i].share == share) return i;
+        if (t->record.parts[i].shard == shard) return i;
     return -1;
 }
 
@@ -30,10 +30,10 @@
 
 bool quota_any_divided(void) { return n_divided > 0; }
 
-int quota_share_of_new(int team, const char *uid) {
+int quota_shard_of_new(int team, const char *uid) {
     const struct quota_team *t = quota_team_at(team);
     int home = team % quota_settings->size;
-    return t && t->recorded ? quota_share_for(uid, home, quota_settings->size, t->record.shares) : home;
+    return t && t->recorded ? quota_shard_for(uid, home, quota_settings->size, t->record.shards) : home;
 }
 
 void quota_refresh(void) {
@@ -51,19 +51,19 @@
 
 static const struct quota_bound no_room = {0, 0};
 
-struct quota_bound quota_bound(int team, int share) {
+struct quota_bound quota_bound(int team, int shard) {
     const struct settings_team *s = &quota_settings->teams[team];
     const struct quota_team *t = divided(team);
-    /* A job that came into another share shortly before the division was taken back waits until it is moved. */
+    /* A job that came into another shard shortly before the division was taken back waits until it is moved. */
     if (!t)
-        return share == team % quota_settings->size
+        return shard == team % quota_settings->size
                    ? (struct quota_bound){limit_or_none(s->cpus_max), limit_or_none(s->gpus_max)}
                    : no_room;
-    int at = part_at(t, share);
+    int at = part_at(t, shard);
     /* A write that was refused may be the second copy of one that was carried out: until the mirror shows whether it
-     * was, what the share uses is not known. */
-    if (t->damaged || at < 0 || records_shares[share].conflict_revision > store_revision()) return no_room;
-    bool closing = quota_part_closing(&t->record, t->home, quota_settings->size, share);
+     * was, what the shard uses is not known. */
+    if (t->damaged || at < 0 || records_shards[shard].conflict_revision > store_revision()) return no_room;
+    bool closing = quota_part_closing(&t->record, t->home, quota_settings->size, shard);
     struct quota_amount may =
         quota_allowance(&t->record, at, quota_view_least_limit(team), t->used, &t->targets, closing);
     return (struct quota_bound){bound_of(may.of[QUOTA_VCPUS]), bound_of(may.of[QUOTA_GPUS])};
@@ -89,7 +89,7 @@
 bool quota_may_be_stopped(const struct booking *b) {
     const struct quota_team *t = divided(b->job->spec.team);
     if (!t) return true;
-    int at = part_at(t, jobs_share(b->job));
+    int at = part_at(t, jobs_shard(b->job));
     if (t->damaged || at < 0) return false;
     struct quota_amount used[QUOTA_SHARES_MOST];
     memcpy(used, t->used, sizeof used);
@@ -106,7 +106,7 @@
     for (; counted < m->bookings->len && counted < RECORDS_TASKS_MOST; counted++) {
         const struct booking *b = m->bookings->pdata[counted];
         struct quota_team *t = divided(b->job->spec.team);
-        int at = t && !t->damaged ? part_at(t, jobs_share(b->job)) : -1;
+        int at = t && !t->damaged ? part_at(t, jobs_shard(b->job)) : -1;
         may &= !t || b->job->rank < rank || quota_may_be_stopped(b);
         if (at < 0) continue;
         before[counted] = t->stopping[at];
@@ -115,7 +115,7 @@
     while (counted-- > 0) {
         const struct booking *b = m->bookings->pdata[counted];
         struct quota_team *t = divided(b->job->spec.team);
-        int at = t && !t->damaged ? part_at(t, jobs_share(b->job)) : -1;
+        int at = t && !t->damaged ? part_at(t, jobs_shard(b->job)) : -1;
         if (at >= 0) t->stopping[at] = before[counted];
     }
     return may;
@@ -124,16 +124,16 @@
 bool quota_waits_for_machines(const struct job *j, int tasks) {
     const struct quota_team *t = divided(j->spec.team);
     if (!t) return true;
-    int share = jobs_share(j), at = part_at(t, share);
+    int shard = jobs_shard(j), at = part_at(t, shard);
     if (t->damaged || at < 0) return false;
-    struct quota_bound most = quota_bound(j->spec.team, share);
+    struct quota_bound most = quota_bound(j->spec.team, shard);
     return (double)t->used[at].of[QUOTA_VCPUS] / QUOTA_UNIT + tasks * j->spec.vcpus <= most.vcpus + 1e-6 &&
            (double)t->used[at].of[QUOTA_GPUS] / QUOTA_UNIT + tasks * j->spec.gpus <= most.gpus + 1e-6;
 }
 
 void quota_stopped(const struct booking *b) {
     struct quota_team *t = divided(b->job->spec.team);
-    int at = t ? part_at(t, jobs_share(b->job)) : -1;
+    int at = t ? part_at(t, jobs_shard(b->job)) : -1;
     if (at >= 0) t->stopping[at] = quota_amount_sum(t->stopping[at], quota_amount_used(&b->job->spec, 1));
 }
 
@@ -141,13 +141,13 @@
 void quota_tell(void) {
     for (int team = 0; team < quota_settings->n_teams; team++) {
         const struct quota_team *t = divided(team);
-        if (!t || t->damaged || !membership_mine(t->home)) continue;
+        if (!t || t->damaged || !membership_owns(t->home)) continue;
         const struct quota_record *r = &t->record;
         GString *line = g_string_new("");
         for (int i = 0; i < r->n_parts; i++) {
             struct quota_amount waits = quota_amount_difference(t->targets.of[i], t->used[i]);
             g_string_append_printf(
-                line, ", share %d uses %.0f/%.0f of %.0f/%.0f and is due %.0f/%.0f more", r->parts[i].share,
+                line, ", share %d uses %.0f/%.0f of %.0f/%.0f and is due %.0f/%.0f more", r->parts[i].shard,
                 (double)t->used[i].of[QUOTA_VCPUS] / QUOTA_UNIT, (double)t->used[i].of[QUOTA_GPUS] / QUOTA_UNIT,
                 (double)r->parts[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
                 (double)r->parts[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT, (double)waits.of[QUOTA_VCPUS] / QUOTA_UNIT,
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -88,7 +88,7 @@
     (void)state;
     static const struct {
         const char *what;
-        int used[2]; /* by home and second share */
+        int used[2]; /* by home and second shard */
         struct {
             int part, tasks, each;
             bool whole;
@@ -119,7 +119,7 @@
         struct quota_demand waits[3];
         int n = 0;
         for (; n < 3 && rows[i].waits[n].tasks; n++)
-            waits[n] = (struct quota_demand){quota_share_at(HOME, SIZE, rows[i].waits[n].part), rows[i].waits[n].tasks,
+            waits[n] = (struct quota_demand){quota_shard_at(HOME, SIZE, rows[i].waits[n].part), rows[i].waits[n].tasks,
                                              gpus(rows[i].waits[n].each), rows[i].waits[n].whole, true};
         struct quota_targets t = quota_targets(&r, used, (struct quota_amount){{0}}, waits, n);
         for (int turn = 0; turn < 4; turn++) {
@@ -147,7 +147,7 @@
     static const struct {
         const char *what;
         int record, view; /* limits: on record, and of another controller's settings */
-        int used, other;  /* by the home, and by the other share */
+        int used, other;  /* by the home, and by the other shard */
         int allowed;      /* to the home */
     } rows[] = {
         {"as it was", 12, 12, 3, 5, 7},
@@ -169,7 +169,7 @@
     }
 }
 
-/* Fewer shares: the others close, give back what they do not use, and go. */
+/* Fewer shards: the others close, give back what they do not use, and go. */
 static void closing(void **state) {
     (void)state;
     struct quota_record r = quota_record_create(HOME, SIZE, 3, gpus(12), gpus(5));
@@ -182,24 +182,24 @@
     assert_int_equal(r.epoch, 2);
     assert_true(quota_rebalance(&r, HOME, SIZE, used, &t, all));
     assert_true(quota_record_prune(&r, HOME, SIZE, used));
-    assert_int_equal(r.n_parts, 2); /* one share still runs tasks */
+    assert_int_equal(r.n_parts, 2); /* one shard still runs tasks */
     assert_int_equal(quota_part_of(&r, 0)->limit.of[QUOTA_GPUS], 3000);
     assert_int_equal(quota_part_of(&r, HOME)->guarantee.of[QUOTA_GPUS], 5000);
     assert_null(quota_record_fault(&r));
 }
 
-/* Ids spread over the shares, and each always comes to the same. */
-static void shares(void **state) {
+/* Ids spread over the shards, and each always comes to the same. */
+static void shards(void **state) {
     (void)state;
     int n[SIZE] = {0};
     for (int i = 0; i < 3000; i++) {
         char uid[32];
         g_snprintf(uid, sizeof uid, "req-%06d", i);
-        int share = quota_share_for(uid, HOME, SIZE, 3);
-        assert_in_range(share, 0, SIZE - 1);
-        assert_int_equal(share, quota_share_for(uid, HOME, SIZE, 3));
-        assert_int_equal(quota_share_for(uid, HOME, SIZE, 1), HOME);
-        n[share]++;
+        int shard = quota_shard_for(uid, HOME, SIZE, 3);
+        assert_in_range(shard, 0, SIZE - 1);
+        assert_int_equal(shard, quota_shard_for(uid, HOME, SIZE, 3));
+        assert_int_equal(quota_shard_for(uid, HOME, SIZE, 1), HOME);
+        n[shard]++;
     }
     for (int k = 0; k < SIZE; k++) assert_in_range(n[k], 800, 1200);
 }
@@ -207,6 +207,6 @@
 int main(void) {
     const struct CMUnitTest tests[] = {cmocka_unit_test(records),    cmocka_unit_test(largest),
                                        cmocka_unit_test(rebalances), cmocka_unit_test(lowered),
-                                       cmocka_unit_test(closing),    cmocka_unit_test(shares)};
+                                       cmocka_unit_test(closing),    cmocka_unit_test(shards)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/quota/record.c
+++ b/src/quota/record.c
@@ -28,7 +28,7 @@
 
 static cJSON *part_value(const struct quota_part *p) {
     cJSON *list = cJSON_CreateArray();
-    cJSON_AddItemToArray(list, cJSON_CreateNumber(p->share));
+    cJSON_AddItemToArray(list, cJSON_CreateNumber(p->shard));
     for (int d = 0; d < QUOTA_DIMENSIONS; d++) cJSON_AddItemToArray(list, cJSON_CreateNumber((double)p->limit.of[d]));
     for (int d = 0; d < QUOTA_DIMENSIONS; d++)
         cJSON_AddItemToArray(list, cJSON_CreateNumber((double)p->guarantee.of[d]));
@@ -38,7 +38,7 @@
 cJSON *quota_record_value(const struct quota_record *r) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddNumberToObject(o, "epoch", (double)r->epoch);
-    cJSON_AddNumberToObject(o, "shares", r->shares);
+    cJSON_AddNumberToObject(o, "shares", r->shards);
     cJSON_AddItemToObject(o, "limit", amount_value(r->limit));
     cJSON_AddItemToObject(o, "guarantee", amount_value(r->guarantee));
     cJSON_AddItemToObject(o, "unassigned", amount_value(r->unassigned));
@@ -49,23 +49,23 @@
 }
 
 static bool read_part(const cJSON *list, int size, struct quota_part *out) {
-    const cJSON *share = cJSON_GetArrayItem(list, 0);
-    if (!cJSON_IsNumber(share) || share->valueint < 0 || share->valueint >= size) return false;
-    out->share = share->valueint;
+    const cJSON *shard = cJSON_GetArrayItem(list, 0);
+    if (!cJSON_IsNumber(shard) || shard->valueint < 0 || shard->valueint >= size) return false;
+    out->shard = shard->valueint;
     return read_amount(list, 1, &out->limit) && read_amount(list, 1 + QUOTA_DIMENSIONS, &out->guarantee);
 }
 
 bool quota_record_read(const cJSON *value, int size, struct quota_record *out, const char **fault) {
-    int64_t shares = 0;
+    int64_t shards = 0;
     const cJSON *parts = cJSON_GetObjectItemCaseSensitive(value, "parts"), *x;
     *out = (struct quota_record){0};
     *fault = "its form";
-    if (!json_get_int64(value, "epoch", &out->epoch) || !json_get_int64(value, "shares", &shares) ||
+    if (!json_get_int64(value, "epoch", &out->epoch) || !json_get_int64(value, "shares", &shards) ||
         !read_field(value, "limit", &out->limit) || !read_field(value, "guarantee", &out->guarantee) ||
         !read_field(value, "unassigned", &out->unassigned) ||
         !read_field(value, "guarantee_unassigned", &out->guarantee_unassigned))
         return false;
-    out->shares = (int)CLAMP(shares, 0, INT32_MAX);
+    out->shards = (int)CLAMP(shards, 0, INT32_MAX);
     cJSON_ArrayForEach(x, parts) {
         if (out->n_parts == QUOTA_SHARES_MOST || !read_part(x, size, &out->parts[out->n_parts])) return false;
         out->n_parts++;
@@ -76,7 +76,7 @@
 
 void quota_view_add(cJSON *views, const char *team, const struct quota_view *view) {
     cJSON *list = cJSON_CreateArray();
-    cJSON_AddItemToArray(list, cJSON_CreateNumber(view->shares));
+    cJSON_AddItemToArray(list, cJSON_CreateNumber(view->shards));
     for (int d = 0; d < QUOTA_DIMENSIONS; d++)
         cJSON_AddItemToArray(list, cJSON_CreateNumber((double)view->limit.of[d]));
     for (int d = 0; d < QUOTA_DIMENSIONS; d++)
@@ -85,10 +85,10 @@
 }
 
 bool quota_view_read(const cJSON *views, const char *team, struct quota_view *out) {
-    const cJSON *list = cJSON_GetObjectItemCaseSensitive(views, team), *shares = cJSON_GetArrayItem(list, 0);
+    const cJSON *list = cJSON_GetObjectItemCaseSensitive(views, team), *shards = cJSON_GetArrayItem(list, 0);
     *out = (struct quota_view){0};
-    if (!cJSON_IsNumber(shares) || shares->valueint < 1 || shares->valueint > QUOTA_SHARES_MOST) return false;
+    if (!cJSON_IsNumber(shards) || shards->valueint < 1 || shards->valueint > QUOTA_SHARES_MOST) return false;
     if (!read_amount(list, 1, &out->limit) || !read_amount(list, 1 + QUOTA_DIMENSIONS, &out->guarantee)) return false;
-    out->shares = shares->valueint;
+    out->shards = shards->valueint;
     return true;
 }
--- a/src/quota/record.h
+++ b/src/quota/record.h
@@ -13,7 +13,7 @@
 
 /* What one controller's settings say of a team. */
 struct quota_view {
-    int shares; /* 0: nothing is known */
+    int shards; /* 0: nothing is known */
     struct quota_amount limit, guarantee;
 };
 void quota_view_add(cJSON *views, const char *team, const struct quota_view *view);
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -33,13 +33,13 @@
     struct quota_team *t = g_new0(struct quota_team, 1);
     t->team = team;
     t->home = team % quota_settings->size;
-    t->record.shares = 1;
+    t->record.shards = 1;
     teams[team] = t;
     return t;
 }
 
 struct quota_team *quota_team_for(int team) {
-    return teams[team] || quota_settings->teams[team].shares <= 1 ? teams[team] : team_here(team);
+    return teams[team] || quota_settings->teams[team].shards <= 1 ? teams[team] : team_here(team);
 }
 
 bool quota_in_use(void) {
@@ -52,7 +52,7 @@
     const struct quota_record *r = &t->record;
     GString *parts = g_string_new("");
     for (int i = 0; i < r->n_parts; i++)
-        g_string_append_printf(parts, " share %d %.0f/%.0f", r->parts[i].share,
+        g_string_append_printf(parts, " share %d %.0f/%.0f", r->parts[i].shard,
                                (double)r->parts[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
                                (double)r->parts[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT);
     log_debug("quota: team %s, epoch %lld:%s, unassigned %.0f/%.0f (vcpus/gpus)", quota_settings->teams[t->team].name,
@@ -75,7 +75,7 @@
     t->looked = false;
     t->recorded = t->damaged = false;
     if (!data) {
-        t->record = (struct quota_record){.shares = 1};
+        t->record = (struct quota_record){.shards = 1};
         if (was) log_info("quota: team %s is undivided", name);
         return;
     }
@@ -87,7 +87,7 @@
     }
     if (!was || t->record.epoch != epoch)
         log_info("quota: team %s is divided over %d shares, epoch %lld, limit %.0f vcpus %.0f gpus", name,
-                 t->record.shares, (long long)t->record.epoch, (double)t->record.limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
+                 t->record.shards, (long long)t->record.epoch, (double)t->record.limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
                  (double)t->record.limit.of[QUOTA_GPUS] / QUOTA_UNIT);
     tell(t);
 }
@@ -113,7 +113,7 @@
 
 struct quota_view quota_view_own(int team) {
     const struct settings_team *t = &quota_settings->teams[team];
-    return (struct quota_view){.shares = MIN(t->shares, MIN(quota_settings->size, QUOTA_SHARES_MOST)),
+    return (struct quota_view){.shards = MIN(t->shards, MIN(quota_settings->size, QUOTA_SHARES_MOST)),
                                .limit = quota_amount_granted(t->cpus_max, t->gpus_max),
                                .guarantee = quota_amount_granted(t->cpus, t->gpus)};
 }
@@ -130,19 +130,19 @@
     bool same = true;
     for (int n = 0; n <= quota_settings->n_seeds; n++) {
         const struct quota_view *v = &views[n].of[team];
-        if (!views[n].recorded || v->shares == 0) return false;
-        same &= v->shares == out->shares;
+        if (!views[n].recorded || v->shards == 0) return false;
+        same &= v->shards == out->shards;
         out->limit = lower_limit(out->limit, v->limit);
         out->guarantee = quota_amount_least(out->guarantee, v->guarantee);
     }
-    if (!same) out->shares = 0;
+    if (!same) out->shards = 0;
     return true;
 }
 
 struct quota_amount quota_view_least_limit(int team) {
     struct quota_amount least = quota_view_own(team).limit;
     for (int n = 1; n <= quota_settings->n_seeds; n++)
-        if (views[n].of[team].shares > 0) least = lower_limit(least, views[n].of[team].limit);
+        if (views[n].of[team].shards > 0) least = lower_limit(least, views[n].of[team].limit);
     return least;
 }
 
@@ -152,7 +152,7 @@
     for (int team = 0; team < quota_settings->n_teams; team++) {
         const struct quota_view own = quota_view_own(team);
         bool divided = teams[team] && (teams[team]->recorded || teams[team]->damaged);
-        if (own.shares > 1 || divided) quota_view_add(o, quota_settings->teams[team].name, &own);
+        if (own.shards > 1 || divided) quota_view_add(o, quota_settings->teams[team].name, &own);
     }
     return o;
 }
--- a/src/quota/state.h
+++ b/src/quota/state.h
@@ -9,7 +9,7 @@
 #include "record.h"
 
 struct quota_team {
-    int team, home; /* index in the settings; its first share */
+    int team, home; /* index in the settings; its first shard */
     bool recorded;  /* there is a record, and it can be read */
     bool damaged;   /* there is one that can't be read: nothing starts */
     struct quota_record record;
@@ -31,7 +31,7 @@
 void quota_state_init(const struct settings *s);
 /* What this controller's own settings say. */
 struct quota_view quota_view_own(int team);
-/* What all controllers of the settings agree on: the lowest limit and guarantee of all views, and the number of shares,
+/* What all controllers of the settings agree on: the lowest limit and guarantee of all views, and the number of shards,
  * 0 while they differ. False while one of them has not recorded its view. */
 bool quota_view_agreed(int team, struct quota_view *out);
 /* The lowest limit that any known view names. */
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -18,35 +18,35 @@
 static const struct settings *cfg;
 static GHashTable *by_id;
 static GPtrArray *machines;
-static GPtrArray *of_share[RECORDS_SHARES];
+static GPtrArray *of_shard[RECORDS_SHARES];
 static GHashTable *unregistered;
 static GHashTable *gone; /* ids that were recorded and are no more: a stale list must not bring them back */
 static bool refused;
 static bool stale[RECORDS_SHARES][RECORDS_PAGES]; /* lists machines that a later record has moved to another page */
 
-struct records_share records_shares[RECORDS_SHARES];
+struct records_shard records_shards[RECORDS_SHARES];
 
 struct machine *records_find(const char *id) {
     struct machine *m = g_hash_table_lookup(by_id, id);
     return m && m->known ? m : NULL;
 }
 GPtrArray *records_machines(void) { return machines; }
-GPtrArray *records_of(int k) { return of_share[k]; }
+GPtrArray *records_of(int k) { return of_shard[k]; }
 GHashTable *records_unregistered_all(void) { return unregistered; }
 bool records_refused(void) { return refused; }
 
-int records_share_of(const char *id) {
+int records_shard_of(const char *id) {
     const struct machine *unrecorded = g_hash_table_lookup(by_id, id);
     if (unrecorded && !unrecorded->known && unrecorded->bookings->len > 0) {
         const struct booking *b = unrecorded->bookings->pdata[0];
-        return jobs_share(b->job);
+        return jobs_shard(b->job);
     }
     const char *dash = strrchr(id, '-');
     return dash ? (int)(g_ascii_strtoull(dash + 1, NULL, 10) % (guint64)cfg->size) : 0;
 }
 
 int64_t records_token(const struct machine *m) {
-    return m->share < 0 ? m->fence : MAX(m->fence, membership_share(m->share)->fence);
+    return m->shard < 0 ? m->fence : MAX(m->fence, membership_shard(m->shard)->fence);
 }
 
 bool records_known(const char *id) {
@@ -64,26 +64,26 @@
     m->unknown_tasks = g_array_new(FALSE, FALSE, sizeof(struct unknown_task));
     m->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     m->warning = -1;
-    m->share = m->transfer_to = m->page = m->next_page = -1;
+    m->shard = m->transfer_to = m->page = m->next_page = -1;
     m->unrecorded_since = clock_now();
     g_hash_table_insert(by_id, m->id, m);
     g_ptr_array_add(machines, m);
     return m;
 }
 
-static void set_share(struct machine *m, int share) {
-    if (m->share == share) return;
-    if (m->share >= 0) g_ptr_array_remove_fast(of_share[m->share], m);
-    m->share = share;
+static void set_shard(struct machine *m, int shard) {
+    if (m->shard == shard) return;
+    if (m->shard >= 0) g_ptr_array_remove_fast(of_shard[m->shard], m);
+    m->shard = shard;
     m->owned_fence = 0;
     m->transfer_to = m->next_page = -1;
     m->leave = false;
-    if (share >= 0) g_ptr_array_add(of_share[share], m);
+    if (shard >= 0) g_ptr_array_add(of_shard[shard], m);
 }
 
 void records_drop_stub(struct machine *m) {
     if (m->known || m->bookings->len) return;
-    set_share(m, -1);
+    set_shard(m, -1);
     g_hash_table_remove(by_id, m->id);
     g_ptr_array_remove_fast(machines, m);
     g_ptr_array_free(m->bookings, TRUE);
@@ -110,22 +110,22 @@
     m->dead = true;
     m->unrecorded_since = clock_now();
     release_all(m);
-    set_share(m, -1);
+    set_shard(m, -1);
     records_drop_stub(m);
     rounds_kick();
 }
 
-static struct machine *machine_here(const char *id, int share, int page) {
+static struct machine *machine_here(const char *id, int shard, int page) {
     struct machine *m = records_find_or_stub(id);
     if (!m->known) m->dead = m->returning = m->want_return = false;
     /* The page that it was on still lists it, unless that is written without it at the same time. */
-    if (m->known && m->share >= 0 && m->page >= 0 && m->page < RECORDS_PAGES && (m->share != share || m->page != page))
-        stale[m->share][m->page] = true;
+    if (m->known && m->shard >= 0 && m->page >= 0 && m->page < RECORDS_PAGES && (m->shard != shard || m->page != page))
+        stale[m->shard][m->page] = true;
     g_hash_table_remove(unregistered, id);
     g_hash_table_remove(gone, id);
     m->known = true;
     m->page = page;
-    set_share(m, share);
+    set_shard(m, shard);
     return m;
 }
 
@@ -195,7 +195,7 @@
          * record holds, in whatever order they are read: once a controller that had read them anew took the machine for
          * another's, left it out of its page, and the others released what ran on it. */
         const struct machine *known = records_find(f[ENTRY_ID]->valuestring);
-        if (known && known->placed > mod_revision && (known->share != k || known->page != page)) {
+        if (known && known->placed > mod_revision && (known->shard != k || known->page != page)) {
             stale[k][page] = true;
             continue;
         }
@@ -207,10 +207,10 @@
     return whole;
 }
 
-/* Machines that the page named before and no longer does are gone, unless they pass to another share. */
+/* Machines that the page named before and no longer does are gone, unless they pass to another shard. */
 static void drop_unseen(int k, int page, GHashTable *seen) {
-    for (guint i = of_share[k]->len; i-- > 0;) {
-        struct machine *m = of_share[k]->pdata[i];
+    for (guint i = of_shard[k]->len; i-- > 0;) {
+        struct machine *m = of_shard[k]->pdata[i];
         if (m->page != page || g_hash_table_contains(seen, m)) continue;
         char key[96];
         snprintf(key, sizeof key, "machine/%s", m->id);
@@ -247,7 +247,7 @@
         if (placed && placed->page < 0) machine_gone(placed);
         return;
     }
-    int64_t share = 0;
+    int64_t shard = 0;
     if (cJSON_GetObjectItemCaseSensitive(data, "b")) {
         /* The first layout kept bookings in records like this one. Reading half of it would start tasks twice. */
         if (!refused)
@@ -255,12 +255,12 @@
         refused = true;
         return;
     }
-    if (strlen(id) >= sizeof((struct machine *)0)->id || !json_get_int64(data, "share", &share) || share < 0 ||
-        share >= cfg->size) {
+    if (strlen(id) >= sizeof((struct machine *)0)->id || !json_get_int64(data, "share", &shard) || shard < 0 ||
+        shard >= cfg->size) {
         log_error("machine/%s: can't be read", id);
         return;
     }
-    struct machine *m = machine_here(id, (int)share, -1);
+    struct machine *m = machine_here(id, (int)shard, -1);
     m->placed = mod_revision;
     const char *v;
     if (!json_get_int64(data, "fence", &m->fence)) m->fence = 0;
@@ -274,9 +274,9 @@
 }
 
 bool records_mine(struct machine *m) {
-    if (m->share < 0) return false;
-    int64_t f = membership_share(m->share)->fence;
-    if (!membership_mine(m->share)) return false;
+    if (m->shard < 0) return false;
+    int64_t f = membership_shard(m->shard)->fence;
+    if (!membership_owns(m->shard)) return false;
     if (m->owned_fence == f) return true;
     m->owned_fence = f;
     m->heard = m->reported = m->mine_since = clock_now();
@@ -321,7 +321,7 @@
     m->rows++;
 }
 
-static void add_unregistered(int share, const char *id, const char *address, const char *sku, const char *site,
+static void add_unregistered(int shard, const char *id, const char *address, const char *sku, const char *site,
                              bool spot) {
     struct records_unregistered *n = g_new0(struct records_unregistered, 1);
     g_strlcpy(n->id, id, sizeof n->id);
@@ -329,7 +329,7 @@
     g_strlcpy(n->sku, sku, sizeof n->sku);
     g_strlcpy(n->site, site, sizeof n->site);
     n->spot = spot;
-    n->share = share;
+    n->shard = shard;
     n->page = -1;
     n->born = clock_time_of_day();
     g_hash_table_replace(unregistered, n->id, n);
@@ -337,14 +337,14 @@
 }
 
 void records_adopt(const char *id, const char *address, const char *sku, const char *site, bool spot) {
-    int k = records_share_of(id);
-    if (records_known(id) || !membership_mine(k)) return;
+    int k = records_shard_of(id);
+    if (records_known(id) || !membership_owns(k)) return;
     log_info("machine %s: unexpected, adopting it for share %d", id, k);
     add_unregistered(k, id, address, sku, site, spot);
 }
 
-void records_rented(int share, const char *id, const char *sku, const char *site, bool spot) {
-    if (!records_find(id)) add_unregistered(share, id, "", sku, site, spot);
+void records_rented(int shard, const char *id, const char *sku, const char *site, bool spot) {
+    if (!records_find(id)) add_unregistered(shard, id, "", sku, site, spot);
 }
 
 void records_returned(const char *id) {
@@ -355,7 +355,7 @@
     rounds_kick();
 }
 
-#define UNRECORDED_S 5.0 /* a page or a transfer between shares is in the mirror long before */
+#define UNRECORDED_S 5.0 /* a page or a transfer between shards is in the mirror long before */
 
 bool records_unrecorded(const struct machine *m) {
     if (m->known || clock_seconds_since(m->unrecorded_since) < UNRECORDED_S ||
@@ -363,8 +363,8 @@
         return false;
     for (guint i = 0; i < m->bookings->len; i++) {
         const struct booking *b = m->bookings->pdata[i];
-        int k = jobs_share(b->job);
-        if (!b->over && membership_mine(k) && clock_seconds_since(records_shares[k].since) > UNRECORDED_S) return true;
+        int k = jobs_shard(b->job);
+        if (!b->over && membership_owns(k) && clock_seconds_since(records_shards[k].since) > UNRECORDED_S) return true;
     }
     return false;
 }
@@ -403,8 +403,8 @@
 
 static void fill_pages(int k, struct records_fill *pages) {
     memset(pages, 0, RECORDS_PAGES * sizeof *pages);
-    for (guint i = 0; i < of_share[k]->len; i++) {
-        const struct machine *m = of_share[k]->pdata[i];
+    for (guint i = 0; i < of_shard[k]->len; i++) {
+        const struct machine *m = of_shard[k]->pdata[i];
         int p = page_of(m);
         if (p >= 0 && p < RECORDS_PAGES) fill_add(&pages[p], m->id, !m->dead);
     }
@@ -413,7 +413,7 @@
     g_hash_table_iter_init(&it, unregistered);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct records_unregistered *c = v;
-        if (c->share == k && c->page >= 0 && c->page < RECORDS_PAGES) fill_add(&pages[c->page], c->id, true);
+        if (c->shard == k && c->page >= 0 && c->page < RECORDS_PAGES) fill_add(&pages[c->page], c->id, true);
     }
 }
 
@@ -501,8 +501,8 @@
                            images_most};
     cJSON_AddItemToObject(o, "m", list);
     *count = 0;
-    for (guint i = 0; i < of_share[k]->len; i++) {
-        const struct machine *m = of_share[k]->pdata[i];
+    for (guint i = 0; i < of_shard[k]->len; i++) {
+        const struct machine *m = of_shard[k]->pdata[i];
         if (page_of(m) != page || m->leave || m->dead) continue;
         add_entry(list, &l, m->id, m->address, m->sku, m->site, m->spot + (m->returning || m->want_return ? 2 : 0),
                   MAX(m->fence, m->next_fence), m->born, m->images);
@@ -513,7 +513,7 @@
     g_hash_table_iter_init(&it, unregistered);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct records_unregistered *c = v;
-        if (c->share != k || c->page != page) continue;
+        if (c->shard != k || c->page != page) continue;
         add_entry(list, &l, c->id, c->address, c->sku, c->site, c->spot, 0, c->born, NULL);
         (*count)++;
     }
@@ -537,9 +537,9 @@
     return value;
 }
 
-cJSON *records_single_value(const struct machine *m, int share, int64_t fence) {
+cJSON *records_single_value(const struct machine *m, int shard, int64_t fence) {
     cJSON *o = cJSON_CreateObject();
-    cJSON_AddNumberToObject(o, "share", share);
+    cJSON_AddNumberToObject(o, "share", shard);
     cJSON_AddNumberToObject(o, "fence", (double)fence);
     cJSON_AddStringToObject(o, "address", m->address);
     cJSON_AddStringToObject(o, "flavour", m->sku);
@@ -555,7 +555,7 @@
     gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     unregistered = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     machines = g_ptr_array_new();
-    for (int k = 0; k < RECORDS_SHARES; k++) of_share[k] = g_ptr_array_new();
+    for (int k = 0; k < RECORDS_SHARES; k++) of_shard[k] = g_ptr_array_new();
     store_observe_prefix("fleet/", apply_page);
     store_observe_prefix("machine/", apply_single);
 }
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -12,7 +12,7 @@
 #define RECORDS_WINDOW 64
 #define RECORDS_SHARES 64
 #define RECORDS_TASKS_MOST 200 /* booked on a machine at a time: reports and answers stay far below 64 KiB */
-#define RECORDS_PAGES 256      /* a share's pages are numbered below this */
+#define RECORDS_PAGES 256      /* a shard's pages are numbered below this */
 
 enum task_state { TASK_UNSEEN, TASK_FETCHING, TASK_GATHERING, TASK_RUNNING, TASK_FLUSHING, TASK_ENDED };
 
@@ -45,17 +45,17 @@
     char id[64];
     bool known;                       /* false: only heard of through a booking; no record means that it is gone */
     struct timespec unrecorded_since; /* where it is not known: since when */
-    int share;                        /* -1: none */
-    int page;                         /* of its share; -1: in a record of its own, on its way between shares */
+    int shard;                        /* -1: none */
+    int page;                         /* of its shard; -1: in a record of its own, on its way between shards */
     int64_t placed;                   /* mod revision of the record that says so */
-    int64_t fence;                    /* its own token from adoption or a raise; the share's may be higher */
+    int64_t fence;                    /* its own token from adoption or a raise; the shard's may be higher */
     char address[64], sku[64], site[64];
     const struct flavour_info *flavour;
     bool spot, returning;
     double born; /* time of day of the rental */
     GPtrArray *bookings;
     /* owner's side */
-    int64_t owned_fence; /* the share fence under which the rest holds */
+    int64_t owned_fence; /* the shard fence under which the rest holds */
     bool up;
     int64_t tenure, seq, seen_fence;
     struct timespec asked_to_end; /* when, not being its owner, we last asked tasks of it to end */
@@ -78,7 +78,7 @@
     struct timespec faulty_since; /* zero: it is not */
     GPtrArray *failed_jobs;       /* struct job, kept by failures; NULL: none */
     bool draining, want_return, dead, had_task;
-    int transfer_to; /* share that it is to pass to, -1: none */
+    int transfer_to; /* shard that it is to pass to, -1: none */
     struct timespec transfer_since;
     struct timespec drain_since;
     /* scratch of a round */
@@ -92,23 +92,23 @@
 struct records_unregistered { /* rented or found, not yet recorded */
     char id[64], address[64], sku[64], site[64];
     bool spot;
-    int share;
+    int shard;
     double born;
     int page; /* scratch of a round: where it is to be recorded, -1: not yet */
 };
 
-/* What the owner remembers of a share. */
-struct records_share {
+/* What the owner remembers of a shard. */
+struct records_shard {
     int64_t fence;
     int64_t next; /* counter of attempts under this fence */
-    bool barrier; /* a transaction's outcome is unknown: nothing more before the share's mod revision has moved */
+    bool barrier; /* a transaction's outcome is unknown: nothing more before the shard's mod revision has moved */
     int64_t conflict_revision; /* the store's, when it last refused a write for its conditions */
     struct timespec since, passed, tidied;
     struct timespec apart_until; /* until then a transaction holds one record: one was refused as malformed */
     struct timespec alarm;       /* when a machine last failed to answer for the first time */
     bool fit_nowhere;
 };
-extern struct records_share records_shares[RECORDS_SHARES];
+extern struct records_shard records_shards[RECORDS_SHARES];
 
 void records_init(const struct settings *s);
 
@@ -117,10 +117,10 @@
 struct machine *records_find_or_stub(const char *id);
 void records_drop_stub(struct machine *m); /* frees what no record and no booking names any more */
 GPtrArray *records_machines(void);
-GPtrArray *records_of(int k); /* the machines of a share */
-/* The share of a machine that nobody rented: that of what is booked on it, or else by its number. */
-int records_share_of(const char *id);
-/* A machine that no record names though tasks of a share of ours are booked on it, for long enough that no record can
+GPtrArray *records_of(int k); /* the machines of a shard */
+/* The shard of a machine that nobody rented: that of what is booked on it, or else by its number. */
+int records_shard_of(const char *id);
+/* A machine that no record names though tasks of a shard of ours are booked on it, for long enough that no record can
  * be on its way. Only the cloud's answer to its return proves that they are gone. */
 bool records_unrecorded(const struct machine *m);
 int64_t records_token(const struct machine *m);
@@ -132,14 +132,14 @@
 struct rent_order {
     char sku[64], site[64];
     bool spot;
-    int count, share;
+    int count, shard;
     int weight; /* how much waits for it */
 };
 GHashTable *records_unregistered_all(void); /* id -> records_unregistered */
 void records_adopt(const char *id, const char *address, const char *sku, const char *site, bool spot);
-void records_rented(int share, const char *id, const char *sku, const char *site, bool spot);
+void records_rented(int shard, const char *id, const char *sku, const char *site, bool spot);
 
-/* Pages: as many machines of a share as a value holds, so that one change carries what a round decided for all of them.
+/* Pages: as many machines of a shard as a value holds, so that one change carries what a round decided for all of them.
  * Scratch fields decide: `leave` keeps a machine out, `next_fence` raises its token, `next_page` brings one in, as does
  * an unregistered one's page. */
 cJSON *records_page_value(int k, int page, int *count);
@@ -148,7 +148,7 @@
 struct records_fill {
     int present, next;
 };
-/* How full a share's pages are: counted once, however many machines are then given places. */
+/* How full a shard's pages are: counted once, however many machines are then given places. */
 struct records_fills {
     struct records_fill pages[RECORDS_PAGES];
 };
@@ -161,6 +161,6 @@
  * reads what in between. A page is rewritten once the rest has room, and is stale until then. */
 void records_large_pages(int k, bool *large);
 bool records_page_stale(int k, int page);
-cJSON *records_single_value(const struct machine *m, int share, int64_t fence);
+cJSON *records_single_value(const struct machine *m, int shard, int64_t fence);
 bool records_refused(void); /* the store holds records of a layout that is not ours to read */
 #endif
--- a/src/records/records_test.c
+++ b/src/records/records_test.c
@@ -86,7 +86,7 @@
     assert_int_equal(records_of(1)->len, FLEET - 1);
 }
 
-/* From one share to another: off its page and into a record of its own at once, then onto the other's page. */
+/* From one shard to another: off its page and into a record of its own at once, then onto the other's page. */
 static void passes(void **state) {
     (void)state;
     struct machine *m = records_find("i-000004");
@@ -103,7 +103,7 @@
         cJSON_Delete(single);
         m = records_find("i-000004");
         assert_non_null(m);
-        assert_int_equal(m->share, 0);
+        assert_int_equal(m->shard, 0);
         assert_int_equal(m->page, -1);
         assert_int_equal(m->fence, 77);
         m->next_page = records_page_for(0, m->id);
@@ -132,7 +132,7 @@
         put("machine/i-000004", NULL);
         cJSON_Delete(x);
         m = records_find("i-000004");
-        assert_int_equal(m->share, 1);
+        assert_int_equal(m->shard, 1);
         m->next_page = -1;
     }
 }
@@ -171,17 +171,17 @@
         apply(order ? "fleet/1/201" : "fleet/0/200", one, order ? at + 10 : at + 20);
         struct machine *m = records_find(id);
         assert_non_null(m);
-        assert_int_equal(m->share, 0);
+        assert_int_equal(m->shard, 0);
         assert_int_equal(m->bookings->len, 1);
         apply(order ? "fleet/1/201" : "fleet/1/200", "{\"sku\":[],\"site\":[],\"m\":[]}", at + 30);
         m = records_find(id);
-        bool stays = m && m->share == 0 && !((struct booking *)m->bookings->pdata[0])->over;
+        bool stays = m && m->shard == 0 && !((struct booking *)m->bookings->pdata[0])->over;
         store_unlock();
         assert_true(stays);
     }
 }
 
-/* A machine is transferred between shares, and its new page is read ahead of the watch, which then tells of the
+/* A machine is transferred between shards, and its new page is read ahead of the watch, which then tells of the
  * transfer. */
 static void read_ahead(void **state) {
     (void)state;
@@ -198,7 +198,7 @@
     store_apply("machine/i-009005", NULL, at + 4);
     struct machine *m = records_find("i-009005");
     assert_non_null(m);
-    assert_int_equal(m->share, 1);
+    assert_int_equal(m->shard, 1);
     assert_int_equal(m->page, 98);
     store_apply("fleet/1/98", NULL, at + 6);
     assert_null(records_find("i-009005"));
--- a/src/renting/renting.c
+++ b/src/renting/renting.c
@@ -47,7 +47,7 @@
     g_array_append_val(vms, v);
 }
 
-/* Machines of the share by zone, counted once a plan; what the plan orders counts as well. */
+/* Machines of the shard by zone, counted once a plan; what the plan orders counts as well. */
 static int zone_count[SETTINGS_ZONES], zone_lot = 1;
 static int *zone_of(const char *site) {
     int z = settings_zone(cfg, site);
@@ -71,7 +71,7 @@
                 const char *s = f->sites[z];
                 if ((site && strcmp(site, s) != 0) || (j->spec.site && strcmp(j->spec.site, s) != 0)) continue;
                 if (!cloud_open(f->sku, s, spot == 1) || watch_zone_cut(k, s)) continue;
-                /* Among equal prices, the zone where this share has least; a whole order goes to one, calls are scarce.
+                /* Among equal prices, the zone where this shard has least; a whole order goes to one, calls are scarce.
                  */
                 double cost = price * (1 + 0.001 * (here_in(s) / zone_lot));
                 if (found && cost >= best) continue;
@@ -112,7 +112,7 @@
     if (zone_of(o->site)) ++*zone_of(o->site);
 }
 
-/* The design's weak point: headroom is a sum, so scattered pieces starve gangs while no rental fires. A share that runs
+/* The design's weak point: headroom is a sum, so scattered pieces starve gangs while no rental fires. A shard that runs
  * gangs keeps one whole machine in SPARE_IN, there or booting, beyond what waits; as few as drain at a time. */
 #define SPARE_IN 7
 #define SPARE_S 100 /* for so long after the last of them came */
@@ -136,9 +136,9 @@
     }
 }
 
-/* What a share has, and what the plan makes of it. */
-struct share_plan {
-    int share;
+/* What a shard has, and what the plan makes of it. */
+struct shard_plan {
+    int shard;
     GArray *vms;     /* struct renting_vm: there with room, on their way, and ordered */
     guint first_new; /* those from here on are ordered by this plan */
     int have, ordered, steady, up;
@@ -149,7 +149,7 @@
     struct machine *reception;
 };
 
-static void count_machine(struct share_plan *p, struct machine *m) {
+static void count_machine(struct shard_plan *p, struct machine *m) {
     if (zone_of(m->site)) ++*zone_of(m->site);
     if (records_leaving(m)) return;
     p->have++;
@@ -160,7 +160,7 @@
         if (s->reclaimable) p->slots += s->gpus;
     }
     if (!m->up) {
-        if (watch_zone_cut(p->share, m->site)) return; /* nobody knows when it is heard */
+        if (watch_zone_cut(p->shard, m->site)) return; /* nobody knows when it is heard */
         /* Nor when this one comes, if ever. More than a few at a time are not replaced: a spell of slow boots must not
          * multiply the bill. */
         if (boots_overdue(m) && p->overdue++ < boots_replaced_most(p->up)) return;
@@ -179,27 +179,27 @@
     if (m != p->reception && placement_occupancy(m, (int)cfg->tuning.window) < cfg->tuning.admission) p->roomy = true;
 }
 
-static void count_machines(struct share_plan *p) {
+static void count_machines(struct shard_plan *p) {
     memset(zone_count, 0, sizeof zone_count);
-    for (guint i = 0; i < records_of(p->share)->len; i++)
-        p->up += ((struct machine *)records_of(p->share)->pdata[i])->up;
-    for (guint i = 0; i < records_of(p->share)->len; i++) count_machine(p, records_of(p->share)->pdata[i]);
+    for (guint i = 0; i < records_of(p->shard)->len; i++)
+        p->up += ((struct machine *)records_of(p->shard)->pdata[i])->up;
+    for (guint i = 0; i < records_of(p->shard)->len; i++) count_machine(p, records_of(p->shard)->pdata[i]);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, records_unregistered_all());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct records_unregistered *u = v;
-        if (u->share != p->share) continue;
+        if (u->shard != p->shard) continue;
         renting_vm_add(p->vms, u->sku, u->site, u->spot);
         p->have++;
         p->booting = true;
     }
 }
 
-#define TRANSFER_S 4 /* for so long another share's machine is waited for */
+#define TRANSFER_S 4 /* for so long another shard's machine is waited for */
 
-/* What another share is about to transfer needs no rental; if it doesn't come soon, it is rented after all. */
-static void count_transfers(struct share_plan *p, const GArray *order) {
+/* What another shard is about to transfer needs no rental; if it doesn't come soon, it is rented after all. */
+static void count_transfers(struct shard_plan *p, const GArray *order) {
     double waited = 0;
     for (guint i = 0; i < order->len; i++) {
         const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
@@ -207,7 +207,7 @@
     }
     for (guint i = 0; i < records_machines()->len && waited < TRANSFER_S; i++) {
         const struct machine *m = records_machines()->pdata[i];
-        if (m->share == p->share || m->share < 0 || !transfer_possible(m) || m->transfer_to >= 0) continue;
+        if (m->shard == p->shard || m->shard < 0 || !transfer_possible(m) || m->transfer_to >= 0) continue;
         guint before = p->vms->len;
         renting_vm_add(p->vms, m->sku, m->site, false);
         if (p->vms->len > before) g_array_index(p->vms, struct renting_vm, before).foreign = true;
@@ -228,7 +228,7 @@
 
 /* Whether the job's next task may have an ordinary machine. Work that may use cheap machines gets dear ones only for
  * what the present ones can't work off in a part of the time in which its users want it done. */
-static bool may_be_dear(struct share_plan *p, const struct job *j, bool within) {
+static bool may_be_dear(struct shard_plan *p, const struct job *j, bool within) {
     if (!j->spec.reclaimable) return true;
     p->backlog += MAX(j->spec.runtime_s, 1) * j->spec.gpus;
     double wanted = settings_within(cfg, AIM_FINISHED, j->spec.jobclass, 120);
@@ -238,7 +238,7 @@
 /* One task: a place on what is there or on its way, else one more machine. site: where the job's tasks have to be, set
  * by the first task of a job that stays together. from: the machines before it have no room for the job's tasks; looked
  * at anew for each task, they took most of a controller's processor time at 4,000 machines. */
-static void rent_for_task(struct share_plan *p, struct job *j, bool within, char *site, size_t n, guint *from) {
+static void rent_for_task(struct shard_plan *p, struct job *j, bool within, char *site, size_t n, guint *from) {
     static const int weights[] = {1, 2, 6, 8};
     const char *want = site[0] ? site : spread_zone(j);
     bool dear = may_be_dear(p, j, within);
@@ -250,7 +250,7 @@
     }
     struct rent_order o;
     memset(&o, 0, sizeof o);
-    if (p->have + p->ordered >= (int)cfg->tuning.machines_per_share || !choose(p->share, j, want, dear, &o)) return;
+    if (p->have + p->ordered >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
     add_order(p->vms, &o, weights[j->rank]);
     p->ordered++;
     if (j->spec.reclaimable && cloud_flavour(o.sku)) p->slots += cloud_flavour(o.sku)->gpus;
@@ -260,15 +260,15 @@
 
 #define TASKS_MOST 128 /* of a job that a plan looks at */
 
-static void rent_for_job(struct share_plan *p, struct job *j, bool within) {
+static void rent_for_job(struct shard_plan *p, struct job *j, bool within) {
     int left = j->spec.shape == JOB_GROUP ? j->spec.tasks : (j->unplaced ? rounds_missing(j) : 0) + j->at_risk;
     char site[64] = "";
     if (placement_site(j))
         g_strlcpy(site, placement_site(j), sizeof site);
     else if (j->spec.together)
-        fullest_zone(p->share, p->vms, j, site, sizeof site);
+        fullest_zone(p->shard, p->vms, j, site, sizeof site);
     guint from = 0;
-    double gpus_max = quota_bound(j->spec.team, jobs_share(j)).gpus, used = 0;
+    double gpus_max = quota_bound(j->spec.team, jobs_shard(j)).gpus, used = 0;
     for (int x = 0; x < left && x < TASKS_MOST; x++) {
         used += j->spec.gpus;
         if (used > gpus_max) break;
@@ -279,8 +279,8 @@
 }
 
 /* Pressure: no other machine under the admission threshold, or a lone reception past its own. */
-static void rent_for_pressure(struct share_plan *p) {
-    if (p->ordered > 0 || p->booting || !p->reception || p->roomy || p->have >= (int)cfg->tuning.machines_per_share)
+static void rent_for_pressure(struct shard_plan *p) {
+    if (p->ordered > 0 || p->booting || !p->reception || p->roomy || p->have >= (int)cfg->tuning.machines_per_shard)
         return;
     double occupancy = placement_occupancy(p->reception, (int)cfg->tuning.window);
     struct job *like = NULL;
@@ -290,7 +290,7 @@
     }
     struct rent_order o;
     memset(&o, 0, sizeof o);
-    if (!like || (p->steady == 1 && occupancy <= cfg->tuning.reception) || !choose(p->share, like, NULL, true, &o))
+    if (!like || (p->steady == 1 && occupancy <= cfg->tuning.reception) || !choose(p->shard, like, NULL, true, &o))
         return;
     renting_vm_add(p->vms, o.sku, o.site, o.spot);
 }
@@ -298,16 +298,16 @@
 #define ORDER_MOST 50 /* machines a call may ask for */
 
 /* Adds up what the plan orders by type, zone and kind. */
-static void collect_orders(const struct share_plan *p, struct rent_order *out, int most, int *n) {
+static void collect_orders(const struct shard_plan *p, struct rent_order *out, int most, int *n) {
     for (guint y = p->first_new; y < p->vms->len; y++) {
         const struct rent_order *o = &g_array_index(p->vms, struct renting_vm, y).o;
         int i = 0;
-        while (i < *n && !(out[i].share == p->share && out[i].spot == o->spot && !strcmp(out[i].sku, o->sku) &&
+        while (i < *n && !(out[i].shard == p->shard && out[i].spot == o->spot && !strcmp(out[i].sku, o->sku) &&
                            !strcmp(out[i].site, o->site)))
             i++;
         if (i == *n && *n < most) {
             out[i] = *o;
-            out[i].share = p->share;
+            out[i].shard = p->shard;
             out[i].count = 0;
             out[i].weight = 0;
             (*n)++;
@@ -319,8 +319,8 @@
     }
 }
 
-static void rent_for_share(int k, struct rent_order *out, int most, int *n) {
-    struct share_plan p = {.share = k, .reception = rounds_reception(k)};
+static void rent_for_shard(int k, struct rent_order *out, int most, int *n) {
+    struct shard_plan p = {.shard = k, .reception = rounds_reception(k)};
     p.vms = g_array_new(FALSE, FALSE, sizeof(struct renting_vm));
     count_machines(&p);
     GArray *order = rounds_rank(k);
@@ -337,7 +337,7 @@
         if (r->j->unplaced || r->j->at_risk) rent_for_job(&p, r->j, r->within);
     }
     rent_for_pressure(&p);
-    rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_share - p.have - p.ordered, 0));
+    rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.ordered, 0));
     collect_orders(&p, out, most, n);
     g_array_free(order, TRUE);
     g_array_free(p.vms, TRUE);
@@ -352,8 +352,8 @@
 int renting_plan(struct rent_order *out, int most) {
     int n = 0;
     for (int k = 0; k < cfg->size; k++)
-        if (membership_mine(k) && membership_verified() && clock_seconds_since(records_shares[k].since) > 4)
-            rent_for_share(k, out, most, &n);
+        if (membership_owns(k) && membership_may_answer() && clock_seconds_since(records_shards[k].since) > 4)
+            rent_for_shard(k, out, most, &n);
     qsort(out, (size_t)n, sizeof *out, weightier);
     return n;
 }
@@ -364,7 +364,7 @@
  * answer proves that it is gone, and a name that it does not know is ignored. */
 static int unrecorded_machines(char ids[][64], int most, int *busy) {
     int n = 0;
-    if (records_refused() || !membership_verified()) return 0;
+    if (records_refused() || !membership_may_answer()) return 0;
     for (guint i = 0; i < records_machines()->len && n < most; i++) {
         const struct machine *m = records_machines()->pdata[i];
         if (!records_unrecorded(m)) continue;
@@ -381,7 +381,7 @@
     *busy = 0;
     for (int with_tasks = 1; with_tasks >= 0; with_tasks--)
         for (int k = 0; k < cfg->size; k++)
-            for (guint i = 0; membership_mine(k) && i < records_of(k)->len && n < most; i++) {
+            for (guint i = 0; membership_owns(k) && i < records_of(k)->len && n < most; i++) {
                 struct machine *m = records_of(k)->pdata[i];
                 if (!m->returning || m->dead || !records_mine(m) || (bookings_live(m) > 0) != with_tasks) continue;
                 g_strlcpy(ids[n++], m->id, 64);
--- a/src/renting/renting.h
+++ b/src/renting/renting.h
@@ -14,7 +14,7 @@
 struct renting_vm { /* a machine that is there or on its way, with the room left on it */
     struct rent_order o;
     double cpu, gpu, mem; /* left */
-    bool foreign;         /* another share's, for work that needs it only */
+    bool foreign;         /* another shard's, for work that needs it only */
     bool kept;            /* up and whole, for gangs only */
 };
 bool renting_vm_takes(struct renting_vm *v, const struct job *j, const char *site);
--- a/src/rounds/plan.c
+++ b/src/rounds/plan.c
@@ -15,7 +15,7 @@
 #include "../quota/quota.h"
 #include "round.h"
 
-static int64_t next_attempt(int k) { return records_shares[k].fence * 1048576 + ++records_shares[k].next; }
+static int64_t next_attempt(int k) { return records_shards[k].fence * 1048576 + ++records_shards[k].next; }
 
 static void plan_task(struct round *r, struct machine *m, struct job *j, int task, int64_t attempt,
                       struct preempt_usage *u) {
@@ -34,7 +34,7 @@
         const char *zone = j->spec.together ? round_settings->zones[z] : NULL;
         guint from = r->plans->len;
         struct preempt_usage before = u[j->spec.team];
-        int64_t attempt = next_attempt(r->share);
+        int64_t attempt = next_attempt(r->shard);
         int t;
         for (t = 0; t < j->spec.tasks; t++) {
             struct machine *m = placement_pick(mine, j, zone, rules, r->plans);
@@ -196,7 +196,7 @@
             t = (chunk + 1) * stretch - 1;
             continue;
         }
-        plan_task(r, m, j, t, next_attempt(r->share), u);
+        plan_task(r, m, j, t, next_attempt(r->shard), u);
         missing--;
     }
     g_free(busy);
@@ -235,7 +235,7 @@
     return false;
 }
 
-/* What each team's tasks take of this share: all of the team's, unless it is divided. What is over is proven gone. */
+/* What each team's tasks take of this shard: all of the team's, unless it is divided. What is over is proven gone. */
 static void count_usage(int k, struct preempt_usage *u) {
     GPtrArray *lists[] = {jobs_active_of(k), jobs_ended_of(k)};
     for (size_t l = 0; l < G_N_ELEMENTS(lists); l++)
@@ -296,7 +296,7 @@
         if (missing[i] <= 0 || waits_to_retry(j) || failures_suspect(j)) continue;
         take_free(&free, j, missing[i]);
         j->unplaced = free.cpu < 0 || free.gpu < 0;
-        records_shares[k].fit_nowhere |= j->unplaced;
+        records_shards[k].fit_nowhere |= j->unplaced;
     }
 }
 
@@ -326,7 +326,7 @@
     }
     GPtrArray *room = machines_with_room(mine, order, missing);
     struct free_room free = count_free(room);
-    records_shares[k].fit_nowhere = false;
+    records_shards[k].fit_nowhere = false;
     int jobs_planned = 0;
     struct no_room none = {.n = 0};
     for (guint i = 0; i < order->len; i++) {
@@ -343,7 +343,7 @@
         guint before = r->plans->len;
         if (!may_preempt(j, within) && surely_no_room(&none, &j->spec)) {
             j->unplaced = !failures_suspect(j);
-            records_shares[k].fit_nowhere |= j->unplaced;
+            records_shards[k].fit_nowhere |= j->unplaced;
             continue;
         }
         j->unplaced = j->spec.shape == JOB_GROUP ? plan_group(r, j, within, mine, room, &rules, u)
@@ -352,7 +352,7 @@
         held_back[j->spec.team] |= quota_gathers(j);
         if (j->unplaced) note_no_room(&none, &j->spec);
         if (failures_suspect(j)) j->unplaced = false; /* it waits for room, and has none rented */
-        if (j->unplaced) records_shares[k].fit_nowhere = true;
+        if (j->unplaced) records_shards[k].fit_nowhere = true;
     }
     /* Only what stays planned is written: a gang's tries that came to nothing are not. */
     for (guint i = 0; i < r->plans->len; i++) g_array_index(r->plans, struct placement_plan, i).m->touched = true;
--- a/src/rounds/rank.c
+++ b/src/rounds/rank.c
@@ -1,4 +1,4 @@
-/* The order among a share's unfinished jobs. */
+/* The order among a shard's unfinished jobs. */
 #include <glib.h>
 #include <stdbool.h>
 #include <string.h>
@@ -75,11 +75,11 @@
 
 /* Which jobs are asked for. */
 struct rank_filter {
-    int share, team; /* -1: any */
+    int shard, team; /* -1: any */
 };
 
 static bool asked_for(const struct rank_filter *f, const struct job *j) {
-    return (f->share < 0 || jobs_share(j) == f->share) && (f->team < 0 || j->spec.team == f->team);
+    return (f->shard < 0 || jobs_shard(j) == f->shard) && (f->team < 0 || j->spec.team == f->team);
 }
 
 /* Of the jobs, oldest first, those that are asked for: within a guarantee first, then by rank, then by when they are
@@ -109,7 +109,7 @@
 }
 
 GArray *rounds_rank(int k) {
-    /* What is within a divided team's guarantee is decided over all its shares. */
+    /* What is within a divided team's guarantee is decided over all its shards. */
     return rank_jobs(quota_any_divided() ? jobs_active() : jobs_active_of(k), &(struct rank_filter){k, -1});
 }
 
--- a/src/rounds/round.h
+++ b/src/rounds/round.h
@@ -11,7 +11,7 @@
 extern const struct settings *round_settings;
 
 struct round {
-    int share;
+    int shard;
     GArray *plans;   /* placement_plan */
     GPtrArray *txns; /* store_txn */
     int left;        /* changes that the budget allows */
@@ -29,7 +29,7 @@
 
 /* Writes what is known of a job: completions, bookings that came and went, done tasks. */
 void round_write_job(struct round *r, struct job *j);
-/* Writes the pages of the share's machines. */
+/* Writes the pages of the shard's machines. */
 void round_write_pages(struct round *r, int k);
 
 /* Keys whose write the service has refused as malformed: left alone for a while. */
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -96,9 +96,9 @@
 }
 
 static void plan_round(struct round *r) {
-    int k = r->share;
+    int k = r->shard;
     rounds_scratch(k);
-    r->first = records_shares[k].fence * 1048576 + records_shares[k].next;
+    r->first = records_shards[k].fence * 1048576 + records_shards[k].next;
     /* Completions are what users wait for, those first that other jobs wait for; then starts; then what else is known,
      * longest first. */
     GHashTable *written = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -132,11 +132,11 @@
 
 struct round *rounds_decide(int k, int left) {
     struct round *r = g_new0(struct round, 1);
-    r->share = k;
+    r->shard = k;
     r->plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
     r->txns = g_ptr_array_new_with_free_func(round_txn_free);
     r->left = left;
-    r->apart = clock_seconds_since(records_shares[k].apart_until) < 0;
+    r->apart = clock_seconds_since(records_shards[k].apart_until) < 0;
     /* With nothing left of the budget there is nothing to decide: the more has gathered, the more the next carries. */
     if (left >= LEAST_CHANGES) plan_round(r);
     return r;
@@ -183,13 +183,13 @@
             b->m->kick = true;
         }
     }
-    for (guint i = 0; i < records_of(r->share)->len; i++) {
-        struct machine *m = records_of(r->share)->pdata[i];
+    for (guint i = 0; i < records_of(r->shard)->len; i++) {
+        struct machine *m = records_of(r->shard)->pdata[i];
         if (m->need_raise && records_token(m) > m->unknown_fence) m->need_raise = false;
     }
 }
 
-/* After an unknown outcome the share's mod revision is moved, so that what may still come late fails. */
+/* After an unknown outcome the shard's mod revision is moved, so that what may still come late fails. */
 static bool barrier(struct http_client *c, int k) {
     char key[32];
     struct store_txn t;
@@ -198,12 +198,12 @@
     store_refresh(c, key);
     store_txn_init(&t);
     store_lock();
-    bool mine = membership_mine(k);
-    const struct share *s = membership_share(k);
+    bool mine = membership_owns(k);
+    const struct shard *s = membership_shard(k);
     store_txn_compare(&t, key, s->mod_revision);
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "owner", s->owner);
-    cJSON_AddStringToObject(o, "inc", s->inc);
+    cJSON_AddStringToObject(o, "inc", s->incarnation);
     cJSON_AddNumberToObject(o, "fence", (double)s->fence);
     store_txn_put(&t, key, o, 0);
     store_unlock();
@@ -235,23 +235,23 @@
     int left = store_budget_available(STORE_PRIORITY_PROGRESS);
     bool again = false;
     store_lock();
-    bool mine = membership_mine(k);
+    bool mine = membership_owns(k);
     if (mine) {
-        int64_t f = membership_share(k)->fence;
-        if (records_shares[k].fence != f) {
-            records_shares[k].fence = f;
-            records_shares[k].next = 0;
-            records_shares[k].barrier = false;
-            records_shares[k].since = clock_now();
+        int64_t f = membership_shard(k)->fence;
+        if (records_shards[k].fence != f) {
+            records_shards[k].fence = f;
+            records_shards[k].next = 0;
+            records_shards[k].barrier = false;
+            records_shards[k].since = clock_now();
             log_info("share %d: ours under fence %lld", k, (long long)f);
         }
     }
     if (mine && left < LEAST_CHANGES && needed_end(k)) left = store_budget_available(STORE_PRIORITY_ALLOCATE);
-    bool blocked = records_shares[k].barrier;
+    bool blocked = records_shards[k].barrier;
     if (mine && !blocked) r = rounds_decide(k, left);
     store_unlock();
     if (mine && blocked) {
-        if (barrier(c, k)) records_shares[k].barrier = false;
+        if (barrier(c, k)) records_shards[k].barrier = false;
         again = true;
     }
     for (guint i = 0; r && i < r->txns->len; i++) {
@@ -265,7 +265,7 @@
             store_unlock();
             again = true;
         } else if (rc == STORE_CONFLICT) {
-            records_shares[k].conflict_revision = a.revision;
+            records_shards[k].conflict_revision = a.revision;
             /* Bookings and pages only in the order of the watch: read on their own they would be ahead of the records
              * that they rest on. */
             for (guint f = 0; f < a.conflicts->len; f++)
@@ -277,13 +277,13 @@
         } else if (rc == STORE_INVALID) {
             /* Surely not executed. What it held is written apart from other work from now on, and not at once again. */
             if (r->apart || t->writes == 1) round_note_refused(t);
-            records_shares[k].apart_until = clock_instant_in(clock_from_seconds(2 * ROUND_REFUSED_S));
+            records_shards[k].apart_until = clock_instant_in(clock_from_seconds(2 * ROUND_REFUSED_S));
             again = true;
         } else if (rc == STORE_UNKNOWN) {
-            records_shares[k].barrier = true;
+            records_shards[k].barrier = true;
         }
         store_response_clear(&a);
-        /* A conflict is one transaction's own: a fence that all controllers move once kept a share from booking
+        /* A conflict is one transaction's own: a fence that all controllers move once kept a shard from booking
          * anything for minutes, because what stood behind the raise was dropped with it. */
         if (rc != STORE_OK && rc != STORE_CONFLICT && rc != STORE_INVALID) break;
     }
@@ -295,15 +295,15 @@
 
 #define STORE_SEEN_S 4.0 /* cut from the store as well, what it holds ours is no longer known */
 
-/* A controller that hears none of its workers leaves its shares to others: at once where not one of many is heard in
+/* A controller that hears none of its workers leaves its shards to others: at once where not one of many is heard in
  * any way, after a report interval where most don't report. */
 static void give_up_when_deaf(const struct watch_hearing *h, struct timespec *hearing) {
     bool store_seen = clock_seconds_since(store_last_read()) <= STORE_SEEN_S;
     double report = clock_to_seconds(round_settings->report);
     if (h->up < 4 || h->reported * 10 >= h->up * 3 || !store_seen) *hearing = clock_now();
     bool deaf = store_seen && watch_deaf(h->up, h->newest_s, report);
-    if ((deaf || clock_seconds_since(*hearing) > report) && !membership_workers_lost())
-        membership_set_workers_lost(true);
+    if ((deaf || clock_seconds_since(*hearing) > report) && !membership_workers_unreachable())
+        membership_set_workers_unreachable(true);
 }
 
 static void *rounds_main(void *arg) {
@@ -321,7 +321,7 @@
             struct watch_hearing h = watch_hearing();
             give_up_when_deaf(&h, &hearing);
             for (int k = 0; k < round_settings->size; k++)
-                if (membership_mine(k) && membership_verified()) {
+                if (membership_owns(k) && membership_may_answer()) {
                     watch_machines(k, &h);
                     ledger_run(k, false);
                     ledger_run(k, true);
@@ -329,7 +329,7 @@
             if (clock_seconds_since(told) > 10) {
                 told = clock_now();
                 for (int k = 0; k < round_settings->size; k++)
-                    if (membership_mine(k)) ledger_tell(k);
+                    if (membership_owns(k)) ledger_tell(k);
             }
             store_unlock();
             workers_kick();
--- a/src/rounds/rounds.h
+++ b/src/rounds/rounds.h
@@ -17,8 +17,8 @@
     bool within;
     double due; /* time of day */
 };
-GArray *rounds_rank(int k);               /* the share's unfinished jobs in order */
-GArray *rounds_rank_team(int team);       /* a team's, in whatever shares they are */
+GArray *rounds_rank(int k);               /* the shard's unfinished jobs in order */
+GArray *rounds_rank_team(int team);       /* a team's, in whatever shards they are */
 int rounds_missing(const struct job *j);  /* tasks neither done nor booked */
 bool rounds_has_aim(const struct job *j); /* somebody expects jobs of its class to start or end by a time */
 bool rounds_has_guarantee(const struct settings_team *t);
--- a/src/rounds/rounds_limits_test.c
+++ b/src/rounds/rounds_limits_test.c
@@ -39,7 +39,7 @@
 /* Rounds until nothing is written any more; all that is written is applied as the store would. */
 static void settle(const char *what) {
     for (int i = 0; i < ROUNDS; i++) {
-        records_shares[0].tidied.tv_sec = 0;
+        records_shards[0].tidied.tv_sec = 0;
         struct round *round = rounds_decide(0, 12);
         const GPtrArray *txns = rounds_transactions(round);
         bool wrote = false;
@@ -62,7 +62,7 @@
     m->rows = 6;
 }
 
-/* Machines of the share on pages as full as the first version filled them. */
+/* Machines of the shard on pages as full as the first version filled them. */
 static int old_pages(struct machine **out, int n) {
     char id[32], key[32];
     for (int page = 0; page * OLD_PAGE < n; page++) {
@@ -212,7 +212,7 @@
         char id[32];
         g_snprintf(id, sizeof id, "i-%06d", i);
         const struct machine *m = records_find(id);
-        if (!m || m->share != (i == PASSED)) fail_msg("machine %d is lost", i);
+        if (!m || m->shard != (i == PASSED)) fail_msg("machine %d is lost", i);
         assert_false(m->need_raise);
     }
     assert_true(on[RETURNED]->returning);
@@ -222,7 +222,7 @@
     store_unlock();
 }
 
-/* Machines that come from another share. */
+/* Machines that come from another shard. */
 static void arrivals(void **state) {
     (void)state;
     char key[64], id[32];
--- a/src/rounds/rounds_test.c
+++ b/src/rounds/rounds_test.c
@@ -1,4 +1,4 @@
-/* The owner's decisions, with no store, cloud or worker beside them but the one that gives us a share. */
+/* The owner's decisions, with no store, cloud or worker beside them but the one that gives us a shard. */
 #include "rounds/rounds.h"
 
 #include <glib.h>
@@ -124,7 +124,7 @@
     (void)state;
     struct rent_order out[16];
     store_lock();
-    records_shares[0].since = (struct timespec){0, 0};
+    records_shards[0].since = (struct timespec){0, 0};
     struct job *j = owned_job("req-60001", "batch", "normal", 300, 8, 1, false, false, 10);
     rounds_round_free(rounds_decide(0, 20));
     assert_true(j->unplaced);
@@ -147,7 +147,7 @@
     store_unlock();
 }
 
-/* A share to which gangs come keeps one whole machine in seven beyond what waits. */
+/* A shard to which gangs come keeps one whole machine in seven beyond what waits. */
 static void spares(void **state) {
     (void)state;
     static const struct {
@@ -161,7 +161,7 @@
         {"too few machines to keep any", 5, 0, 30, 0},
     };
     store_lock();
-    records_shares[0].since = (struct timespec){0, 0};
+    records_shards[0].since = (struct timespec){0, 0};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine *all[32];
         char id[32], one[32], two[32];
@@ -389,7 +389,7 @@
         char id[32], uid[32];
         struct rent_order out[16];
         store_lock();
-        records_shares[0].since = (struct timespec){0, 0};
+        records_shards[0].since = (struct timespec){0, 0};
         for (int i = 0; i < rows[r].booting + rows[r].up; i++) {
             g_snprintf(id, sizeof id, "i-6%zu%03d", r, i);
             struct machine *m = owned_machine(id, "za", false);
--- a/src/rounds/write_jobs.c
+++ b/src/rounds/write_jobs.c
@@ -25,8 +25,8 @@
         t = g_new0(struct store_txn, 1);
         store_txn_init(t);
         char key[32];
-        snprintf(key, sizeof key, "share/%d", r->share);
-        store_txn_compare(t, key, membership_share(r->share)->mod_revision);
+        snprintf(key, sizeof key, "share/%d", r->shard);
+        store_txn_compare(t, key, membership_shard(r->shard)->mod_revision);
         g_ptr_array_add(r->txns, t);
     }
     r->left -= writes;
--- a/src/rounds/write_pages.c
+++ b/src/rounds/write_pages.c
@@ -12,7 +12,7 @@
 #include "../transfer/transfer.h"
 #include "round.h"
 
-/* What is to be done with each page of a share in a round. */
+/* What is to be done with each page of a shard in a round. */
 enum { PAGE_LATER = 1, PAGE_NOW = 2, PAGE_RAISE = 4 };
 struct page_plan {
     uint8_t need[RECORDS_PAGES];
@@ -43,7 +43,7 @@
         }
 }
 
-/* A machine that came from another share, or whose record is to change. */
+/* A machine that came from another shard, or whose record is to change. */
 static void plan_machine(struct machine *m, struct page_plan *p) {
     int page = m->next_page >= 0 ? m->next_page : m->page;
     if (page < 0 || page >= RECORDS_PAGES || p->large[page]) return;
@@ -84,7 +84,7 @@
     g_hash_table_iter_init(&it, records_unregistered_all());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct records_unregistered *c = v;
-        if (c->share == k) c->page = -1;
+        if (c->shard == k) c->page = -1;
     }
 }
 
@@ -94,7 +94,7 @@
     g_hash_table_iter_init(&it, records_unregistered_all());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct records_unregistered *c = v;
-        if (c->share == k && (c->page = records_fills_add(fills, c->id)) >= 0) p->need[c->page] |= PAGE_NOW;
+        if (c->shard == k && (c->page = records_fills_add(fills, c->id)) >= 0) p->need[c->page] |= PAGE_NOW;
     }
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/* Comes from another share, to this page: its own record goes with the write. */
+/* Comes from another shard, to this page: its own record goes with the write. */
 static bool arrives_at(const struct machine *m, int page) { return m->page < 0 && m->next_page == page; }
 
 static void write_page(struct round *r, int k, int page) {
@@ -151,11 +151,11 @@
 
 #define TIDY_S 2 /* between writes of what can wait */
 
-/* The pages of the share's machines. */
+/* The pages of the shard's machines. */
 void round_write_pages(struct round *r, int k) {
-    struct page_plan p = {.fence = membership_fence() + 1, .raise_writes = 1};
-    bool tidy = clock_seconds_since(records_shares[k].tidied) > TIDY_S;
-    if (tidy) records_shares[k].tidied = clock_now();
+    struct page_plan p = {.fence = membership_fencing_token() + 1, .raise_writes = 1};
+    bool tidy = clock_seconds_since(records_shards[k].tidied) > TIDY_S;
+    if (tidy) records_shards[k].tidied = clock_now();
     records_large_pages(k, p.large);
     struct records_fills fills;
     forget_places(k);
--- a/src/service/service_gap_test.c
+++ b/src/service/service_gap_test.c
@@ -21,7 +21,7 @@
 static const struct {
     const char *what;
     int leader;
-    bool of_other;  /* the cancelled jobs belong to the other controller's share */
+    bool of_other;  /* the cancelled jobs belong to the other controller's shard */
     bool turn;      /* workers turn to the other controller in the middle */
     bool end_other; /* the one that confirmed ends right after it */
     bool held;      /* a start is held up on its way to the machine */
--- a/src/service/service_meetings_test.c
+++ b/src/service/service_meetings_test.c
@@ -35,7 +35,7 @@
 
 static bool gone(const char *task, double within) { return pair_runs(task, 0, within); }
 
-/* A job that runs on, of the team whose share that controller owns. */
+/* A job that runs on, of the team whose shard that controller owns. */
 static void long_job(const char *uid, int owner, int tasks) {
     char task[64];
     assert_non_null(pair_team_of(owner));
@@ -190,7 +190,7 @@
 
 /* A team is at its limit when its owner ends; one of its machines can't be asked, and a job of it is cancelled. */
 static void at_the_limit(void) {
-    int owner = pair_team_of(0) && !strcmp(pair_team_of(0), "red") ? 0 : 1; /* green's share is red's */
+    int owner = pair_team_of(0) && !strcmp(pair_team_of(0), "red") ? 0 : 1; /* green's shard is red's */
     standin_workers_watch("req-90");
     assert_true(pair_submit("req-90001", "green", "standing", 3));
     assert_true(pair_runs("req-90001/0", 1, 20) && pair_runs("req-90001/2", 1, 20));
--- a/src/service/service_quota_test.c
+++ b/src/service/service_quota_test.c
@@ -366,7 +366,7 @@
     burst_everywhere(red, "red", 0);
     all_with(NULL, UNDIVIDED);
     burst_ends(red);
-    cancel(0, "req-90001"); /* a service stays in its share until it ends */
+    cancel(0, "req-90001"); /* a service stays in its shard until it ends */
     assert_true(becomes_divided(false, 20));
     submit_red(0, "req-90002", "standing", 2);
     assert_true(cluster_runs("req-90002/0", 1, 20) && cluster_runs("req-90002/1", 1, 20));
@@ -448,7 +448,7 @@
 
 int main(int argc, char **argv) {
     static const struct cluster_site site = {
-        .controllers = CONTROLLERS, .shares = 3, .teams = {TEAMS}, .first_sees_no_peer = true};
+        .controllers = CONTROLLERS, .shards = 3, .teams = {TEAMS}, .first_sees_no_peer = true};
     row = argc > 2 ? (size_t)atoi(argv[2]) : 0;
     production = argc > 3 ? argv[3] : NULL;
     if (row >= G_N_ELEMENTS(rows) || argc < 2 || !cluster_start(argv[1], &site)) return 2;
--- a/src/service/service_stall_test.c
+++ b/src/service/service_stall_test.c
@@ -1,5 +1,5 @@
 /* A controller stands still as a whole, its clocks running on, and goes on as if nothing had happened. Meanwhile the
- * other confirms cancellations and takes its shares over; the store may be out as well. Nothing that the first had
+ * other confirms cancellations and takes its shards over; the store may be out as well. Nothing that the first had
  * decided or read before may act: no answer, no start, no return of machines.
  *
  * One row a run: the stand-ins begin from nothing. */
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -214,7 +214,7 @@
     assert_int_equal(standin_workers_most(), 1);
 }
 
-/* What keeps a machine from being transferred to another share. */
+/* What keeps a machine from being transferred to another shard. */
 static void may_pass(void **state) {
     (void)state;
     static const struct {
--- a/src/service/service_upgrade_test.c
+++ b/src/service/service_upgrade_test.c
@@ -24,7 +24,7 @@
 enum trouble {
     NOTHING,
     OLD_CRASHES,   /* the one that is still old ends and is back at once, old */
-    NEW_CRASHES,   /* the upgraded one ends: its shares pass to the old one, and back */
+    NEW_CRASHES,   /* the upgraded one ends: its shards pass to the old one, and back */
     BOTH_END,      /* both end at once and come back as they were */
     CANCEL_AT_NEW, /* cancellations confirmed by the new one, carried out by the old */
     CANCEL_AT_OLD, /* and the other way round */
@@ -94,7 +94,7 @@
             break;
         case NEW_CRASHES:
             pair_end(new);
-            clock_sleep(clock_from_seconds(PAIR_LEASE_S)); /* the old one takes all shares and rewrites their records */
+            clock_sleep(clock_from_seconds(PAIR_LEASE_S)); /* the old one takes all shards and rewrites their records */
             assert_true(pair_submit("req-10003", "red", "batch", 12));
             assert_true(pair_submit("req-10004", "blue", "batch", 12));
             begin_as(new, new_program);
@@ -191,7 +191,7 @@
     leave_chained_record();
     pair_end(first);
     begin_as(first, new_program);
-    clock_sleep(clock_from_seconds(PAIR_LEASE_S * 0.75)); /* a share is given to it */
+    clock_sleep(clock_from_seconds(PAIR_LEASE_S * 0.75)); /* a shard is given to it */
     trouble(first, second);
     assert_true(pair_submit("req-10002", "red", "batch", 8));
     pair_end(second);
--- a/src/settings/quota_file.c
+++ b/src/settings/quota_file.c
@@ -20,11 +20,11 @@
 const struct settings_quota settings_quota_defaults = {.gather = {20, 0}};
 
 /* One team, or all that no entry has named before. */
-static void divide_teams(struct settings *s, const char *team, int shares, bool *named) {
+static void divide_teams(struct settings *s, const char *team, int shards, bool *named) {
     for (int i = 0; i < s->n_teams; i++) {
         if (named[i] || (strcmp(team, EVERY_TEAM) != 0 && strcmp(team, s->teams[i].name) != 0)) continue;
         named[i] = true;
-        s->teams[i].shares = shares;
+        s->teams[i].shards = shards;
     }
 }
 
@@ -40,15 +40,15 @@
         settings_fail(r, "divide", "an entry is not of the form { team = NAME, shares = NUMBER }");
         return;
     }
-    int shares = whole_number(entry, "shares");
+    int shards = whole_number(entry, "shares");
     if (!config_setting_lookup_string(entry, "team", &team)) {
         settings_fail(r, "divide.team", "a name is needed");
     } else if (strcmp(team, EVERY_TEAM) != 0 && settings_team(s, team) < 0) {
         settings_fail(r, "divide.team", "the settings name no such team");
-    } else if (shares < 1 || shares > SHARES_MOST || shares > s->size) {
+    } else if (shards < 1 || shards > SHARES_MOST || shards > s->size) {
         settings_fail(r, "divide.shares", "not a whole number from 1 to 16, and to the number of shares there are");
     } else {
-        divide_teams(s, team, shares, named);
+        divide_teams(s, team, shards, named);
     }
 }
 
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -20,7 +20,7 @@
     .silent_return = {8, 0},
     .node_lease = {2, 500000000},
     .watch_gap = {0, 80000000},
-    .machines_per_share = 5000, /* one team may hold nearly all of a fleet, with room for one twice as large */
+    .machines_per_shard = 5000, /* one team may hold nearly all of a fleet, with room for one twice as large */
     .dear_backlog = 1.5,
 };
 
@@ -61,7 +61,7 @@
     cJSON_ArrayForEach(t, list) {
         struct settings_team *x = &s->teams[s->n_teams++];
         x->name = need_str(r, t, "settings.teams.", "name");
-        x->shares = 1;
+        x->shards = 1;
         x->cpus = need_num(r, t, "settings.teams.", "cpus", 0, 1e9);
         x->cpus_max = need_num(r, t, "settings.teams.", "cpus_max", 0, 1e9);
         x->gpus = need_num(r, t, "settings.teams.", "gpus", 0, 1e9);
@@ -182,7 +182,7 @@
 static const struct tuning_field tuning_fields[] = {
     FIELD(reception, 0, 1, false),      FIELD(admission, 0.05, 1.01, false), FIELD(margin, 0.5, 20, false),
     FIELD(window, 1, 60, false),        FIELD(drain_reopen, 5, 3600, true),  FIELD(silent_return, 2, 3600, true),
-    FIELD(node_lease, 1, 60, true),     FIELD(watch_gap, 0, 5, true),        FIELD(machines_per_share, 1, 10000, false),
+    FIELD(node_lease, 1, 60, true),     FIELD(watch_gap, 0, 5, true),        FIELD(machines_per_shard, 1, 10000, false),
     FIELD(dear_backlog, 0, 100, false),
 };
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -11,7 +11,7 @@
 
 struct settings_team {
     char *name;
-    int shares;                            /* that the team is divided over; 1: it is not */
+    int shards;                            /* that the team is divided over; 1: it is not */
     double cpus, cpus_max, gpus, gpus_max; /* a maximum of 0: none */
 };
 struct settings_seed {
@@ -22,7 +22,7 @@
 struct settings_objective {
     enum settings_aim kind;
     char *jobclass; /* empty: all */
-    double within_s, share;
+    double within_s, fraction;
 };
 
 /* Operators' settings; the design's values are the defaults. */
@@ -30,7 +30,7 @@
     double reception, admission, margin;
     double window;
     struct timespec drain_reopen, silent_return, node_lease, watch_gap;
-    double machines_per_share;
+    double machines_per_shard;
     double dear_backlog; /* part of the wanted time that cheap work's backlog may last before dear machines help */
 };
 
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -116,7 +116,7 @@
     (void)state;
     static const struct {
         const char *text;
-        int shares[3];     /* red, blue, green */
+        int shards[3];     /* red, blue, green */
         const char *wrong; /* what the error must name, NULL: good */
     } rows[] = {
         {"", {1, 1, 1}, NULL},
@@ -145,7 +145,7 @@
             assert_non_null(strstr(err, "quota.hcl"));
             assert_non_null(strstr(err, rows[i].wrong));
         }
-        for (int t = 0; ok && t < 3; t++) assert_int_equal(s.teams[t].shares, rows[i].shares[t]);
+        for (int t = 0; ok && t < 3; t++) assert_int_equal(s.teams[t].shards, rows[i].shards[t]);
         settings_clear(&s);
     }
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -75,5 +75,5 @@
 double store_budget_rate_factor(bool changes);       /* how much more than its part is taken, of either rate */
 bool store_budget_requests_scarce(void);             /* requests should be gathered into fewer */
 void store_budget_set_fraction(int controllers,
-                               double writing); /* how many share the service; our part of the changes */
+                               double writing); /* how many shard the service; our part of the changes */
 #endif
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -29,7 +29,7 @@
 }
 
 /* Not in a round that books on it or releases from it: the plan is not in its list yet. A machine was once passed
- * together with a task of its old share's, which then counted nowhere against the team's limit. */
+ * together with a task of its old shard's, which then counted nowhere against the team's limit. */
 bool transfer_allowed(const struct machine *m) {
     return m->transfer_to >= 0 && m->bookings->len == 0 && m->page >= 0 && !m->touched && !m->unknown && !m->sending &&
            !m->need_raise && !m->want_return && !m->returning && !m->dead;
@@ -43,7 +43,7 @@
     return j->spec.spread && here >= (j->spec.tasks + 1) / 2;
 }
 
-/* Nothing fits beside what is booked: most machines of a busy share, not worth a closer look. */
+/* Nothing fits beside what is booked: most machines of a busy shard, not worth a closer look. */
 static bool full(const struct machine *m) {
     const struct flavour_info *f = cloud_flavour(m->sku);
     double cpu = 0, gpu = 0;
@@ -68,20 +68,20 @@
     return tasks <= 0;
 }
 
-/* The first job of another share that waits for a machine none of its own can give: every controller mirrors all
+/* The first job of another shard that waits for a machine none of its own can give: every controller mirrors all
  * records, so that the donor sees it without being asked. */
 static struct job *needy_job(int s, bool reclaimable, bool *within) {
     GArray *vms = g_array_new(FALSE, FALSE, sizeof(struct renting_vm));
     for (guint i = 0; i < records_machines()->len; i++) {
         struct machine *m = records_machines()->pdata[i];
-        if ((m->share != s && m->transfer_to != s) || m->returning || (m->spot && !reclaimable) ||
-            (m->share == s && full(m)))
+        if ((m->shard != s && m->transfer_to != s) || m->returning || (m->spot && !reclaimable) ||
+            (m->shard == s && full(m)))
             continue;
         guint before = vms->len;
         renting_vm_add(vms, m->sku, m->site, m->spot);
         if (vms->len == before) continue;
         struct renting_vm *v = &g_array_index(vms, struct renting_vm, before);
-        for (guint b = 0; b < m->bookings->len && m->share == s; b++) {
+        for (guint b = 0; b < m->bookings->len && m->shard == s; b++) {
             if (((struct booking *)m->bookings->pdata[b])->over) continue;
             const struct job_spec *x = &((struct booking *)m->bookings->pdata[b])->job->spec;
             v->cpu -= x->vcpus;
@@ -111,7 +111,7 @@
     return found;
 }
 
-/* A job of the share waits for a machine, and is of the same rank as the other's or a higher one. */
+/* A job of the shard waits for a machine, and is of the same rank as the other's or a higher one. */
 static bool own_work_first(int k, const struct job *j) {
     GPtrArray *jobs = jobs_active_of(k);
     for (guint i = 0; i < jobs->len; i++) {
@@ -121,8 +121,8 @@
     return false;
 }
 
-/* The same, but of the share's jobs those count that are within their teams' guarantees. A divided team's job may lie
- * in a share that has few machines: it waited there for ever, though within its guarantee, while the share that had
+/* The same, but of the shard's jobs those count that are within their teams' guarantees. A divided team's job may lie
+ * in a shard that has few machines: it waited there for ever, though within its guarantee, while the shard that had
  * them all had work beyond its guarantees waiting. */
 static bool own_guarantee_first(int k, const struct job *j) {
     GArray *order = rounds_rank(k);
@@ -135,7 +135,7 @@
     return first;
 }
 
-/* The machine of share K that is easiest to spare for the job: an empty one, else one whose tasks may all be stopped
+/* The machine of shard K that is easiest to spare for the job: an empty one, else one whose tasks may all be stopped
  * for it. */
 static struct machine *donation(int k, const struct job *j, bool within) {
     struct machine *best = NULL, *reception = rounds_reception(k);
@@ -155,7 +155,7 @@
         if (!placement_allowed(m, j, site, NULL)) continue;
         /* For work that could use cheap machines a dear one goes only if it is surplus here. */
         if (j->spec.reclaimable && !within && !m->spot && !m->draining) continue;
-        if (j->spec.reclaimable && m->bookings->len == 0 && records_shares[k].fit_nowhere && !within) continue;
+        if (j->spec.reclaimable && m->bookings->len == 0 && records_shards[k].fit_nowhere && !within) continue;
         bool all = true;
         for (guint b = 0; b < m->bookings->len; b++) all &= preempt_evictable(m->bookings->pdata[b], j, within);
         if (!all || !quota_may_be_cleared(m, j->rank)) continue;
@@ -174,9 +174,9 @@
         struct machine *m = records_of(k)->pdata[i];
         if (m->transfer_to >= 0 && clock_seconds_since(m->transfer_since) > 12) m->transfer_to = -1;
     }
-    /* A look at every other share's needs is the dearest part of a round, and nothing passes faster than this. */
-    if (clock_seconds_since(records_shares[k].passed) < records_machines()->len * 0.0008) return;
-    records_shares[k].passed = clock_now();
+    /* A look at every other shard's needs is the dearest part of a round, and nothing passes faster than this. */
+    if (clock_seconds_since(records_shards[k].passed) < records_machines()->len * 0.0008) return;
+    records_shards[k].passed = clock_now();
     for (int s = 0; s < cfg->size; s++) {
         if (s == k || jobs_active_of(s)->len == 0) continue;
         struct machine *m = NULL;
--- a/src/transfer/transfer.h
+++ b/src/transfer/transfer.h
@@ -1,4 +1,4 @@
-/* Transfers of machines between shares. */
+/* Transfers of machines between shards. */
 #ifndef FF_TRANSFER_H
 #define FF_TRANSFER_H
 #include <stdbool.h>
--- a/src/users/users.c
+++ b/src/users/users.c
@@ -341,7 +341,7 @@
     return NULL;
 }
 
-static int share_of_new(const struct user_request *a) { return a->team < 0 ? -1 : quota_share_of_new(a->team, a->uid); }
+static int shard_of_new(const struct user_request *a) { return a->team < 0 ? -1 : quota_shard_of_new(a->team, a->uid); }
 
 /* Fills the transaction for one round of submissions and cancels; a job known by now needs a compare only. */
 static void accept_fill(GPtrArray *batch, struct store_txn *t) {
@@ -357,7 +357,7 @@
         if (twice) continue;
         if (a->kind == REQUEST_SUBMIT && !(j && j->known) && !a->refusal) {
             enum job_state state = chains_cancelled_among(a->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
-            store_txn_put(t, key, jobs_value(a->spec_text, state, clock_time_of_day(), share_of_new(a)), 0);
+            store_txn_put(t, key, jobs_value(a->spec_text, state, clock_time_of_day(), shard_of_new(a)), 0);
         } else if (j && j->known && j->state == JOB_QUEUED && (a->kind == REQUEST_CANCEL || chains_to_cancel(j))) {
             store_txn_put(t, key, jobs_final_value(j, JOB_CANCELLED), 0);
         }
--- a/src/watch/watch.c
+++ b/src/watch/watch.c
@@ -58,7 +58,7 @@
     struct watch_hearing h = {0, 0, 0, HUGE_VAL};
     double lately = heard_lately();
     for (int k = 0; k < cfg->size; k++)
-        for (guint i = 0; membership_mine(k) && i < records_of(k)->len; i++) {
+        for (guint i = 0; membership_owns(k) && i < records_of(k)->len; i++) {
             struct machine *m = records_of(k)->pdata[i];
             if (!records_mine(m) || !m->up || records_leaving(m)) continue;
             h.up++;
@@ -91,7 +91,7 @@
 
 bool watch_zone_cut(int k, const char *site) {
     int z = settings_zone(cfg, site);
-    return z >= 0 && membership_mine(k) && zone_cut[k][z];
+    return z >= 0 && membership_owns(k) && zone_cut[k][z];
 }
 
 /* How long the tasks of a machine in a cut zone may live on after it was last heard: a controller in there, if there is
@@ -99,10 +99,10 @@
 double watch_zone_keeps(const char *site) {
     bool inside = strcmp(cfg->area, site) == 0;
     for (int i = 0; i < cfg->n_seeds; i++) inside |= strcmp(cfg->seeds[i].area, site) == 0;
-    return clock_to_seconds(cfg->lease) + (inside ? membership_bound() + 1 : 0);
+    return clock_to_seconds(cfg->lease) + (inside ? membership_read_validity_s() + 1 : 0);
 }
 
-/* Zones of a share in which nothing is heard any more: cut off rather than dead, machine by machine. */
+/* Zones of a shard in which nothing is heard any more: cut off rather than dead, machine by machine. */
 static void look_at_zones(int k, struct zone_watch *z) {
     double lately = heard_lately();
     for (int i = 0; i < cfg->n_zones; i++) z[i] = (struct zone_watch){0, 0, 1e9};
@@ -194,7 +194,7 @@
         /* Of a cut zone a few are asked, in turn: each that does not answer costs a sender its time limit. Where one
          * has just failed to answer, all are asked: what took it may have taken a hundred at once. */
         double again = cut ? MAX(1.5, zones[z].up / 4.0) : 1.5,
-               quiet = clock_seconds_since(records_shares[k].alarm) < ALARM_S ? ALARM_S / 2
+               quiet = clock_seconds_since(records_shards[k].alarm) < ALARM_S ? ALARM_S / 2
                                                                               : clock_to_seconds(cfg->report) * 1.1;
         if (m->up && clock_seconds_since(m->heard) > quiet && clock_seconds_since(m->probed) > again) {
             /* Asked directly, so that silence is not just a report on its way round the controllers. */
--- a/src/watch/watch.h
+++ b/src/watch/watch.h
@@ -8,7 +8,7 @@
 
 void watch_init(const struct settings *s);
 bool watch_try_workers(struct http_client *c); /* without the lock: whether one of a few workers answers */
-/* Of the machines of our shares that are up: how many were heard lately, how many have reported, and how long ago the
+/* Of the machines of our shards that are up: how many were heard lately, how many have reported, and how long ago the
  * last of them was heard in any way. */
 struct watch_hearing {
     int up, heard, reported;
@@ -23,10 +23,10 @@
  * after its last report. */
 bool watch_end_overdue(double ended_s, double reported_s, double lease_s, double cancel_s);
 double watch_zone_keeps(const char *site);
-/* With store_lock held. Nothing is heard of the share's machines in the zone. */
+/* With store_lock held. Nothing is heard of the shard's machines in the zone. */
 bool watch_zone_cut(int k, const char *site);
 /* With store_lock held. This controller stood still: all silence counts anew from now on. */
 void watch_forgive(void);
-/* With store_lock held. Finds the share's machines that are to be returned, given what is heard of all of ours. */
+/* With store_lock held. Finds the shard's machines that are to be returned, given what is heard of all of ours. */
 void watch_machines(int k, const struct watch_hearing *hearing);
 #endif
--- a/src/workers/checkin.c
+++ b/src/workers/checkin.c
@@ -26,8 +26,8 @@
  * relies on the lease's end: a start elsewhere needs a report's or the cloud's proof. Bound like an owner's answers to
  * the last look at the store, and over as soon as store or owner is in reach. */
 bool workers_may_proxy(const struct machine *m) {
-    const char *owner = m->share < 0 ? "" : membership_share(m->share)->owner;
-    return store_unreachable() && membership_verified() && strcmp(m->site, workers_settings->area) == 0 &&
+    const char *owner = m->shard < 0 ? "" : membership_shard(m->shard)->owner;
+    return store_unreachable() && membership_may_answer() && strcmp(m->site, workers_settings->area) == 0 &&
            strcmp(owner, workers_settings->node) != 0 && !peers_reach(owner);
 }
 
@@ -62,20 +62,20 @@
     return a;
 }
 
-/* A machine that no record names: the owner of the share that it would be in asks it, and adopts it. */
+/* A machine that no record names: the owner of the shard that it would be in asks it, and adopts it. */
 static void on_unrecorded(struct http_request *r, const char *id, const char *address) {
-    int k = records_share_of(id);
-    if (!membership_mine(k)) {
-        go_elsewhere(r, membership_share(k)->owner);
+    int k = records_shard_of(id);
+    if (!membership_owns(k)) {
+        go_elsewhere(r, membership_shard(k)->owner);
         return;
     }
     if (!records_known(id) && address && *address) workers_ask_unregistered(id, address);
     http_reply(r, 503, NULL, 1);
 }
 
-/* A machine of another's share, or of one that we do not know to be ours yet. */
+/* A machine of another's shard, or of one that we do not know to be ours yet. */
 static void on_anothers(struct http_request *r, struct machine *m, const cJSON *report) {
-    const struct share *s = membership_share(m->share);
+    const struct shard *s = membership_shard(m->shard);
     int64_t fence = 0;
     json_get_int64(report, "fence", &fence);
     if (fence <= records_token(m) && workers_may_proxy(m) && !workers_start_in_doubt(m, report))
@@ -115,7 +115,7 @@
     learn_address(m, address);
     if (fence > records_token(m))
         go_elsewhere(r, NULL); /* someone newer commands it */
-    else if (!membership_verified())
+    else if (!membership_may_answer())
         http_reply(r, 503, NULL, 1);
     else
         answer_report(r, m, report, fence);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -68,7 +68,7 @@
     store_lock();
     struct machine *m = records_find(l->id);
     bool good = workers_still_good(true, clock_seconds_since(l->decided),
-                                   m && records_mine(m) && m->owned_fence == l->owned, membership_may_start());
+                                   m && records_mine(m) && m->owned_fence == l->owned, membership_may_start_tasks());
     store_unlock();
     return good;
 }
@@ -173,7 +173,7 @@
         m->sending = false;
         bool same = records_mine(m) && m->owned_fence == l->owned;
         if (same && good && out != HTTP_ANSWERED && in_time && m->unanswered++ == 0)
-            records_shares[m->share].alarm = clock_now();
+            records_shards[m->shard].alarm = clock_now();
         bool answered = out == HTTP_ANSWERED && (status == 200 || status == 409);
         /* Only a start's outcome matters: a late stop or forget harms nobody, attempts are unique. */
         if (same && l->has_run) {
@@ -245,13 +245,13 @@
 static void send_due_commands(void) {
     store_lock();
     GPtrArray *ms = records_machines();
-    bool may_start = membership_may_start();
+    bool may_start = membership_may_start_tasks();
     for (guint i = 0; i < ms->len; i++) {
         struct machine *m = ms->pdata[i];
         if (store_unreachable() && m->known && !records_mine(m)) end_cancelled_elsewhere(m);
         if ((!m->kick && !m->hello) || !records_mine(m)) continue;
         if (!m->address[0] || m->sending || (m->unknown && !m->hello) || m->dead || (!m->up && !m->hello)) continue;
-        if (!membership_verified()) continue;
+        if (!membership_may_answer()) continue;
         /* One that has just failed to answer is asked before it is ordered anything: orders to a hundred that hang at
          * once would hold up everybody's. */
         bool hello = m->hello || m->unanswered > 0;
--- a/src/workers/orders.c
+++ b/src/workers/orders.c
@@ -28,7 +28,7 @@
 cJSON *workers_orders(struct machine *m, bool direct) {
     cJSON *list = cJSON_CreateArray();
     bool ours = m->seen_fence >= records_token(m); /* first the token, then orders, but for stops that can't wait */
-    bool may_start = membership_may_start();
+    bool may_start = membership_may_start_tasks();
     for (guint i = 0; i < m->unknown_tasks->len && i < RECORDS_TASKS_MOST; i++) {
         struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
         /* As long as the worker lists an attempt, a start of it that still comes does nothing. */
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -85,7 +85,7 @@
 /* When a booking counts as gone. Each row: reports in order, then whether it is released. */
 static void proofs(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     static const struct {
         const char *what, *first, *second;
         int tenure, seq, less; /* of the second report; less: fence below ours */
@@ -136,7 +136,7 @@
 /* A takeover with a start still in flight: nothing is ordered or released until the worker shows our token. */
 static void takeover_in_flight(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     store_lock();
     struct machine *m = fresh("i-000900", 0, "req-10001", BOOKED("i-000900"), true);
     struct booking *b = m->bookings->pdata[0];
@@ -158,7 +158,7 @@
 /* A raise of the machine's token is the proof that an unanswered command can't come any more. */
 static void raise_token(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     store_lock();
     struct machine *m = fresh("i-000901", 0, "req-10001", BOOKED("i-000901"), false);
     struct booking *b = m->bookings->pdata[0];
@@ -185,7 +185,7 @@
 
 static void cancelled(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     store_lock();
     put("job/req-10002", SPEC("req-10002", "batch", "2"), ++mod_revision);
     struct machine *m = fresh("i-000902", 0, "req-10002", "0@i-000902+0 1@i-000902+1", false);
@@ -208,7 +208,7 @@
  * The stop of a cancelled task goes with that first answer. */
 static void cancelled_under_old_token(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     store_lock();
     put("job/req-10004", SPEC("req-10004", "batch", "2"), ++mod_revision);
     struct machine *m = fresh("i-000940", 0, "req-10004", "0@i-000940+0 1@i-000940+1", true);
@@ -231,7 +231,7 @@
 /* Copies of reports, from seconds to minutes late, before and after a change of owner. */
 static void late_copies(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     store_lock();
     struct machine *m = fresh("i-000920", 0, "req-10001", BOOKED("i-000920"), false);
     struct booking *b = m->bookings->pdata[0];
@@ -269,7 +269,7 @@
 /* A machine that took long to boot and is first heard by a direct answer. */
 static void first_answer(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     store_lock();
     struct machine *m = fresh("i-000950", 0, "req-10001", BOOKED("i-000950"), false);
     m->up = false;
@@ -287,7 +287,7 @@
 /* Reports arrive, answers and orders don't: not silent, yet of no use. */
 static void out_of_reach(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     static const struct {
         const char *what;
         int less, ordered, tenure_step;
@@ -366,7 +366,7 @@
 /* What is on its way to the machine, and whether a report that does not list a seen task proves its end. */
 static void under_way(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     static const struct {
         const char *what;
         bool sending, asking, unknown, over;
@@ -395,7 +395,7 @@
 /* Reports that can't be read, or come from elsewhere, are no news: nothing is released, nobody is alive by them. */
 static void unreadable(void **state) {
     (void)state;
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     static const struct {
         const char *what, *report;
         bool news;
@@ -437,7 +437,7 @@
 static void starts_need_a_look(void **state) {
     (void)state;
     store_lock();
-    int64_t f = membership_share(0)->fence;
+    int64_t f = membership_shard(0)->fence;
     struct machine *m = fresh("i-000981", 0, "req-10001", BOOKED("i-000981"), false);
     assert_true(report(m, 1, 1, f, "", true));
     assert_int_equal(orders(m, "run"), 1);
@@ -448,8 +448,8 @@
     while (may && clock_seconds_since(start) < 8) {
         clock_sleep(clock_from_seconds(0.05));
         store_lock();
-        may = membership_may_start();
-        verified = membership_verified();
+        may = membership_may_start_tasks();
+        verified = membership_may_answer();
         store_unlock();
     }
     assert_false(may);
@@ -463,7 +463,7 @@
     while (!may && clock_seconds_since(start) < 8) {
         clock_sleep(clock_from_seconds(0.05));
         store_lock();
-        may = membership_may_start();
+        may = membership_may_start_tasks();
         store_unlock();
     }
     store_lock();
--- a/tests/standin/cluster.c
+++ b/tests/standin/cluster.c
@@ -82,7 +82,7 @@
         "\"workers\":{\"report_s\":0.3,\"lease_s\":%d,\"gang_wait_s\":30,\"gang_peer_s\":5,\"cancel_s\":%d},"
         "\"state\":{\"rps\":1000,\"write_rps\":500,\"value_kb\":4,\"txn_ops\":8,\"next\":%s},"
         "\"cloud\":{\"rps\":50,\"list_lag_s\":1},\"machine_limits\":{\"cores\":0.2,\"mem_mb\":100,\"sockets\":1000}}}",
-        i, zone_of(i), c->bind, c->listen, seeds, cloud, c->door, site.shares, c->teams, CLUSTER_LEASE_S,
+        i, zone_of(i), c->bind, c->listen, seeds, cloud, c->door, site.shards, c->teams, CLUSTER_LEASE_S,
         CLUSTER_CANCEL_S, site.next_limits ? site.next_limits : "null");
     g_snprintf(c->settings, sizeof c->settings, "%s/fieldfield-%d-%d.json", g_get_tmp_dir(), (int)getpid(), i);
     bool ok = g_file_set_contents(c->settings, json, -1, NULL);
@@ -196,26 +196,26 @@
     return yes;
 }
 
-/* The record of a share names the incarnation that has it: one that ended has it no more. */
-static bool owns(int i, int share) {
-    char share_key[16], node_key[16];
-    g_snprintf(share_key, sizeof share_key, "share/%d", share);
+/* The record of a shard names the incarnation that has it: one that ended has it no more. */
+static bool owns(int i, int shard) {
+    char shard_key[16], node_key[16];
+    g_snprintf(shard_key, sizeof shard_key, "share/%d", shard);
     g_snprintf(node_key, sizeof node_key, "node/n%d", i);
-    char *share_text = standin_state_value(share_key), *node_text = standin_state_value(node_key);
-    cJSON *s = cJSON_Parse(share_text ? share_text : "{}"), *n = cJSON_Parse(node_text ? node_text : "{}");
+    char *shard_text = standin_state_value(shard_key), *node_text = standin_state_value(node_key);
+    cJSON *s = cJSON_Parse(shard_text ? shard_text : "{}"), *n = cJSON_Parse(node_text ? node_text : "{}");
     const char *owner = json_get_string(s, "owner"), *owning = json_get_string(s, "inc"),
                *living = json_get_string(n, "inc");
     bool yes = owner && owning && living && !strcmp(owner, controllers[i].name) && !strcmp(owning, living);
     cJSON_Delete(s);
     cJSON_Delete(n);
-    g_free(share_text);
+    g_free(shard_text);
     g_free(node_text);
     return yes;
 }
 
-int cluster_owner(int share) {
+int cluster_owner(int shard) {
     for (int i = 0; i < site.controllers; i++)
-        if (owns(i, share)) return i;
+        if (owns(i, shard)) return i;
     return -1;
 }
 
@@ -223,8 +223,8 @@
     struct timespec start = clock_now();
     while (clock_seconds_since(start) < within) {
         int owned = 0;
-        for (int k = 0; k < site.shares; k++) owned += cluster_owner(k) >= 0;
-        if (owned == site.shares) return true;
+        for (int k = 0; k < site.shards; k++) owned += cluster_owner(k) >= 0;
+        if (owned == site.shards) return true;
         clock_sleep(clock_from_seconds(0.05));
     }
     return false;
--- a/tests/standin/cluster.h
+++ b/tests/standin/cluster.h
@@ -12,7 +12,7 @@
 
 struct cluster_site {
     int controllers;
-    int shares;
+    int shards;
     const char *teams[CLUSTER_MOST]; /* JSON list of each controller's settings; NULL: that of the first */
     const char *next_limits;         /* `state.next`; NULL: none */
     bool first_sees_no_peer;
@@ -32,8 +32,8 @@
 void cluster_shut(int i, bool shut); /* the store refuses this controller alone */
 
 bool cluster_names(const char *key, const char *field, int i); /* the record's field names that controller */
-int cluster_owner(int share);                                  /* index of its owner; -1: none that lives */
-bool cluster_shared(double within);                            /* every share has an owner */
+int cluster_owner(int shard);                                  /* index of its owner; -1: none that lives */
+bool cluster_shared(double within);                            /* every shard has an owner */
 
 struct cluster_job {
     const char *uid, *team, *shape, *rank;
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -23,7 +23,7 @@
     membership_start();
     for (int i = 0; i < 100; i++) {
         store_lock();
-        bool mine = membership_mine(0);
+        bool mine = membership_owns(0);
         store_unlock();
         if (mine) break;
         clock_sleep(clock_from_seconds(0.1));
@@ -108,7 +108,7 @@
     g_free(json);
     struct job *j = jobs_find(uid);
     assert_non_null(j);
-    assert_int_equal(jobs_share(j), 0);
+    assert_int_equal(jobs_shard(j), 0);
     return j;
 }
 
@@ -134,7 +134,7 @@
     }
 }
 
-/* Everything of a test goes, so that the next begins with an empty share. */
+/* Everything of a test goes, so that the next begins with an empty shard. */
 void owned_clear(void) {
     char key[96];
     for (guint i = jobs_active()->len; i-- > 0;) {
--- a/tests/standin/owned.h
+++ b/tests/standin/owned.h
@@ -1,4 +1,4 @@
-/* All slices wired as in the service, with one share owned: what tests of an owner's decisions begin from. */
+/* All slices wired as in the service, with one shard owned: what tests of an owner's decisions begin from. */
 #ifndef FF_STANDIN_OWNED_H
 #define FF_STANDIN_OWNED_H
 #include <stdbool.h>
@@ -14,15 +14,15 @@
 /* All with store_lock held. */
 int64_t owned_next_stamp(void);
 void owned_put(const char *key, const char *json); /* json NULL: the key goes */
-/* A steady machine of share 0 with a free room of 16 CPUs, 2 GPUs, 64 GB, on a page and up. */
+/* A steady machine of shard 0 with a free room of 16 CPUs, 2 GPUs, 64 GB, on a page and up. */
 struct machine *owned_machine(const char *id, const char *zone, bool spot);
 /* So many of them, in all zones in turn, with their pages written at once. */
 void owned_fleet(struct machine **all, int n, bool spot);
-/* A job of team green, which is share 0's, accepted `age` seconds ago. */
+/* A job of team green, which is shard 0's, accepted `age` seconds ago. */
 struct job *owned_job(const char *uid, const char *shape, const char *rank, int tasks, double cpus, double gpus,
                       bool together, bool reclaimable, double age);
 /* Books tasks 0.. of the job, one on each of the machines, running for long. */
 void owned_book(struct job *j, struct machine **on, int n);
-/* Everything of a test goes, so that the next begins with an empty share. */
+/* Everything of a test goes, so that the next begins with an empty shard. */
 void owned_clear(void);
 #endif
--- a/tests/standin/pair.c
+++ b/tests/standin/pair.c
@@ -14,7 +14,7 @@
     "{\"name\":\"blue\",\"cpus\":0,\"cpus_max\":0,\"gpus\":0,\"gpus_max\":0}," \
     "{\"name\":\"green\",\"cpus\":0,\"cpus_max\":0,\"gpus\":0,\"gpus_max\":4}]"
 
-static struct cluster_site site = {.controllers = 2, .shares = 2, .teams = {TEAMS, TEAMS}, .first_sees_no_peer = true};
+static struct cluster_site site = {.controllers = 2, .shards = 2, .teams = {TEAMS, TEAMS}, .first_sees_no_peer = true};
 static const char *const teams[] = {"red", "blue"};
 
 void pair_next_limits(const char *json) { site.next_limits = json; }
