--- a/src/bookings/bookings.c
+++ b/src/bookings/bookings.c
@@ -9,10 +9,10 @@
 
 #include "../clock/clock.h"
 #include "../failures/failures.h"
-#include "../format/format.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../rounds/rounds.h"
+#include "../schema_version/schema_version.h"
 #include "../workers/workers.h"
 
 static const struct settings *cfg;
@@ -33,13 +33,13 @@
 int bookings_stretch(const struct job *j) { return j->stretch ? j->stretch : bookings_first_stretch(); }
 int bookings_chunks_of(const struct job *j, int stretch) { return (j->spec.tasks + stretch - 1) / stretch; }
 int bookings_chunks(const struct job *j) { return bookings_chunks_of(j, bookings_stretch(j)); }
-double bookings_value_most(void) { return 1024 * (format_active() ? cfg->next_value_kb : cfg->value_kb); }
+double bookings_value_most(void) { return 1024 * (schema_version_active() ? cfg->next_value_kb : cfg->value_kb); }
 
 /* All records of a job change their stretch in one transaction, which also replaces what is on record in the old one.
  * A job for which that is too many keeps its stretch; its records are filled up to the next limit only. */
 int bookings_write_stretch(const struct job *j) {
     int now = bookings_stretch(j), next = stretch_for(cfg->next_value_kb);
-    if (!format_active() || now <= next) return now;
+    if (!schema_version_active() || now <= next) return now;
     return j->n_runs == 0 || bookings_chunks_of(j, next) <= cfg->txn_ops ? next : now;
 }
 
@@ -137,7 +137,7 @@
     }
     cJSON *o = cJSON_CreateObject();
     /* From the second layout on every record names it, so that none depends on what the settings say some day. */
-    if (stretch != bookings_first_stretch() || format_active()) cJSON_AddNumberToObject(o, "n", stretch);
+    if (stretch != bookings_first_stretch() || schema_version_active()) cJSON_AddNumberToObject(o, "n", stretch);
     if (any) cJSON_AddStringToObject(o, "d", done);
     if (failed_tries) cJSON_AddNumberToObject(o, "e", failed_tries);
     if (b->len) {
--- a/src/chains/chains_test.c
+++ b/src/chains/chains_test.c
@@ -10,11 +10,11 @@
 
 #include "../../tests/standin/site.h"
 #include "bookings/bookings.h"
-#include "format/format.h"
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
 #include "rounds/rounds.h"
+#include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
 static struct settings cfg;
@@ -238,7 +238,7 @@
     logging_init("fatal");
     store_init(&cfg);
     membership_init(&cfg);
-    format_init(&cfg);
+    schema_version_init(&cfg);
     jobs_init(&cfg);
     chains_init(&cfg);
     bookings_init(&cfg);
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -9,10 +9,10 @@
 #include "../../tests/standin/site.h"
 #include "bookings/bookings.h"
 #include "chains/chains.h"
-#include "format/format.h"
 #include "json/json.h"
 #include "membership/membership.h"
 #include "rounds/rounds.h"
+#include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
 static struct settings cfg;
@@ -207,7 +207,7 @@
     membership_init(&cfg);
     jobs_init(&cfg);
     chains_init(&cfg);
-    format_init(&cfg);
+    schema_version_init(&cfg);
     bookings_init(&cfg);
     records_init(&cfg);
     rounds_init(&cfg);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -9,12 +9,12 @@
 #include <time.h>
 
 #include "../clock/clock.h"
-#include "../format/format.h"
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../quota/quota.h"
 #include "../records/records.h"
+#include "../schema_version/schema_version.h"
 #include "../sync/sync.h"
 #include "../watch/watch.h"
 
@@ -238,7 +238,7 @@
             assign_shard(t, k, me);
             return true;
         }
-    if (quota_announce(t) || format_announce(t)) return true;
+    if (quota_announce(t) || schema_version_announce(t)) return true;
     if (me->workers_unreachable != my_workers_unreachable) {
         char key[96];
         snprintf(key, sizeof key, "node/%s", cfg->node);
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -6,10 +6,10 @@
 #include <time.h>
 
 #include "../clock/clock.h"
-#include "../format/format.h"
 #include "../http/client.h"
 #include "../jobs/jobs.h"
 #include "../membership/membership.h"
+#include "../schema_version/schema_version.h"
 #include "demand.h"
 
 /* All controllers' changes of parts together stay below this part of the store's rate: they only move what is not used
@@ -81,7 +81,7 @@
     if (t->damaged || !settled(t->home)) return false;
     if (t->recorded) quota_look(t);
     if (!t->recorded) {
-        if (!known || agreed.shards <= 1 || !format_divided()) return false;
+        if (!known || agreed.shards <= 1 || !schema_version_divided_quota()) return false;
         next = quota_record_create(t->home, quota_settings->size, agreed.shards, agreed.limit, agreed.guarantee);
     } else if (undivided_again(t)) {
         begin_change(c, t);
--- a/src/records/records_test.c
+++ b/src/records/records_test.c
@@ -10,11 +10,11 @@
 #include "bookings/bookings.h"
 #include "chains/chains.h"
 #include "cloud/cloud.h"
-#include "format/format.h"
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
 #include "rounds/rounds.h"
+#include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
 static struct settings cfg;
@@ -245,7 +245,7 @@
     membership_init(&cfg);
     jobs_init(&cfg);
     chains_init(&cfg);
-    format_init(&cfg);
+    schema_version_init(&cfg);
     cloud_init(&cfg);
     records_init(&cfg);
     bookings_init(&cfg);
--- a/src/rounds/rounds_limits_test.c
+++ b/src/rounds/rounds_limits_test.c
@@ -11,10 +11,10 @@
 #include "../../tests/standin/state.h"
 #include "bookings/bookings.h"
 #include "clock/clock.h"
-#include "format/format.h"
 #include "json/json.h"
 #include "placement/placement.h"
 #include "rounds/rounds.h"
+#include "schema_version/schema_version.h"
 
 #define NEXT_OPS 4
 #define NEXT_BYTES 2048
--- a/src/format/format.c
+++ b/src/schema_version/schema_version.c
@@ -1,4 +1,4 @@
-#include "format.h"
+#include "schema_version.h"
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -21,9 +21,9 @@
 }
 
 static bool all_upgraded(void) {
-    if (own_version < FORMAT_VERSION) return false;
+    if (own_version < SCHEMA_VERSION) return false;
     for (int i = 0; i < cfg->n_seeds; i++)
-        if (peer_version[i] < FORMAT_VERSION) return false;
+        if (peer_version[i] < SCHEMA_VERSION) return false;
     return true;
 }
 
@@ -35,17 +35,17 @@
         if (strcmp(node, cfg->seeds[i].node) == 0) latest[i + 1] = (int)version;
 }
 
-bool format_divided(void) {
+bool schema_version_divided_quota(void) {
     for (int i = 0; i <= cfg->n_seeds; i++)
-        if (latest[i] < FORMAT_DIVIDED) return false;
+        if (latest[i] < SCHEMA_VERSION_DIVIDED_QUOTA) return false;
     return true;
 }
 
 /* The version that our own record is to name. */
 static int wanted_version(void) {
     for (int i = 0; i < cfg->n_teams; i++)
-        if (cfg->teams[i].shards > 1) return FORMAT_DIVIDED;
-    return FORMAT_VERSION;
+        if (cfg->teams[i].shards > 1) return SCHEMA_VERSION_DIVIDED_QUOTA;
+    return SCHEMA_VERSION;
 }
 
 static void apply_format(const char *node, const cJSON *data, int64_t mod_revision) {
@@ -57,17 +57,17 @@
     if (active || !all_upgraded()) return;
     active = true;
     log_info("format: all %d controllers read version %d, its layout is written from now on", cfg->n_seeds + 1,
-             FORMAT_VERSION);
+             SCHEMA_VERSION);
 }
 
-bool format_active(void) { return active; }
+bool schema_version_active(void) { return active; }
 
-bool format_announce(struct store_txn *t) {
+bool schema_version_announce(struct store_txn *t) {
     char key[96];
     int version = wanted_version();
-    bool withdraws = latest[0] == FORMAT_DIVIDED && version < FORMAT_DIVIDED;
-    if (own_version >= FORMAT_VERSION && latest[0] >= version && !withdraws) return false;
-    if (own_version >= FORMAT_VERSION && latest[0] < FORMAT_VERSION) return false; /* a damaged record */
+    bool withdraws = latest[0] == SCHEMA_VERSION_DIVIDED_QUOTA && version < SCHEMA_VERSION_DIVIDED_QUOTA;
+    if (own_version >= SCHEMA_VERSION && latest[0] >= version && !withdraws) return false;
+    if (own_version >= SCHEMA_VERSION && latest[0] < SCHEMA_VERSION) return false; /* a damaged record */
     snprintf(key, sizeof key, "format/%s", cfg->node);
     cJSON *record = cJSON_CreateObject();
     cJSON_AddNumberToObject(record, "version", version);
@@ -77,7 +77,7 @@
     return true;
 }
 
-void format_init(const struct settings *s) {
+void schema_version_init(const struct settings *s) {
     cfg = s;
     store_observe_prefix("format/", apply_format);
 }
--- a/src/format/format.h
+++ b/src/schema_version/schema_version.h
@@ -4,26 +4,26 @@
  * turn comes back in the old version. A layout that the old version would misread may be written only once no
  * controller can come back old. The proof is durable and monotone: each controller records the version that it can read
  * under `format/NODE`, without a lease, and a controller is never downgraded. */
-#ifndef FF_FORMAT_H
-#define FF_FORMAT_H
+#ifndef FF_SCHEMA_VERSION_H
+#define FF_SCHEMA_VERSION_H
 #include <stdbool.h>
 
 #include "../store/store.h"
 
 /* Version 1 has no record. Version 2 adds records of bookings that name their own stretch of tasks. */
-#define FORMAT_VERSION 2
+#define SCHEMA_VERSION 2
 /* Version 3 can read records of divided teams. A controller records it only while its settings divide a team, so that
  * an earlier version may come back once no team is divided any more. */
-#define FORMAT_DIVIDED 3
+#define SCHEMA_VERSION_DIVIDED_QUOTA 3
 
-void format_init(const struct settings *s);
+void schema_version_init(const struct settings *s);
 
 /* All with store_lock held. */
 
 /* Whether every controller of the settings has recorded this version: its layout may be written from now on. */
-bool format_active(void);
+bool schema_version_active(void);
 /* Whether every controller's latest record says that it reads, and its settings ask for, divided teams. */
-bool format_divided(void);
+bool schema_version_divided_quota(void);
 /* Adds the record of our own version to the transaction; false if it is on record already. */
-bool format_announce(struct store_txn *t);
+bool schema_version_announce(struct store_txn *t);
 #endif
--- a/src/format/format_test.c
+++ b/src/schema_version/schema_version_test.c
@@ -1,4 +1,4 @@
-#include "format/format.h"
+#include "schema_version/schema_version.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -39,8 +39,8 @@
     };
     struct store_txn t;
     store_txn_init(&t);
-    assert_false(format_active());
-    assert_true(format_announce(&t));
+    assert_false(schema_version_active());
+    assert_true(schema_version_announce(&t));
     const cJSON *op = cJSON_GetArrayItem(t.operations, 0);
     assert_int_equal(t.writes, 1);
     assert_string_equal(json_get_string(op, "set"), "format/n0");
@@ -48,10 +48,10 @@
     store_txn_free(&t);
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         put(rows[i].key, rows[i].record);
-        if (format_active() != rows[i].active) fail_msg("%s: %d", rows[i].what, format_active());
+        if (schema_version_active() != rows[i].active) fail_msg("%s: %d", rows[i].what, schema_version_active());
     }
     store_txn_init(&t);
-    assert_false(format_announce(&t));
+    assert_false(schema_version_announce(&t));
     store_txn_free(&t);
 }
 
@@ -82,11 +82,11 @@
         put(rows[i].key, rows[i].record);
         store_txn_init(&t);
         int64_t version = 0;
-        if (format_announce(&t))
+        if (schema_version_announce(&t))
             json_get_int64(cJSON_GetObjectItem(cJSON_GetArrayItem(t.operations, 0), "data"), "version", &version);
-        if (format_divided() != rows[i].in_force || version != rows[i].announces)
-            fail_msg("%s: %d, announces %lld", rows[i].what, format_divided(), (long long)version);
-        assert_true(format_active()); /* the second layout stays */
+        if (schema_version_divided_quota() != rows[i].in_force || version != rows[i].announces)
+            fail_msg("%s: %d, announces %lld", rows[i].what, schema_version_divided_quota(), (long long)version);
+        assert_true(schema_version_active()); /* the second layout stays */
         store_txn_free(&t);
     }
 }
@@ -96,7 +96,7 @@
     if (!settings_parse(SITE_JSON, "f.json", &cfg, err, sizeof err)) return 1;
     logging_init("fatal");
     store_init(&cfg);
-    format_init(&cfg);
+    schema_version_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(activation), cmocka_unit_test(division)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -10,7 +10,6 @@
 #include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
-#include "../format/format.h"
 #include "../http/server.h"
 #include "../jobs/jobs.h"
 #include "../ledger/ledger.h"
@@ -22,6 +21,7 @@
 #include "../records/records.h"
 #include "../renting/renting.h"
 #include "../rounds/rounds.h"
+#include "../schema_version/schema_version.h"
 #include "../stall/stall.h"
 #include "../store/store.h"
 #include "../transfer/transfer.h"
@@ -53,7 +53,7 @@
 void service_init(const struct settings *s) {
     store_init(s);
     membership_init(s);
-    format_init(s);
+    schema_version_init(s);
     peers_init(s);
     quota_init(s);
     jobs_init(s);
