--- a/src/bookings/bookings.c
+++ b/src/allocations/allocations.c
@@ -1,4 +1,4 @@
-#include "bookings.h"
+#include "allocations.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -17,8 +17,8 @@
 
 static const struct settings *cfg;
 
-/* An entry takes up to 24 bytes with names of usual length; what is longer is cut off by bookings_value's caller, who
- * plans no more for a chunk that is full. */
+/* An entry takes up to 24 bytes with names of usual length; what is longer is cut off by allocations_value's caller,
+ * who plans no more for a chunk that is full. */
 #define ENTRY_BYTES 24
 #define RECORD_BYTES 256 /* all else in a record */
 #define STRETCH_LEAST 8  /* bits of done tasks are kept in whole bytes */
@@ -29,59 +29,65 @@
     return CLAMP(entries, STRETCH_LEAST, STRETCH_MOST) / STRETCH_LEAST * STRETCH_LEAST;
 }
 
-int bookings_first_stretch(void) { return stretch_for(cfg->value_kb); }
-int bookings_stretch(const struct job *j) { return j->chunk_size ? j->chunk_size : bookings_first_stretch(); }
-int bookings_chunks_of(const struct job *j, int stretch) { return (j->spec.tasks + stretch - 1) / stretch; }
-int bookings_chunks(const struct job *j) { return bookings_chunks_of(j, bookings_stretch(j)); }
-double bookings_value_most(void) { return 1024 * (schema_version_active() ? cfg->next_value_kb : cfg->value_kb); }
+int allocations_legacy_chunk_size(void) { return stretch_for(cfg->value_kb); }
+int allocations_chunk_size(const struct job *j) {
+    return j->chunk_size ? j->chunk_size : allocations_legacy_chunk_size();
+}
+int allocations_chunks_of_size(const struct job *j, int chunk_size) {
+    return (j->spec.tasks + chunk_size - 1) / chunk_size;
+}
+int allocations_chunks(const struct job *j) { return allocations_chunks_of_size(j, allocations_chunk_size(j)); }
+double allocations_value_bytes_max(void) {
+    return 1024 * (schema_version_active() ? cfg->next_value_kb : cfg->value_kb);
+}
 
-/* All records of a job change their stretch in one transaction, which also replaces what is on record in the old one.
- * A job for which that is too many keeps its stretch; its records are filled up to the next limit only. */
-int bookings_write_stretch(const struct job *j) {
-    int now = bookings_stretch(j), next = stretch_for(cfg->next_value_kb);
+/* All records of a job change their chunk size in one transaction, which also replaces what is on record in the old
+ * one. A job for which that is too many keeps its chunk size; its records are filled up to the next limit only. */
+int allocations_next_chunk_size(const struct job *j) {
+    int now = allocations_chunk_size(j), next = stretch_for(cfg->next_value_kb);
     if (!schema_version_active() || now <= next) return now;
-    return j->n_recorded_chunks == 0 || bookings_chunks_of(j, next) <= cfg->txn_ops ? next : now;
+    return j->n_recorded_chunks == 0 || allocations_chunks_of_size(j, next) <= cfg->txn_ops ? next : now;
 }
 
-void bookings_key(const struct job *j, int chunk, char *key, size_t n) {
+void allocations_key(const struct job *j, int chunk, char *key, size_t n) {
     snprintf(key, n, "run/%s/%d", j->spec.job_id, chunk);
 }
 
-uint8_t *bookings_bits(const struct job *j) {
+uint8_t *allocations_task_bits(const struct job *j) {
     uint8_t *bits = g_malloc0((gsize)j->spec.tasks / 8 + 1);
-    for (guint i = 0; i < j->bookings->len; i++) {
-        const struct booking *b = j->bookings->pdata[i];
-        if (!b->over && b->task < j->spec.tasks) bits[b->task / 8] |= (uint8_t)(1 << (b->task % 8));
+    for (guint i = 0; i < j->allocations->len; i++) {
+        const struct allocation *b = j->allocations->pdata[i];
+        if (!b->released && b->task < j->spec.tasks) bits[b->task / 8] |= (uint8_t)(1 << (b->task % 8));
     }
     return bits;
 }
 
-int bookings_count(const struct job *j) {
+int allocations_count(const struct job *j) {
     int n = 0;
-    for (guint i = 0; i < j->bookings->len; i++) n += !((struct booking *)j->bookings->pdata[i])->over;
+    for (guint i = 0; i < j->allocations->len; i++) n += !((struct allocation *)j->allocations->pdata[i])->released;
     return n;
 }
 
-int bookings_live(const struct machine *m) {
+int allocations_on_machine(const struct machine *m) {
     int n = 0;
-    for (guint i = 0; i < m->bookings->len; i++) n += !((struct booking *)m->bookings->pdata[i])->over;
+    for (guint i = 0; i < m->allocations->len; i++) n += !((struct allocation *)m->allocations->pdata[i])->released;
     return n;
 }
 
 /* Asks a task to end; the first to ask decides with how much grace. */
-void bookings_stop(struct booking *b, double grace_s) {
-    if (b->stop) return;
-    b->stop = true;
+void allocations_request_stop(struct allocation *b, double grace_s) {
+    if (b->stop_requested) return;
+    b->stop_requested = true;
     b->grace_s = grace_s;
     b->m->kick = true;
 }
 
-void bookings_job_changed(struct job *j) {
+void allocations_job_changed(struct job *j) {
     if (j->state != JOB_QUEUED)
-        for (guint i = 0; i < j->bookings->len; i++) {
-            struct booking *b = j->bookings->pdata[i];
+        for (guint i = 0; i < j->allocations->len; i++) {
+            struct allocation *b = j->allocations->pdata[i];
             if (j->state == JOB_DONE && j->spec.kind == JOB_GANG) continue; /* they complete together */
-            b->stop = true;
+            b->stop_requested = true;
             b->grace_s = 0;
             b->m->kick = true;
         }
@@ -89,7 +95,7 @@
     workers_kick();
 }
 
-bool bookings_read(const char **text, int64_t base, int *task, char *machine, size_t n, int64_t *attempt) {
+bool allocations_parse_entry(const char **text, int64_t base, int *task, char *machine, size_t n, int64_t *attempt) {
     const char *p = *text + strspn(*text, " ");
     char *end;
     long t = strtol(p, &end, 10);
@@ -106,12 +112,12 @@
     return true;
 }
 
-cJSON *bookings_value(const struct job *j, int chunk, int stretch, const GArray *plans, bool final) {
-    int from = chunk * stretch, n = MIN(stretch, j->spec.tasks - from);
+cJSON *allocations_value(const struct job *j, int chunk, int chunk_size, const GArray *plans, bool final) {
+    int from = chunk * chunk_size, n = MIN(chunk_size, j->spec.tasks - from);
     int64_t base = INT64_MAX;
-    for (guint i = 0; i < j->bookings->len; i++) {
-        const struct booking *b = j->bookings->pdata[i];
-        if (!b->over && b->task >= from && b->task < from + n) base = MIN(base, b->attempt);
+    for (guint i = 0; i < j->allocations->len; i++) {
+        const struct allocation *b = j->allocations->pdata[i];
+        if (!b->released && b->task >= from && b->task < from + n) base = MIN(base, b->attempt);
     }
     for (guint i = 0; plans && i < plans->len; i++) {
         const struct placement_plan *p = &g_array_index(plans, struct placement_plan, i);
@@ -125,9 +131,9 @@
         return NULL;
     }
     GString *b = g_string_new("");
-    for (guint i = 0; i < j->bookings->len; i++) {
-        const struct booking *x = j->bookings->pdata[i];
-        if (x->over || x->task < from || x->task >= from + n) continue;
+    for (guint i = 0; i < j->allocations->len; i++) {
+        const struct allocation *x = j->allocations->pdata[i];
+        if (x->released || x->task < from || x->task >= from + n) continue;
         g_string_append_printf(b, " %d@%s+%lld", x->task, x->m->id, (long long)(x->attempt - base));
     }
     for (guint i = 0; plans && i < plans->len; i++) {
@@ -137,7 +143,8 @@
     }
     cJSON *o = cJSON_CreateObject();
     /* From the second layout on every record names it, so that none depends on what the settings say some day. */
-    if (stretch != bookings_first_stretch() || schema_version_active()) cJSON_AddNumberToObject(o, "n", stretch);
+    if (chunk_size != allocations_legacy_chunk_size() || schema_version_active())
+        cJSON_AddNumberToObject(o, "n", chunk_size);
     if (any) cJSON_AddStringToObject(o, "d", done);
     if (failed_tries) cJSON_AddNumberToObject(o, "e", failed_tries);
     if (b->len) {
@@ -151,32 +158,32 @@
 
 /* Removes one entry in constant time, whatever the number of a job's tasks; returns the last one, which takes its
  * place, if there is one. */
-static struct booking *remove_at(GPtrArray *list, guint at) {
+static struct allocation *remove_at(GPtrArray *list, guint at) {
     g_ptr_array_remove_index_fast(list, at);
     return at < list->len ? list->pdata[at] : NULL;
 }
 
-static void booking_free(struct booking *b) {
+static void allocation_free(struct allocation *b) {
     struct machine *m = b->m;
     /* Who may take the machine over some day knows its images from this. */
-    if (b->job->spec.image && clock_seconds_since(b->booked) > 20 &&
+    if (b->job->spec.image && clock_seconds_since(b->allocated_at) > 20 &&
         !g_hash_table_contains(m->images, b->job->spec.image))
         g_hash_table_add(m->images, g_strdup(b->job->spec.image));
-    struct booking *moved = remove_at(b->job->bookings, b->at_job);
-    if (moved) moved->at_job = b->at_job;
-    moved = remove_at(m->bookings, b->at_machine);
-    if (moved) moved->at_machine = b->at_machine;
+    struct allocation *moved = remove_at(b->job->allocations, b->index_in_job);
+    if (moved) moved->index_in_job = b->index_in_job;
+    moved = remove_at(m->allocations, b->index_in_machine);
+    if (moved) moved->index_in_machine = b->index_in_machine;
     records_drop_stub(m);
     g_free(b);
 }
 
-bool bookings_differ(const struct job *j, int chunk) {
-    int stretch = bookings_stretch(j), from = chunk * stretch, n = MIN(stretch, j->spec.tasks - from);
+bool allocations_chunk_dirty(const struct job *j, int chunk) {
+    int chunk_size = allocations_chunk_size(j), from = chunk * chunk_size, n = MIN(chunk_size, j->spec.tasks - from);
     bool live = false;
-    for (guint i = 0; i < j->bookings->len; i++) {
-        const struct booking *b = j->bookings->pdata[i];
+    for (guint i = 0; i < j->allocations->len; i++) {
+        const struct allocation *b = j->allocations->pdata[i];
         if (b->task < from || b->task >= from + n) continue;
-        if (b->over) return true;
+        if (b->released) return true;
         live = true;
     }
     if (chunk == 0 && j->failed_tries_recorded != failures_to_record(j)) return true;
@@ -185,12 +192,14 @@
     return j->state != JOB_QUEUED && !live && j->chunk_flags && (j->chunk_flags[chunk] & 1);
 }
 
-/* The stretch that a record names; the first layout's names none. One that is gone had that of the job's others. */
+/* The chunk size that a record names; the first layout's names none. One that is gone had that of the job's others. */
 static int record_stretch(const struct job *j, const cJSON *data) {
-    int64_t stretch = 0;
-    if (!data) return bookings_stretch(j);
-    if (!json_get_int64(data, "n", &stretch)) return bookings_first_stretch();
-    return stretch >= STRETCH_LEAST && stretch <= STRETCH_MOST && stretch % STRETCH_LEAST == 0 ? (int)stretch : 0;
+    int64_t chunk_size = 0;
+    if (!data) return allocations_chunk_size(j);
+    if (!json_get_int64(data, "n", &chunk_size)) return allocations_legacy_chunk_size();
+    return chunk_size >= STRETCH_LEAST && chunk_size <= STRETCH_MOST && chunk_size % STRETCH_LEAST == 0
+               ? (int)chunk_size
+               : 0;
 }
 
 static void apply_run(const char *rest, const cJSON *data, int64_t mod_revision) {
@@ -217,50 +226,50 @@
     if (chunk == 0) failures_read(j, (int)CLAMP(failed_tries, 0, INT32_MAX));
     int64_t base = 0, attempt;
     json_get_int64(data, "f", &base);
-    struct booking **at = g_new0(struct booking *, (gsize)size);
-    for (guint i = 0; i < j->bookings->len; i++) {
-        struct booking *b = j->bookings->pdata[i];
-        if (b->task >= from && b->task < from + size && (!at[b->task - from] || at[b->task - from]->over))
+    struct allocation **at = g_new0(struct allocation *, (gsize)size);
+    for (guint i = 0; i < j->allocations->len; i++) {
+        struct allocation *b = j->allocations->pdata[i];
+        if (b->task >= from && b->task < from + size && (!at[b->task - from] || at[b->task - from]->released))
             at[b->task - from] = b;
     }
     bool *keep = g_new0(bool, (gsize)size);
     int task;
-    while (text && bookings_read(&text, base, &task, machine, sizeof machine, &attempt)) {
+    while (text && allocations_parse_entry(&text, base, &task, machine, sizeof machine, &attempt)) {
         if (task < from || task >= from + size || keep[task - from]) continue;
-        struct booking *b = at[task - from];
+        struct allocation *b = at[task - from];
         keep[task - from] = true;
         if (b && b->attempt == attempt && strcmp(b->m->id, machine) == 0) continue;
-        b = g_new0(struct booking, 1);
+        b = g_new0(struct allocation, 1);
         b->job = j;
         b->m = records_find_or_stub(machine);
         b->task = task;
         b->attempt = attempt;
-        b->booked = b->changed = clock_now();
+        b->allocated_at = b->state_since = clock_now();
         b->inherited = true; /* until a round says that it is its own */
-        b->stop = j->state != JOB_QUEUED;
+        b->stop_requested = j->state != JOB_QUEUED;
         b->m->had_task = true;
-        b->at_job = j->bookings->len;
-        b->at_machine = b->m->bookings->len;
-        g_ptr_array_add(j->bookings, b);
-        g_ptr_array_add(b->m->bookings, b);
+        b->index_in_job = j->allocations->len;
+        b->index_in_machine = b->m->allocations->len;
+        g_ptr_array_add(j->allocations, b);
+        g_ptr_array_add(b->m->allocations, b);
         at[task - from] = b;
     }
     /* What follows a piece that can't be read is not known to be gone. */
     bool whole = !data || (cJSON_IsObject(data) && (!text || !text[strspn(text, " ")]));
     if (!whole) log_error("run/%s: can't be read in full, its other bookings stay", rest);
-    for (guint i = j->bookings->len; whole && i-- > 0;) {
-        struct booking *b = j->bookings->pdata[i];
+    for (guint i = j->allocations->len; whole && i-- > 0;) {
+        struct allocation *b = j->allocations->pdata[i];
         if (b->task < from || b->task >= from + size) continue;
-        if (!keep[b->task - from] || at[b->task - from] != b) booking_free(b);
+        if (!keep[b->task - from] || at[b->task - from] != b) allocation_free(b);
     }
     g_free(at);
     g_free(keep);
     /* What was reported while the record was under way is not in it. */
-    if (bookings_differ(j, chunk)) jobs_mark_dirty(j, from);
+    if (allocations_chunk_dirty(j, chunk)) jobs_mark_dirty(j, from);
     jobs_list(j);
 }
 
-void bookings_init(const struct settings *s) {
+void allocations_init(const struct settings *s) {
     cfg = s;
     store_observe_prefix("run/", apply_run);
 }
--- a/src/bookings/bookings_test.c
+++ b/src/allocations/allocations_test.c
@@ -1,4 +1,4 @@
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 
 #include <glib.h>
 #include <stdint.h>
@@ -50,7 +50,7 @@
         char machine[64] = "";
         int task = 0, n = 0;
         int64_t attempt = 0;
-        while (bookings_read(&p, 100, &task, machine, sizeof machine, &attempt)) n++;
+        while (allocations_parse_entry(&p, 100, &task, machine, sizeof machine, &attempt)) n++;
         if (n != rows[i].n) fail_msg("'%s': %d entries", rows[i].text, n);
         if (n == 0) continue;
         assert_int_equal(task, rows[i].task);
@@ -76,57 +76,57 @@
     put("run/req-20001/0", "{\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 2@i-2+3\"}");
     struct job *j = jobs_find("req-20001");
     assert_int_equal(j->n_done, 1);
-    assert_int_equal(j->bookings->len, 2);
+    assert_int_equal(j->allocations->len, 2);
     assert_int_equal(rounds_missing(j), 6);
     assert_int_equal(j->n_recorded_chunks, 1);
     assert_int_equal(j->n_dirty_chunks, 0);
-    struct booking *b = j->bookings->pdata[0];
+    struct allocation *b = j->allocations->pdata[0];
     assert_true(b->inherited);
-    b->over = true;
+    b->released = true;
     jobs_mark_done(j, 1);
     assert_int_equal(j->n_dirty_chunks, 1);
     assert_int_equal(rounds_missing(j), 6);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
     struct placement_plan p = {records_find("i-1"), j, 4, 60};
     g_array_append_val(plans, p);
-    cJSON *v = bookings_value(j, 0, bookings_stretch(j), plans, false);
+    cJSON *v = allocations_value(j, 0, allocations_chunk_size(j), plans, false);
     assert_string_equal(json_get_string(v, "d"), "0300");
     assert_string_equal(json_get_string(v, "b"), "2@i-2+0 4@i-1+7");
     store_lock();
     store_apply("run/req-20001/0", v, ++mod_revision);
     store_unlock();
     cJSON_Delete(v);
-    assert_int_equal(j->bookings->len, 2);
+    assert_int_equal(j->allocations->len, 2);
     assert_int_equal(j->n_done, 2);
     assert_int_equal(j->n_dirty_chunks, 0);
-    assert_int_equal(records_find("i-1")->bookings->len, 1);
+    assert_int_equal(records_find("i-1")->allocations->len, 1);
     /* Reported while a write was under way: still to be written after it. */
-    ((struct booking *)j->bookings->pdata[0])->over = true;
+    ((struct allocation *)j->allocations->pdata[0])->released = true;
     put("run/req-20001/0", "{\"d\":\"0300\",\"f\":53,\"b\":\"2@i-2+0 4@i-1+7\"}");
     assert_int_equal(j->n_dirty_chunks, 1);
-    /* A machine gone from its page is proven dead: its bookings are over, whoever booked them. */
+    /* A machine gone from its page is proven dead: its allocations are over, whoever allocated them. */
     put("fleet/0/0", NULL);
-    assert_int_equal(bookings_count(j), 0);
+    assert_int_equal(allocations_count(j), 0);
     assert_null(records_find("i-1"));
     assert_int_equal(jobs_active_of(0)->len, 1);
     put("job/req-20001", JOB("req-20001", "9", "cancelled"));
     assert_int_equal(jobs_active_of(0)->len, 0);
     assert_int_equal(jobs_ended_of(0)->len, 1); /* until its record is gone as well */
-    assert_true(bookings_differ(j, 0));
-    assert_null(bookings_value(j, 0, bookings_stretch(j), NULL, false));
+    assert_true(allocations_chunk_dirty(j, 0));
+    assert_null(allocations_value(j, 0, allocations_chunk_size(j), NULL, false));
     put("run/req-20001/0", NULL);
     assert_int_equal(jobs_ended_of(0)->len, 0);
-    assert_int_equal(j->bookings->len, 0);
+    assert_int_equal(j->allocations->len, 0);
     g_array_free(plans, TRUE);
 }
 
-/* The largest job there may be: its records stay within a value, and a booking for a machine that no page lists, as a
- * takeover may read it, counts as gone. */
+/* The largest job there may be: its records stay within a value, and an allocation for a machine that no page lists, as
+ * a takeover may read it, counts as gone. */
 static void large(void **state) {
     (void)state;
     put("job/req-20002", JOB("req-20002", "100000", "queued"));
     struct job *j = jobs_find("req-20002");
-    int chunk = bookings_stretch(j), n = bookings_chunks(j);
+    int chunk = allocations_chunk_size(j), n = allocations_chunks(j);
     assert_true(n > 1 && n * chunk >= 100000 && chunk % 8 == 0);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
     struct machine *m = records_find_or_stub("i-000231");
@@ -135,29 +135,29 @@
         g_array_append_val(plans, p);
         j->reported_done[(chunk + t) / 8] |= (uint8_t)(t % 2 << (t % 8));
     }
-    cJSON *v = bookings_value(j, 1, chunk, plans, false);
+    cJSON *v = allocations_value(j, 1, chunk, plans, false);
     char *text = cJSON_PrintUnformatted(v);
     assert_true(strlen(text) <= cfg.value_kb * 1024);
     put("run/req-20002/1", text);
-    assert_int_equal(j->bookings->len, chunk);
+    assert_int_equal(j->allocations->len, chunk);
     char key[64];
-    bookings_key(j, 1, key, sizeof key);
+    allocations_key(j, 1, key, sizeof key);
     assert_string_equal(key, "run/req-20002/1");
     free(text);
     cJSON_Delete(v);
     g_array_free(plans, TRUE);
 }
 
-/* Records that name their stretch mean the same tasks whatever was read before, and what a conversion leaves of a task
- * is the same booking. */
+/* Records that name their chunk size mean the same tasks whatever was read before, and what a conversion leaves of a
+ * task is the same allocation. */
 static void stretches(void **state) {
     (void)state;
     put("job/req-20020", JOB("req-20020", "40", "queued"));
     put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
     struct job *j = jobs_find("req-20020");
-    assert_int_equal(bookings_stretch(j), bookings_first_stretch());
-    assert_int_equal(bookings_count(j), 4);
-    const struct booking *kept = j->bookings->pdata[2];
+    assert_int_equal(allocations_chunk_size(j), allocations_legacy_chunk_size());
+    assert_int_equal(allocations_count(j), 4);
+    const struct allocation *kept = j->allocations->pdata[2];
     static const char *const pieces[] = {"{\"n\":16,\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3\"}",
                                          "{\"n\":16,\"f\":54,\"b\":\"30@i-1+0\"}",
                                          "{\"n\":16,\"f\":55,\"b\":\"39@i-2+0\"}"};
@@ -168,24 +168,24 @@
         for (int i = 0; i < 3; i++) {
             g_snprintf(key, sizeof key, "run/req-20020/%d", orders[o][i]);
             put(key, pieces[orders[o][i]]);
-            assert_int_equal(bookings_count(j), 4);
+            assert_int_equal(allocations_count(j), 4);
         }
-        assert_int_equal(bookings_stretch(j), 16);
-        assert_int_equal(bookings_chunks(j), 3);
+        assert_int_equal(allocations_chunk_size(j), 16);
+        assert_int_equal(allocations_chunks(j), 3);
         assert_int_equal(j->n_recorded_chunks, 3);
-        assert_ptr_equal(j->bookings->pdata[2], kept);
+        assert_ptr_equal(j->allocations->pdata[2], kept);
     }
-    cJSON *v = bookings_value(j, 2, 16, NULL, false);
+    cJSON *v = allocations_value(j, 2, 16, NULL, false);
     char *text = cJSON_PrintUnformatted(v);
     assert_string_equal(text, pieces[2]);
     free(text);
     cJSON_Delete(v);
     /* One that goes takes its own tasks with it only. */
     put("run/req-20020/1", NULL);
-    assert_int_equal(bookings_count(j), 3);
-    /* A stretch that can't be read releases nothing. */
+    assert_int_equal(allocations_count(j), 3);
+    /* A chunk size that can't be read releases nothing. */
     put("run/req-20020/0", "{\"n\":7,\"f\":50,\"b\":\"\"}");
-    assert_int_equal(bookings_count(j), 3);
+    assert_int_equal(allocations_count(j), 3);
     put("job/req-20020", JOB("req-20020", "40", "cancelled"));
 }
 
@@ -194,7 +194,7 @@
     (void)state;
     static const struct {
         const char *record;
-        int left; /* of two bookings */
+        int left; /* of two allocations */
     } rows[] = {
         {"{\"f\":50,\"b\":\"0@i-1+0 1@i-2+1\"}", 2},
         {"{\"f\":50,\"b\":\"0@i-1+0 1@@\"}", 2},
@@ -206,7 +206,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         put("run/req-20009/0", "{\"f\":50,\"b\":\"0@i-1+0 1@i-2+1\"}");
         put("run/req-20009/0", rows[i].record);
-        int left = bookings_count(jobs_find("req-20009"));
+        int left = allocations_count(jobs_find("req-20009"));
         if (left != rows[i].left) fail_msg("%s: %d", rows[i].record, left);
     }
     put("run/req-20009/0", NULL);
@@ -227,7 +227,7 @@
     chains_init(&cfg);
     schema_version_init(&cfg);
     records_init(&cfg);
-    bookings_init(&cfg);
+    allocations_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(entries), cmocka_unit_test(round_trip), cmocka_unit_test(large),
--- a/src/chains/chains_test.c
+++ b/src/chains/chains_test.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "../../tests/standin/site.h"
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
@@ -183,7 +183,7 @@
     ends("req-30002", "[\"req-30001\"]", "cancelled", 0);
     assert_true(chains_to_cancel(jobs_find("req-30003")));
     assert_true(chains_waits(jobs_find("req-30003")));
-    assert_int_equal(jobs_find("req-30003")->bookings->len, 0);
+    assert_int_equal(jobs_find("req-30003")->allocations->len, 0);
     char *names[] = {(char *)"req-30001", (char *)"req-30003", NULL};
     assert_true(chains_cancelled_among(names)); /* what names it later */
     assert_false(chains_cancelled_among(NULL));
@@ -241,7 +241,7 @@
     schema_version_init(&cfg);
     jobs_init(&cfg);
     chains_init(&cfg);
-    bookings_init(&cfg);
+    allocations_init(&cfg);
     records_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
--- a/src/failures/failures.c
+++ b/src/failures/failures.c
@@ -39,7 +39,7 @@
     if (failures_suspect(j) && clock_seconds_since(j->retry_at) < 0) return;
     j->failed_tries = MIN(j->failed_tries + 1, TRIES_MOST);
     j->retry_at = clock_instant_in(clock_from_seconds(failures_retry_s(j->failed_tries)));
-    jobs_mark_dirty(j, 0); /* the first record of its bookings says so */
+    jobs_mark_dirty(j, 0); /* the first record of its allocations says so */
     log_info("job %s: fails wherever it runs, trying it again in %.0f s", j->spec.job_id,
              failures_retry_s(j->failed_tries));
 }
--- a/src/failures/failures.h
+++ b/src/failures/failures.h
@@ -18,7 +18,7 @@
 void failures_note(struct job *j, struct machine *m);
 /* A task of the job completed, or a replica of it has run for long: it is sound. */
 void failures_note_success(struct job *j);
-/* Fails wherever it runs: books one task at a time, makes nobody make way, and has no machine rented. */
+/* Fails wherever it runs: allocates one task at a time, makes nobody make way, and has no machine rented. */
 bool failures_suspect(const struct job *j);
 /* The job has failed on that machine before. */
 bool failures_known_on(const struct job *j, const struct machine *m);
@@ -27,7 +27,7 @@
 /* Different jobs fail on the machine. */
 bool failures_machine_faulty(const struct machine *m);
 
-/* What the job's first record of bookings tells the next owner: 0 for a sound job. */
+/* What the job's first record of allocations tells the next owner: 0 for a sound job. */
 int failures_to_record(const struct job *j);
 /* A record says so; 0: it says nothing. */
 void failures_read(struct job *j, int recorded);
--- a/src/failures/failures_test.c
+++ b/src/failures/failures_test.c
@@ -9,7 +9,7 @@
 #include "../../tests/standin/owned.h"
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "json/json.h"
 #include "rounds/rounds.h"
@@ -113,7 +113,7 @@
     assert_int_equal(planned_tried, 1);
 }
 
-/* The record tells the next owner, also when nothing is booked. The last of the tests: the shard is another's after
+/* The record tells the next owner, also when nothing is allocated. The last of the tests: the shard is another's after
  * it. */
 static void count_survives_a_change_of_owner(void **state) {
     (void)state;
@@ -121,18 +121,18 @@
     begin("batch", 30);
     struct job *j = jobs[0];
     failures_note(j, machines[0]);
-    assert_null(bookings_value(j, 0, bookings_stretch(j), NULL, false));
+    assert_null(allocations_value(j, 0, allocations_chunk_size(j), NULL, false));
     failures_note(j, machines[1]);
-    assert_true(bookings_differ(j, 0));
-    cJSON *value = bookings_value(j, 0, bookings_stretch(j), NULL, false);
+    assert_true(allocations_chunk_dirty(j, 0));
+    cJSON *value = allocations_value(j, 0, allocations_chunk_size(j), NULL, false);
     int64_t tries = 0;
     assert_true(json_get_int64(value, "e", &tries));
     assert_int_equal(tries, 1);
     char key[96];
-    bookings_key(j, 0, key, sizeof key);
+    allocations_key(j, 0, key, sizeof key);
     store_apply(key, value, owned_next_stamp());
     cJSON_Delete(value);
-    assert_false(bookings_differ(j, 0));
+    assert_false(allocations_chunk_dirty(j, 0));
     /* Another owner: all that it knows is the record. */
     owned_put("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":77}");
     j->failed_tries = 0;
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../json/json.h"
@@ -57,7 +57,7 @@
     j->spec.team = j->shard = -1;
     j->priority = PRIORITY_IDLE;
     j->deadline = INFINITY;
-    j->bookings = g_ptr_array_new();
+    j->allocations = g_ptr_array_new();
     j->eligible_since = clock_now();
     g_hash_table_insert(all, j->spec.job_id, j);
     return j;
@@ -102,22 +102,22 @@
 }
 
 static bool runs_ready(struct job *j) {
-    if (!j->chunk_flags && j->spec.tasks > 0) j->chunk_flags = g_malloc0((gsize)bookings_chunks(j));
+    if (!j->chunk_flags && j->spec.tasks > 0) j->chunk_flags = g_malloc0((gsize)allocations_chunks(j));
     return j->chunk_flags != NULL;
 }
 
-void jobs_set_chunk_size(struct job *j, int stretch) {
-    if (bookings_stretch(j) == stretch) return;
+void jobs_set_chunk_size(struct job *j, int chunk_size) {
+    if (allocations_chunk_size(j) == chunk_size) return;
     bool touched = j->n_dirty_chunks > 0;
     g_free(j->chunk_flags);
     j->chunk_flags = NULL;
     j->n_recorded_chunks = j->n_dirty_chunks = 0;
-    j->chunk_size = stretch;
-    for (int task = 0; touched && task < j->spec.tasks; task += stretch) jobs_mark_dirty(j, task);
+    j->chunk_size = chunk_size;
+    for (int task = 0; touched && task < j->spec.tasks; task += chunk_size) jobs_mark_dirty(j, task);
 }
 
 void jobs_set_chunk_recorded(struct job *j, int chunk, bool there) {
-    if (!runs_ready(j) || chunk >= bookings_chunks(j)) return;
+    if (!runs_ready(j) || chunk >= allocations_chunks(j)) return;
     j->n_recorded_chunks += there - (j->chunk_flags[chunk] & 1);
     j->n_dirty_chunks -= (j->chunk_flags[chunk] & 2) != 0;
     j->chunk_flags[chunk] = there;
@@ -125,7 +125,7 @@
 
 void jobs_mark_dirty(struct job *j, int task) {
     if (!runs_ready(j) || task < 0 || task >= j->spec.tasks) return;
-    uint8_t *r = &j->chunk_flags[task / bookings_stretch(j)];
+    uint8_t *r = &j->chunk_flags[task / allocations_chunk_size(j)];
     if (*r & 2) return;
     if (j->n_dirty_chunks == 0) j->dirty_since = clock_now();
     *r |= 2;
@@ -217,9 +217,9 @@
     free(j->spec_text);
     j->done = j->reported_done = NULL;
     j->spec_text = NULL;
-    /* What is left on record of its bookings goes once they are proven gone. */
-    for (int c = 0; j->n_recorded_chunks > 0 && c < bookings_chunks(j); c++)
-        if (j->chunk_flags[c] & 1) jobs_mark_dirty(j, c * bookings_stretch(j));
+    /* What is left on record of its allocations goes once they are proven gone. */
+    for (int c = 0; j->n_recorded_chunks > 0 && c < allocations_chunks(j); c++)
+        if (j->chunk_flags[c] & 1) jobs_mark_dirty(j, c * allocations_chunk_size(j));
 }
 
 static void apply_job(const char *job_id, const cJSON *data, int64_t mod_revision) {
@@ -238,7 +238,7 @@
     if (first) chains_job_read(j);
     if (ends) chains_job_ended(j);
     jobs_list(j);
-    bookings_job_changed(j);
+    allocations_job_changed(j);
 }
 
 void jobs_mark_done(struct job *j, int task) {
@@ -309,7 +309,7 @@
 
 bool jobs_running(const struct job *j, int *running) {
     int n = 0;
-    for (guint i = 0; i < j->bookings->len; i++) n += !((struct booking *)j->bookings->pdata[i])->over;
+    for (guint i = 0; i < j->allocations->len; i++) n += !((struct allocation *)j->allocations->pdata[i])->released;
     *running = n;
     return n > 0;
 }
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "../../tests/standin/site.h"
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "chains/chains.h"
 #include "json/json.h"
 #include "membership/membership.h"
@@ -208,7 +208,7 @@
     jobs_init(&cfg);
     chains_init(&cfg);
     schema_version_init(&cfg);
-    bookings_init(&cfg);
+    allocations_init(&cfg);
     records_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
--- a/src/ledger/ledger.c
+++ b/src/ledger/ledger.c
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../boots/boots.h"
 #include "../clock/clock.h"
 #include "../logging/logging.h"
@@ -17,7 +17,7 @@
 static const struct settings *cfg;
 
 /* Where a replica could go on at once: room, and the image at hand. */
-static struct machine *replica_target(const struct booking *b) {
+static struct machine *replica_target(const struct allocation *b) {
     const struct job *j = b->job;
     for (guint i = 0; i < records_of(b->m->shard)->len; i++) {
         struct machine *m = records_of(b->m->shard)->pdata[i];
@@ -36,18 +36,18 @@
  * All or none: a machine that keeps one task is not given back. */
 static void move_off(struct machine *m) {
     rounds_scratch(m->shard);
-    for (guint b = 0; b < m->bookings->len; b++) {
-        struct booking *x = m->bookings->pdata[b];
+    for (guint b = 0; b < m->allocations->len; b++) {
+        struct allocation *x = m->allocations->pdata[b];
         const struct job_spec *s = &x->job->spec;
-        if (!x->stop && preempt_fresh_start(x)) return;
-        if (x->stop || (s->kind == JOB_ARRAY && s->checkpoint_s > 0)) continue;
+        if (!x->stop_requested && preempt_fresh_start(x)) return;
+        if (x->stop_requested || (s->kind == JOB_ARRAY && s->checkpoint_s > 0)) continue;
         struct machine *to = s->kind == JOB_SERVICE && x->state == TASK_RUNNING ? replica_target(x) : NULL;
         if (!to) return;
         placement_take(to, s, 1);
     }
-    for (guint b = 0; b < m->bookings->len; b++) {
-        struct booking *x = m->bookings->pdata[b];
-        bookings_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.checkpoint_flush_s + 2 : 0);
+    for (guint b = 0; b < m->allocations->len; b++) {
+        struct allocation *x = m->allocations->pdata[b];
+        allocations_request_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.checkpoint_flush_s + 2 : 0);
     }
 }
 
@@ -123,9 +123,9 @@
         if (!m->up || !m->flavour) continue;
         gpus[m->spot] += m->flavour->gpus;
         occupied += placement_occupancy(m, (int)cfg->tuning.window);
-        for (guint b = 0; b < m->bookings->len; b++) {
-            if (((struct booking *)m->bookings->pdata[b])->over) continue;
-            const struct job_spec *s = &((struct booking *)m->bookings->pdata[b])->job->spec;
+        for (guint b = 0; b < m->allocations->len; b++) {
+            if (((struct allocation *)m->allocations->pdata[b])->released) continue;
+            const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
             used[m->spot] += s->gpus;
             if (!m->spot && s->allows_spot) filler += s->gpus;
         }
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -84,8 +84,8 @@
     return store_synced() && clock_seconds_since(store_last_read()) < membership_read_validity_s();
 }
 
-/* An owner that the store refuses alone went on starting what it had booked for as long as it may answer workers, 24 s,
- * while others had confirmed cancellations. A start needs the look that a store in reach always gives. */
+/* An owner that the store refuses alone went on starting what it had allocated for as long as it may answer workers, 24
+ * s, while others had confirmed cancellations. A start needs the look that a store in reach always gives. */
 bool membership_may_start_tasks(void) { return membership_may_answer() && !store_unreachable(); }
 
 bool membership_is_leader(void) {
@@ -151,7 +151,7 @@
     struct shard *s = &shards[k];
     const char *o = json_get_string(data, "owner"), *i = json_get_string(data, "inc");
     if (strcmp(s->owner, o ? o : "") != 0 || strcmp(s->incarnation, i ? i : "") != 0) {
-        s->changed = clock_now();
+        s->owner_changed = clock_now();
         log_info("share %d: owner %s", k, o ? o : "nobody");
     }
     g_strlcpy(s->owner, o ? o : "", sizeof s->owner);
@@ -284,7 +284,8 @@
     /* A planned shift waits until the controller has stayed a while, so that shards don't flap with it, and until what
      * brought the controller has passed: a new owner has to ask all machines anew. */
     double settled = clock_to_seconds(cfg->lease) / 2;
-    if (!orphans && (clock_seconds_since(target->since) < settled || clock_seconds_since(shards[k].changed) < settled))
+    if (!orphans &&
+        (clock_seconds_since(target->since) < settled || clock_seconds_since(shards[k].owner_changed) < settled))
         return false;
     struct node *was = shards[k].owner[0] ? find_node(shards[k].owner) : NULL;
     if (orphans && shards[k].owner[0] && !(was && was->live)) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -10,7 +10,7 @@
 struct shard {
     char owner[64], incarnation[40];
     int64_t mod_revision, fence;
-    struct timespec changed;
+    struct timespec owner_changed;
 };
 
 void membership_init(const struct settings *s);
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -14,9 +14,9 @@
 }
 
 const char *placement_site(const struct job *j) {
-    for (guint i = 0; j->spec.single_zone && i < j->bookings->len; i++) {
-        const struct booking *b = j->bookings->pdata[i];
-        if (!b->over) return b->m->site;
+    for (guint i = 0; j->spec.single_zone && i < j->allocations->len; i++) {
+        const struct allocation *b = j->allocations->pdata[i];
+        if (!b->released) return b->m->site;
     }
     return NULL;
 }
@@ -30,9 +30,9 @@
     if (s->spread) {
         /* Tasks that are ending count until they are proven gone. */
         int here = 0;
-        for (guint i = 0; i < j->bookings->len; i++) {
-            const struct booking *b = j->bookings->pdata[i];
-            here += !b->over && strcmp(b->m->site, m->site) == 0;
+        for (guint i = 0; i < j->allocations->len; i++) {
+            const struct allocation *b = j->allocations->pdata[i];
+            here += !b->released && strcmp(b->m->site, m->site) == 0;
         }
         for (guint i = plans ? plans->len : 0; i-- > 0;) {
             struct placement_plan *p = &g_array_index(plans, struct placement_plan, i);
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -13,7 +13,7 @@
     const struct machine *reception_machine;
 };
 
-/* Room left on a machine, counting what is booked and what this round has planned. */
+/* Room left on a machine, counting what is allocated and what this round has planned. */
 bool placement_fits(const struct machine *m, const struct job_spec *j);
 /* Kind, type and zone, given where the job's other tasks are (planned ones included). */
 bool placement_allowed(const struct machine *m, const struct job *j, const char *together_site, GArray *plans);
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -16,13 +16,13 @@
     m->spot = spot;
     m->open = true;
     m->used_gpu = gpu_used;
-    m->bookings = g_ptr_array_new();
+    m->allocations = g_ptr_array_new();
     m->images = g_hash_table_new(g_str_hash, g_str_equal);
     return m;
 }
 
 static void machine_done(struct machine *m) {
-    g_ptr_array_free(m->bookings, TRUE);
+    g_ptr_array_free(m->allocations, TRUE);
     g_hash_table_destroy(m->images);
     g_free(m);
 }
@@ -94,17 +94,17 @@
                                    .spread = rows[i].spread,
                                    .single_zone = rows[i].single_zone,
                                    .site = (char *)rows[i].site};
-        j.bookings = g_ptr_array_new();
+        j.allocations = g_ptr_array_new();
         struct machine *there = machine(rows[i].booked_at ? rows[i].booked_at : "", false, 0);
-        struct booking b = {.job = &j, .m = there};
-        if (rows[i].booked_at) g_ptr_array_add(j.bookings, &b);
+        struct allocation b = {.job = &j, .m = there};
+        if (rows[i].booked_at) g_ptr_array_add(j.allocations, &b);
         struct placement_rules r = {0.5, 0.8, ms->pdata[0]};
         struct machine *m = placement_pick(ms, &j, NULL, &r, NULL);
         guint at = 99;
         if (m) g_ptr_array_find(ms, m, &at);
         if ((m ? (int)at : -1) != rows[i].want) fail_msg("%s: got %d", rows[i].what, m ? (int)at : -1);
         machine_done(there);
-        g_ptr_array_free(j.bookings, TRUE);
+        g_ptr_array_free(j.allocations, TRUE);
         for (int k = 0; k < 5; k++) machine_done(ms->pdata[k]);
         g_ptr_array_free(ms, TRUE);
     }
--- a/src/preempt/preempt.c
+++ b/src/preempt/preempt.c
@@ -25,8 +25,8 @@
     for (guint i = 0; i < jobs->len; i++) {
         const struct job *j = jobs->pdata[i];
         if (j->spec.team < 0) continue;
-        held_gpus[j->spec.team] += j->bookings->len * j->spec.gpus;
-        held_cpus[j->spec.team] += j->bookings->len * j->spec.vcpus;
+        held_gpus[j->spec.team] += j->allocations->len * j->spec.gpus;
+        held_cpus[j->spec.team] += j->allocations->len * j->spec.vcpus;
     }
 }
 
@@ -40,17 +40,17 @@
 /* A task may be stopped for a job of higher rank, or, to give a team its guarantee, where its own team is
  * beyond its. The claim holds only while the claiming team is below its guarantee and the other stays at or
  * above: two teams that each had some work beyond once stopped one another's tasks for minutes. */
-bool preempt_evictable(const struct booking *x, const struct job *j, bool within) {
-    if (x->over || x->stop || x->job->spec.kind != JOB_ARRAY) return false;
+bool preempt_evictable(const struct allocation *x, const struct job *j, bool within) {
+    if (x->released || x->stop_requested || x->job->spec.kind != JOB_ARRAY) return false;
     if (x->job->priority < j->priority) return true;
     return within && x->job->spec.team != j->spec.team && preempt_beyond(j->spec.team) + j->spec.gpus <= 1e-6 &&
            preempt_beyond(x->job->spec.team) >= MAX(x->job->spec.gpus, 1e-3) && quota_may_be_stopped(x);
 }
 
 /* A task stopped soon after its start counts as never started to its user. */
-bool preempt_fresh_start(const struct booking *b) {
+bool preempt_fresh_start(const struct allocation *b) {
     return b->state == TASK_UNSEEN || b->state == TASK_FETCHING ||
-           (b->state == TASK_RUNNING && clock_seconds_since(b->changed) < 32);
+           (b->state == TASK_RUNNING && clock_seconds_since(b->state_since) < 32);
 }
 
 /* Stops lower-ranked tasks on one machine so that a task of the job fits there; the machine that already has the
@@ -68,8 +68,8 @@
             !placement_allowed(m, j, together, NULL))
             continue;
         double cpu = m->used_cpu, gpu = m->used_gpu, mem = m->used_mem, cost = 0;
-        for (guint b = 0; b < m->bookings->len; b++) {
-            struct booking *x = m->bookings->pdata[b];
+        for (guint b = 0; b < m->allocations->len; b++) {
+            struct allocation *x = m->allocations->pdata[b];
             if (!preempt_evictable(x, j, within)) continue;
             cpu -= x->job->spec.vcpus;
             gpu -= x->job->spec.gpus;
@@ -89,12 +89,12 @@
     f = best->flavour;
     double quick = settings_within(cfg, AIM_WAIT, j->spec.job_class, 60);
     /* Those whose start has counted first, and of them the youngest: they lose least. */
-    for (guint n = 2 * best->bookings->len; n-- > 0;) {
-        struct booking *x = best->bookings->pdata[n % best->bookings->len];
+    for (guint n = 2 * best->allocations->len; n-- > 0;) {
+        struct allocation *x = best->allocations->pdata[n % best->allocations->len];
         if (placement_fits(best, &j->spec)) break;
-        if (!preempt_evictable(x, j, within) || (n >= best->bookings->len && preempt_fresh_start(x))) continue;
+        if (!preempt_evictable(x, j, within) || (n >= best->allocations->len && preempt_fresh_start(x))) continue;
         quota_stopped(x);
-        x->stop = true;
+        x->stop_requested = true;
         x->grace_s = x->job->spec.checkpoint_s > 0 && x->job->spec.checkpoint_flush_s + 1 < quick
                          ? x->job->spec.checkpoint_flush_s + 1
                          : 0;
@@ -130,10 +130,10 @@
         double cpu = m->flavour->vcpus - m->used_cpu, gpu = m->flavour->gpus - m->used_gpu,
                mem = m->flavour->memory_gb - m->used_mem;
         here[z] += times(cpu, gpu, mem, &j->spec);
-        for (guint b = 0; b < m->bookings->len; b++) {
-            const struct booking *x = m->bookings->pdata[b];
+        for (guint b = 0; b < m->allocations->len; b++) {
+            const struct allocation *x = m->allocations->pdata[b];
             /* What is stopping already makes way, too. */
-            if (x->over || !(x->stop || preempt_evictable(x, j, within))) continue;
+            if (x->released || !(x->stop_requested || preempt_evictable(x, j, within))) continue;
             cpu += x->job->spec.vcpus;
             gpu += x->job->spec.gpus;
             mem += x->job->spec.memory_gb;
--- a/src/preempt/preempt.h
+++ b/src/preempt/preempt.h
@@ -15,8 +15,8 @@
 bool preempt_quota_left(const struct preempt_usage *u, const struct job *j, int tasks);
 void preempt_refresh(void);      /* before a round's questions */
 double preempt_beyond(int team); /* what a team holds beyond its guarantee */
-bool preempt_evictable(const struct booking *x, const struct job *j, bool within);
-bool preempt_fresh_start(const struct booking *b);
+bool preempt_evictable(const struct allocation *x, const struct job *j, bool within);
+bool preempt_fresh_start(const struct allocation *b);
 /* Makes room for one task of the job, in a zone or (NULL) anywhere. */
 bool preempt_for(struct job *j, bool within, GPtrArray *mine, const char *zone, const struct preempt_usage *u);
 /* The zone in which most tasks of a gang have room, counting what would make way; how many have it now, and would. NULL
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -13,7 +13,7 @@
 #include "demand.h"
 
 /* All controllers' changes of parts together stay below this part of the store's rate: they only move what is not used
- * yet, and must not take from bookings. */
+ * yet, and must not take from allocations. */
 #define CHANGES_PART 0.15
 #define CHANGES_BURST 3.0
 #define MOVE_EVERY_S 0.2 /* between looks for jobs that wait in another shard than they should */
@@ -137,22 +137,22 @@
         store_refresh(client, c->key);
         store_wake_watch();
     } else if (rc == STORE_UNKNOWN) {
-        /* It may yet be carried out: nothing is booked in these shards before their mod revisions have moved. */
+        /* It may yet be carried out: nothing is allocated in these shards before their mod revisions have moved. */
         for (int i = 0; i < c->n_shards; i++) records_shards[c->shards[i]].barrier = true;
     }
     store_response_clear(&a);
 }
 
-/* The job has nothing booked, and by its id its team's number of shards puts it into another shard now. */
+/* The job has nothing allocated, and by its id its team's number of shards puts it into another shard now. */
 static bool waits_elsewhere(const struct job *j, int shard) {
-    if (j->bookings->len > 0 || j->n_dirty_chunks > 0 || !j->spec_text || j->spec.team < 0) return false;
+    if (j->allocations->len > 0 || j->n_dirty_chunks > 0 || !j->spec_text || j->spec.team < 0) return false;
     const struct quota_team *t = quota_team_at(j->spec.team);
     bool damaged = t && t->damaged;
     return !damaged && quota_shard_of_new(j->spec.team, j->spec.job_id) != shard;
 }
 
 /* Jobs that wait follow the number of their team's shards: they leave one that closes, and part among new ones. Late
- * bookings of theirs fail, since their records have changed. */
+ * allocations of theirs fail, since their records have changed. */
 static bool move_jobs(struct change *c, int shard, int most) {
     int moved = 0;
     GPtrArray *jobs = jobs_active_of(shard);
@@ -190,7 +190,7 @@
     }
 }
 
-/* What waits in a closing shard is not served there: it moves as fast as the store lets it beside bookings. */
+/* What waits in a closing shard is not served there: it moves as fast as the store lets it beside allocations. */
 static void move_all_jobs(struct http_client *client) {
     struct change c;
     for (int shard = 0; shard < quota_settings->size; shard++) {
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <time.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../failures/failures.h"
 #include "../logging/logging.h"
@@ -21,9 +21,9 @@
 
 static struct quota_amount stopping_of(const struct job *j) {
     int n = 0;
-    for (guint i = 0; i < j->bookings->len; i++) {
-        const struct booking *b = j->bookings->pdata[i];
-        n += b->stop && !b->over;
+    for (guint i = 0; i < j->allocations->len; i++) {
+        const struct allocation *b = j->allocations->pdata[i];
+        n += b->stop_requested && !b->released;
     }
     return quota_amount_used(&j->spec, n);
 }
@@ -40,7 +40,7 @@
             for (guint n = 0; n < lists[l]->len; n++) {
                 const struct job *j = lists[l]->pdata[n];
                 if (j->spec.team != t->team) continue;
-                struct quota_amount uses = quota_amount_used(&j->spec, bookings_count(j));
+                struct quota_amount uses = quota_amount_used(&j->spec, allocations_count(j));
                 t->used[i] = quota_amount_sum(t->used[i], uses);
                 t->stopping[i] = quota_amount_sum(t->stopping[i], stopping_of(j));
                 if (j->spec.kind == JOB_SERVICE && j->state == JOB_QUEUED) *lasting = quota_amount_sum(*lasting, uses);
@@ -72,7 +72,7 @@
         t->gatherer[0] = 0;
         return;
     }
-    int booked = bookings_count(j);
+    int booked = allocations_count(j);
     if (strcmp(t->gatherer, j->spec.job_id) != 0 || t->gatherer_booked != booked) {
         g_strlcpy(t->gatherer, j->spec.job_id, sizeof t->gatherer);
         t->gathering_since = clock_now();
@@ -91,7 +91,7 @@
 /* How many more tasks of the job may start now. */
 static int tasks_waiting(const struct job *j) {
     if (clock_seconds_since(j->retry_at) < 0) return 0;
-    if (j->spec.kind == JOB_GANG && bookings_count(j) > 0) return rounds_gang_open(j) ? rounds_missing(j) : 0;
+    if (j->spec.kind == JOB_GANG && allocations_count(j) > 0) return rounds_gang_open(j) ? rounds_missing(j) : 0;
     return failures_suspect(j) && j->spec.kind != JOB_GANG ? MIN(rounds_missing(j), 1) : rounds_missing(j);
 }
 
--- a/src/quota/parts.h
+++ b/src/quota/parts.h
@@ -1,5 +1,5 @@
-/* The parts of a divided team's limit and guarantee: escrow. Each shard holds a part of the limit and books against it
- * without asking. Pure: no I/O, no clock, no state.
+/* The parts of a divided team's limit and guarantee: escrow. Each shard holds a part of the limit and allocates against
+ * it without asking. Pure: no I/O, no clock, no state.
  *
  * Invariant of every record: parts plus unassigned = limit, and the same for the guarantee. Parts are never negative;
  * `unassigned` of the limit is, where the limit was lowered below what the shards hold. */
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -86,7 +86,7 @@
                                                                                               : QUOTA_VCPUS;
 }
 
-bool quota_may_be_stopped(const struct booking *b) {
+bool quota_may_be_stopped(const struct allocation *b) {
     const struct quota_team *t = divided(b->job->spec.team);
     if (!t) return true;
     int at = part_at(t, jobs_shard(b->job));
@@ -103,8 +103,8 @@
     guint counted = 0;
     struct quota_amount before[RECORDS_TASKS_MOST] = {{{0}}};
     /* Each is counted as stopped while the next is looked at: the sum must lie beyond the guarantee. */
-    for (; counted < m->bookings->len && counted < RECORDS_TASKS_MOST; counted++) {
-        const struct booking *b = m->bookings->pdata[counted];
+    for (; counted < m->allocations->len && counted < RECORDS_TASKS_MOST; counted++) {
+        const struct allocation *b = m->allocations->pdata[counted];
         struct quota_team *t = divided(b->job->spec.team);
         int at = t && !t->damaged ? part_at(t, jobs_shard(b->job)) : -1;
         may &= !t || b->job->priority < rank || quota_may_be_stopped(b);
@@ -113,7 +113,7 @@
         quota_stopped(b);
     }
     while (counted-- > 0) {
-        const struct booking *b = m->bookings->pdata[counted];
+        const struct allocation *b = m->allocations->pdata[counted];
         struct quota_team *t = divided(b->job->spec.team);
         int at = t && !t->damaged ? part_at(t, jobs_shard(b->job)) : -1;
         if (at >= 0) t->stopping[at] = before[counted];
@@ -131,7 +131,7 @@
            (double)t->used[at].of[QUOTA_GPUS] / QUOTA_UNIT + tasks * j->spec.gpus <= most.gpus + 1e-6;
 }
 
-void quota_stopped(const struct booking *b) {
+void quota_stopped(const struct allocation *b) {
     struct quota_team *t = divided(b->job->spec.team);
     int at = t ? part_at(t, jobs_shard(b->job)) : -1;
     if (at >= 0) t->stopping[at] = quota_amount_sum(t->stopping[at], quota_amount_used(&b->job->spec, 1));
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -29,8 +29,8 @@
 bool quota_counts_scarce(const struct job *j);
 /* Whether a task of a divided team may be stopped for another team's guarantee; counts it as stopped in quota_stopped.
  */
-bool quota_may_be_stopped(const struct booking *b);
-void quota_stopped(const struct booking *b);
+bool quota_may_be_stopped(const struct allocation *b);
+void quota_stopped(const struct allocation *b);
 /* The same for all on a machine that does not make way by its rank alone. */
 bool quota_may_be_cleared(const struct machine *m, enum job_priority rank);
 /* The shard's part of the team's limit has room for so many more tasks of the job: machines would help it. */
@@ -39,7 +39,7 @@
 bool quota_announce(struct store_txn *t);
 
 /* Without the lock: writes at most one change for each divided team, and moves what is left in closing shards. Called
- * between an owner's rounds, by their thread, so that no booking of ours is under way meanwhile. */
+ * between an owner's rounds, by their thread, so that no allocation of ours is under way meanwhile. */
 void quota_run(struct http_client *c);
 void quota_tell(void); /* the periodic lines */
 #endif
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -37,8 +37,8 @@
 
 int records_shard_of(const char *id) {
     const struct machine *unrecorded = g_hash_table_lookup(by_id, id);
-    if (unrecorded && !unrecorded->known && unrecorded->bookings->len > 0) {
-        const struct booking *b = unrecorded->bookings->pdata[0];
+    if (unrecorded && !unrecorded->known && unrecorded->allocations->len > 0) {
+        const struct allocation *b = unrecorded->allocations->pdata[0];
         return jobs_shard(b->job);
     }
     const char *dash = strrchr(id, '-');
@@ -60,7 +60,7 @@
     if (m) return m;
     m = g_new0(struct machine, 1);
     g_strlcpy(m->id, id, sizeof m->id);
-    m->bookings = g_ptr_array_new();
+    m->allocations = g_ptr_array_new();
     m->unknown_tasks = g_array_new(FALSE, FALSE, sizeof(struct unknown_task));
     m->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     m->warning = -1;
@@ -82,27 +82,27 @@
 }
 
 void records_drop_stub(struct machine *m) {
-    if (m->known || m->bookings->len) return;
+    if (m->known || m->allocations->len) return;
     set_shard(m, -1);
     g_hash_table_remove(by_id, m->id);
     g_ptr_array_remove_fast(machines, m);
-    g_ptr_array_free(m->bookings, TRUE);
+    g_ptr_array_free(m->allocations, TRUE);
     g_array_free(m->unknown_tasks, TRUE);
     g_hash_table_destroy(m->images);
     failures_forget_machine(m);
     g_free(m);
 }
 
-/* The cloud has confirmed the machine's return: what was booked on it is gone. */
+/* The cloud has confirmed the machine's return: what was allocated on it is gone. */
 static void release_all(struct machine *m) {
-    for (guint i = 0; i < m->bookings->len; i++) {
-        struct booking *b = m->bookings->pdata[i];
-        b->over = true;
+    for (guint i = 0; i < m->allocations->len; i++) {
+        struct allocation *b = m->allocations->pdata[i];
+        b->released = true;
         jobs_mark_dirty(b->job, b->task);
     }
 }
 
-/* A machine leaves its record only when the cloud has confirmed its return: whatever was booked on it is gone. */
+/* A machine leaves its record only when the cloud has confirmed its return: whatever was allocated on it is gone. */
 static void machine_gone(struct machine *m) {
     g_hash_table_add(gone, g_strdup(m->id));
     cloud_reopen(m->sku, m->site, m->spot);
@@ -249,7 +249,7 @@
     }
     int64_t shard = 0;
     if (cJSON_GetObjectItemCaseSensitive(data, "b")) {
-        /* The first layout kept bookings in records like this one. Reading half of it would start tasks twice. */
+        /* The first layout kept allocations in records like this one. Reading half of it would start tasks twice. */
         if (!refused)
             log_error("machine/%s has the first layout, which this version does not read: no share is taken", id);
         refused = true;
@@ -284,17 +284,17 @@
     m->transfer_to = -1;
     m->seen_fence = m->ordered_tenure = 0;
     m->ignored = m->unanswered = 0;
-    m->up = m->bookings->len > 0;
+    m->up = m->allocations->len > 0;
     m->rows = 0;
     m->hello = m->kick = m->address[0] != 0;
-    for (guint i = 0; i < m->bookings->len; i++) {
-        struct booking *b = m->bookings->pdata[i];
-        b->seen = b->over = b->stop_sent = false;
+    for (guint i = 0; i < m->allocations->len; i++) {
+        struct allocation *b = m->allocations->pdata[i];
+        b->seen = b->released = b->stop_sent = false;
         /* Whether its start was ever ordered, and whether it has ended since, only a report under our token tells. Sent
-         * again it might run beside what was booked in its place when its end was known but not yet written. */
+         * again it might run beside what was allocated in its place when its end was known but not yet written. */
         b->inherited = true;
         b->state = TASK_UNSEEN;
-        b->stop = b->job->state != JOB_QUEUED;
+        b->stop_requested = b->job->state != JOB_QUEUED;
         b->grace_s = 0;
     }
     return true;
@@ -302,12 +302,12 @@
 
 void records_row(struct machine *m) {
     double c = 0, g = 0, r = 0;
-    for (guint i = 0; i < m->bookings->len; i++) {
-        const struct booking *b = m->bookings->pdata[i];
+    for (guint i = 0; i < m->allocations->len; i++) {
+        const struct allocation *b = m->allocations->pdata[i];
         const struct job_spec *s = &b->job->spec;
         /* On a dear machine, work that could run on a cheap one is no pressure: it only fills what stands idle, and
          * makes way. Counted, it would rent dear machines for itself and hold them. */
-        if (b->over || (!m->spot && s->allows_spot)) continue;
+        if (b->released || (!m->spot && s->allows_spot)) continue;
         c += s->vcpus;
         g += s->gpus;
         r += s->memory_gb;
@@ -361,10 +361,11 @@
     if (m->known || clock_seconds_since(m->unrecorded_since) < UNRECORDED_S ||
         g_hash_table_contains(unregistered, m->id))
         return false;
-    for (guint i = 0; i < m->bookings->len; i++) {
-        const struct booking *b = m->bookings->pdata[i];
+    for (guint i = 0; i < m->allocations->len; i++) {
+        const struct allocation *b = m->allocations->pdata[i];
         int k = jobs_shard(b->job);
-        if (!b->over && membership_owns(k) && clock_seconds_since(records_shards[k].since) > UNRECORDED_S) return true;
+        if (!b->released && membership_owns(k) && clock_seconds_since(records_shards[k].since) > UNRECORDED_S)
+            return true;
     }
     return false;
 }
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -11,28 +11,28 @@
 
 #define RECORDS_WINDOW 64
 #define RECORDS_SHARES 64
-#define RECORDS_TASKS_MOST 200 /* booked on a machine at a time: reports and answers stay far below 64 KiB */
+#define RECORDS_TASKS_MOST 200 /* allocated on a machine at a time: reports and answers stay far below 64 KiB */
 #define RECORDS_PAGES 256      /* a shard's pages are numbered below this */
 
 enum task_state { TASK_UNSEEN, TASK_FETCHING, TASK_GATHERING, TASK_RUNNING, TASK_FLUSHING, TASK_ENDED };
 
 struct machine;
-struct booking {
+struct allocation {
     struct job *job;
     struct machine *m;
-    guint at_job, at_machine; /* where it stands in their lists */
+    guint index_in_job, index_in_machine; /* where it stands in their lists */
     int task;
     int64_t attempt;
     /* owner's side */
     enum task_state state; /* as last reported under our token */
     bool seen;             /* listed at least once under our token */
     bool inherited;        /* not ordered by us under this token: never started by us, released when shown absent */
-    bool over;             /* proven gone or ended: its place is free, the record follows */
-    bool stop, stop_sent;
+    bool released;         /* proven gone or ended: its place is free, the record follows */
+    bool stop_requested, stop_sent;
     int asked_to_end; /* by us, not being its owner */
-    int ordered;      /* answered reports that carried its run order */
+    int starts_sent;  /* answered reports that carried its run order */
     double grace_s;
-    struct timespec booked, changed;
+    struct timespec allocated_at, state_since;
 };
 
 struct unknown_task {
@@ -43,7 +43,7 @@
 
 struct machine {
     char id[64];
-    bool known;                       /* false: only heard of through a booking; no record means that it is gone */
+    bool known;                       /* false: only heard of through an allocation; no record means that it is gone */
     struct timespec unrecorded_since; /* where it is not known: since when */
     int shard;                        /* -1: none */
     int page;                         /* of its shard; -1: in a record of its own, on its way between shards */
@@ -53,7 +53,7 @@
     const struct machine_type *flavour;
     bool spot, returning;
     double born; /* time of day of the rental */
-    GPtrArray *bookings;
+    GPtrArray *allocations;
     /* owner's side */
     int64_t owned_fence; /* the shard fence under which the rest holds */
     bool up;
@@ -115,13 +115,13 @@
 /* All with store_lock held. */
 struct machine *records_find(const char *id);
 struct machine *records_find_or_stub(const char *id);
-void records_drop_stub(struct machine *m); /* frees what no record and no booking names any more */
+void records_drop_stub(struct machine *m); /* frees what no record and no allocation names any more */
 GPtrArray *records_machines(void);
 GPtrArray *records_of(int k); /* the machines of a shard */
-/* The shard of a machine that nobody rented: that of what is booked on it, or else by its number. */
+/* The shard of a machine that nobody rented: that of what is allocated on it, or else by its number. */
 int records_shard_of(const char *id);
-/* A machine that no record names though tasks of a shard of ours are booked on it, for long enough that no record can
- * be on its way. Only the cloud's answer to its return proves that they are gone. */
+/* A machine that no record names though tasks of a shard of ours are allocated on it, for long enough that no record
+ * can be on its way. Only the cloud's answer to its return proves that they are gone. */
 bool records_unrecorded(const struct machine *m);
 int64_t records_token(const struct machine *m);
 bool records_mine(struct machine *m); /* ours now; on a change of owner, what was known under another token goes */
--- a/src/records/records_test.c
+++ b/src/records/records_test.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "../../tests/standin/site.h"
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "chains/chains.h"
 #include "cloud/cloud.h"
 #include "json/json.h"
@@ -172,10 +172,10 @@
         struct machine *m = records_find(id);
         assert_non_null(m);
         assert_int_equal(m->shard, 0);
-        assert_int_equal(m->bookings->len, 1);
+        assert_int_equal(m->allocations->len, 1);
         apply(order ? "fleet/1/201" : "fleet/1/200", "{\"sku\":[],\"site\":[],\"m\":[]}", at + 30);
         m = records_find(id);
-        bool stays = m && m->shard == 0 && !((struct booking *)m->bookings->pdata[0])->over;
+        bool stays = m && m->shard == 0 && !((struct allocation *)m->allocations->pdata[0])->released;
         store_unlock();
         assert_true(stays);
     }
@@ -248,7 +248,7 @@
     schema_version_init(&cfg);
     cloud_init(&cfg);
     records_init(&cfg);
-    bookings_init(&cfg);
+    allocations_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(pages),          cmocka_unit_test(passes),
--- a/src/renting/renting.c
+++ b/src/renting/renting.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../boots/boots.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
@@ -139,9 +139,9 @@
 /* What a shard has, and what the plan makes of it. */
 struct shard_plan {
     int shard;
-    GArray *vms;     /* struct renting_vm: there with room, on their way, and ordered */
-    guint first_new; /* those from here on are ordered by this plan */
-    int have, ordered, steady, up;
+    GArray *vms;     /* struct renting_vm: there with room, on their way, and requested */
+    guint first_new; /* those from here on are requested by this plan */
+    int have, requested, steady, up;
     int overdue;           /* machines that should have come up by now */
     bool roomy;            /* another machine than the reception is below the admission threshold */
     bool booting;          /* machines are on their way */
@@ -155,8 +155,8 @@
     p->have++;
     const struct machine_type *f = cloud_flavour(m->sku);
     if (f && m->spot) p->slots += f->gpus;
-    for (guint b = 0; !m->spot && b < m->bookings->len; b++) {
-        const struct job_spec *s = &((struct booking *)m->bookings->pdata[b])->job->spec;
+    for (guint b = 0; !m->spot && b < m->allocations->len; b++) {
+        const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
         if (s->allows_spot) p->slots += s->gpus;
     }
     if (!m->up) {
@@ -171,7 +171,7 @@
     if (m->spot || m->draining || m->warning >= 0) return;
     p->steady++;
     /* Whole ones are kept for gangs that lack others. */
-    if (bookings_live(m) == 0 && m->open) {
+    if (allocations_on_machine(m) == 0 && m->open) {
         guint before = p->vms->len;
         renting_vm_add(p->vms, m->sku, m->site, false);
         if (p->vms->len > before) g_array_index(p->vms, struct renting_vm, before).kept = true;
@@ -216,11 +216,11 @@
 
 /* A spread job's next task asks for a zone that has none of them yet; NULL: any. */
 static const char *spread_zone(const struct job *j) {
-    if (!j->spec.spread || j->bookings->len == 0) return NULL;
+    if (!j->spec.spread || j->allocations->len == 0) return NULL;
     for (int z = 0; z < cfg->n_zones; z++) {
         int here = 0;
-        for (guint b = 0; b < j->bookings->len; b++)
-            here += strcmp(((struct booking *)j->bookings->pdata[b])->m->site, cfg->zones[z]) == 0;
+        for (guint b = 0; b < j->allocations->len; b++)
+            here += strcmp(((struct allocation *)j->allocations->pdata[b])->m->site, cfg->zones[z]) == 0;
         if (here == 0) return cfg->zones[z];
     }
     return NULL;
@@ -250,9 +250,9 @@
     }
     struct rent_order o;
     memset(&o, 0, sizeof o);
-    if (p->have + p->ordered >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
+    if (p->have + p->requested >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
     add_order(p->vms, &o, weights[j->priority]);
-    p->ordered++;
+    p->requested++;
     if (j->spec.allows_spot && cloud_flavour(o.sku)) p->slots += cloud_flavour(o.sku)->gpus;
     renting_vm_takes(&g_array_index(p->vms, struct renting_vm, p->vms->len - 1), j, want);
     if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.site, n);
@@ -280,12 +280,12 @@
 
 /* Pressure: no other machine under the admission threshold, or a lone reception past its own. */
 static void rent_for_pressure(struct shard_plan *p) {
-    if (p->ordered > 0 || p->booting || !p->reception || p->roomy || p->have >= (int)cfg->tuning.machines_per_shard)
+    if (p->requested > 0 || p->booting || !p->reception || p->roomy || p->have >= (int)cfg->tuning.machines_per_shard)
         return;
     double occupancy = placement_occupancy(p->reception, (int)cfg->tuning.window);
     struct job *like = NULL;
-    for (guint b = 0; b < p->reception->bookings->len; b++) {
-        struct booking *x = p->reception->bookings->pdata[b];
+    for (guint b = 0; b < p->reception->allocations->len; b++) {
+        struct allocation *x = p->reception->allocations->pdata[b];
         if (!x->job->spec.allows_spot) like = x->job;
     }
     struct rent_order o;
@@ -337,7 +337,7 @@
         if (r->j->unplaced || r->j->replicas_at_risk) rent_for_job(&p, r->j, r->within);
     }
     rent_for_pressure(&p);
-    rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.ordered, 0));
+    rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.requested, 0));
     collect_orders(&p, out, most, n);
     g_array_free(order, TRUE);
     g_array_free(p.vms, TRUE);
@@ -358,7 +358,7 @@
     return n;
 }
 
-/* If all controllers end between the record that drops a returned machine and the one that drops its bookings, these
+/* If all controllers end between the record that drops a returned machine and the one that drops its allocations, these
  * name a machine that nobody can ask. That no record names it proves nothing, since records may be read in any order:
  * taken for gone, such machines once ran tasks that were started elsewhere. It is returned by its name; the cloud's
  * answer proves that it is gone, and a name that it does not know is ignored. */
@@ -383,7 +383,8 @@
         for (int k = 0; k < cfg->size; k++)
             for (guint i = 0; membership_owns(k) && i < records_of(k)->len && n < most; i++) {
                 struct machine *m = records_of(k)->pdata[i];
-                if (!m->returning || m->dead || !records_mine(m) || (bookings_live(m) > 0) != with_tasks) continue;
+                if (!m->returning || m->dead || !records_mine(m) || (allocations_on_machine(m) > 0) != with_tasks)
+                    continue;
                 g_strlcpy(ids[n++], m->id, 64);
                 *busy += with_tasks;
             }
--- a/src/rounds/plan.c
+++ b/src/rounds/plan.c
@@ -1,4 +1,4 @@
-/* What a round books, and what makes way for it. */
+/* What a round allocates, and what makes way for it. */
 #include <glib.h>
 #include <math.h>
 #include <stdbool.h>
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../failures/failures.h"
 #include "../logging/logging.h"
@@ -56,12 +56,12 @@
  * 0 otherwise. Such a gang can be completed under the same attempt. */
 int64_t rounds_gang_open(const struct job *j) {
     int64_t attempt = 0;
-    for (guint b = 0; b < j->bookings->len; b++) {
-        const struct booking *x = j->bookings->pdata[b];
-        if (x->over) return 0; /* on record still, perhaps on the very machine that would be picked */
+    for (guint b = 0; b < j->allocations->len; b++) {
+        const struct allocation *x = j->allocations->pdata[b];
+        if (x->released) return 0; /* on record still, perhaps on the very machine that would be picked */
         if (attempt && x->attempt != attempt) return 0;
         attempt = x->attempt;
-        if (x->stop || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
+        if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
         if (clock_seconds_since(x->m->reported) > clock_to_seconds(round_settings->report) * 1.25 + 1) return 0;
     }
     return attempt;
@@ -81,11 +81,11 @@
 static bool replace_gang_tasks(struct round *r, struct job *j, GPtrArray *mine, const struct placement_rules *rules,
                                struct preempt_usage *u) {
     int64_t attempt = rounds_gang_open(j);
-    int missing = j->spec.tasks - bookings_count(j);
+    int missing = j->spec.tasks - allocations_count(j);
     if (!attempt || !preempt_quota_left(&u[j->spec.team], j, missing)) return false;
     guint from = r->plans->len;
     struct preempt_usage before = u[j->spec.team];
-    uint8_t *booked = bookings_bits(j);
+    uint8_t *booked = allocations_task_bits(j);
     bool replaced = true;
     for (int t = 0; t < j->spec.tasks && replaced; t++) {
         if (jobs_bit(booked, t)) continue;
@@ -109,8 +109,8 @@
 
 /* A chunk's record has room for the entry, however long the names are. */
 static bool record_full(const struct job *j, int in_chunk, const struct machine *m) {
-    double bits = MIN(j->spec.tasks, bookings_write_stretch(j)) / 4.0;
-    return (in_chunk + 1) * ((double)strlen(m->id) + 15) + bits + 64 > bookings_value_most();
+    double bits = MIN(j->spec.tasks, allocations_next_chunk_size(j)) / 4.0;
+    return (in_chunk + 1) * ((double)strlen(m->id) + 15) + bits + 64 > allocations_value_bytes_max();
 }
 
 #define PLANS_MOST 600
@@ -157,20 +157,20 @@
     return made > 0;
 }
 
-static int bookings_in_chunk(const struct job *j, int chunk, int stretch) {
+static int allocations_in_chunk(const struct job *j, int chunk, int chunk_size) {
     int n = 0;
-    for (guint b = 0; b < j->bookings->len; b++)
-        n += ((struct booking *)j->bookings->pdata[b])->task / stretch == chunk;
+    for (guint b = 0; b < j->allocations->len; b++)
+        n += ((struct allocation *)j->allocations->pdata[b])->task / chunk_size == chunk;
     return n;
 }
 
 /* Arrays and services, task by task. True if a task found no place. */
 static bool plan_tasks(struct round *r, struct job *j, bool within, int missing, GPtrArray *mine, GPtrArray *room,
                        const struct placement_rules *rules, struct preempt_usage *u) {
-    int stretch = bookings_write_stretch(j), chunk = -1, in_chunk = 0;
+    int chunk_size = allocations_next_chunk_size(j), chunk = -1, in_chunk = 0;
     bool unplaced = false;
     struct machine *last = NULL;
-    uint8_t *busy = bookings_bits(j);
+    uint8_t *busy = allocations_task_bits(j);
     for (int done = 0; done <= j->spec.tasks / 8; done++) busy[done] |= j->reported_done[done];
     for (int t = 0; t < j->spec.tasks && missing > 0; t++) {
         if (jobs_bit(busy, t)) continue;
@@ -188,12 +188,12 @@
             unplaced = true;
             break;
         }
-        if (t / stretch != chunk) {
-            chunk = t / stretch;
-            in_chunk = bookings_in_chunk(j, chunk, stretch);
+        if (t / chunk_size != chunk) {
+            chunk = t / chunk_size;
+            in_chunk = allocations_in_chunk(j, chunk, chunk_size);
         }
         if (record_full(j, in_chunk++, m)) {
-            t = (chunk + 1) * stretch - 1;
+            t = (chunk + 1) * chunk_size - 1;
             continue;
         }
         plan_task(r, m, j, t, next_attempt(r->shard), u);
@@ -205,7 +205,7 @@
 
 static bool plan_group(struct round *r, struct job *j, bool within, GPtrArray *mine, GPtrArray *room,
                        const struct placement_rules *rules, struct preempt_usage *u) {
-    int booked = bookings_count(j);
+    int booked = allocations_count(j);
     if (booked == 0) {
         if (j->n_reported_done == j->spec.tasks || plan_gang(r, j, room, rules, u)) return false;
         if (failures_suspect(j)) return true;
@@ -230,8 +230,8 @@
         return true;
     }
     if (booked == j->spec.tasks || replace_gang_tasks(r, j, room, rules, u)) return false;
-    /* A part of it is gone, or never got booked: the rest makes way for a new attempt. */
-    for (guint b = 0; b < j->bookings->len; b++) bookings_stop(j->bookings->pdata[b], 0);
+    /* A part of it is gone, or never got allocated: the rest makes way for a new attempt. */
+    for (guint b = 0; b < j->allocations->len; b++) allocations_request_stop(j->allocations->pdata[b], 0);
     return false;
 }
 
@@ -242,7 +242,7 @@
         for (guint i = 0; i < lists[l]->len; i++) {
             const struct job *j = lists[l]->pdata[i];
             if (j->spec.team < 0) continue;
-            int n = bookings_count(j);
+            int n = allocations_count(j);
             u[j->spec.team].cpu += n * j->spec.vcpus;
             u[j->spec.team].gpu += n * j->spec.gpus;
         }
@@ -304,7 +304,7 @@
 static int tasks_to_place(const struct job *j) {
     int missing = rounds_missing(j);
     if (!failures_suspect(j) || j->spec.kind == JOB_GANG) return missing;
-    return bookings_count(j) > 0 ? 0 : MIN(missing, 1);
+    return allocations_count(j) > 0 ? 0 : MIN(missing, 1);
 }
 
 void round_plan_jobs(struct round *r, int k) {
--- a/src/rounds/rank.c
+++ b/src/rounds/rank.c
@@ -3,7 +3,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../failures/failures.h"
@@ -37,7 +37,7 @@
     double age = now - j->ready, last = 0;
     /* Late or large work must not step back for ever: what nothing of has begun for this long goes first in its rank.
      */
-    if (age > WAIT_BOUND && j->bookings->len == 0 && j->n_reported_done == 0) return j->ready;
+    if (age > WAIT_BOUND && j->allocations->len == 0 && j->n_reported_done == 0) return j->ready;
     for (double after = 0;;) {
         double next = -1;
         for (int i = 0; i < round_settings->n_objectives; i++) {
@@ -93,7 +93,7 @@
         if (j->spec.team < 0 || chains_waits(j)) continue;
         if (filter->team >= 0 && j->spec.team != filter->team) continue;
         const struct settings_team *t = &round_settings->teams[j->spec.team];
-        int left = failures_suspect(j) ? bookings_count(j) : j->spec.tasks - j->n_reported_done;
+        int left = failures_suspect(j) ? allocations_count(j) : j->spec.tasks - j->n_reported_done;
         cpu[j->spec.team] += left * j->spec.vcpus;
         gpu[j->spec.team] += left * j->spec.gpus;
         if (!asked_for(filter, j)) continue;
@@ -117,9 +117,9 @@
 
 int rounds_missing(const struct job *j) {
     int n = j->spec.tasks - j->n_reported_done;
-    for (guint b = 0; b < j->bookings->len; b++) {
-        const struct booking *x = j->bookings->pdata[b];
-        n -= !x->over && !jobs_bit(j->reported_done, x->task);
+    for (guint b = 0; b < j->allocations->len; b++) {
+        const struct allocation *x = j->allocations->pdata[b];
+        n -= !x->released && !jobs_bit(j->reported_done, x->task);
     }
     return n;
 }
--- a/src/rounds/round.h
+++ b/src/rounds/round.h
@@ -27,7 +27,7 @@
 /* Books what waits and has room, in order, and lets lower work make way. */
 void round_plan_jobs(struct round *r, int k);
 
-/* Writes what is known of a job: completions, bookings that came and went, done tasks. */
+/* Writes what is known of a job: completions, allocations that came and went, done tasks. */
 void round_write_job(struct round *r, struct job *j);
 /* Writes the pages of the shard's machines. */
 void round_write_pages(struct round *r, int k);
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <time.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
@@ -60,9 +60,9 @@
         m->occupancy = placement_occupancy(m, (int)round_settings->tuning.window);
         m->used_cpu = m->used_gpu = m->used_mem = 0;
         m->used_tasks = 0;
-        for (guint b = 0; b < m->bookings->len; b++) {
-            struct booking *x = m->bookings->pdata[b];
-            if (x->over) {
+        for (guint b = 0; b < m->allocations->len; b++) {
+            struct allocation *x = m->allocations->pdata[b];
+            if (x->released) {
                 m->touched = true;
                 continue;
             }
@@ -74,7 +74,7 @@
         m->open = m->up && m->page >= 0 && m->flavour && !records_leaving(m) && !m->draining && m->transfer_to < 0 &&
                   m->warning < 0 && !m->need_raise && !m->unknown && m->ignored == 0 && !failures_machine_faulty(m) &&
                   m->seen_fence >= records_token(m) && clock_seconds_since(m->reported) < quiet &&
-                  m->bookings->len < RECORDS_TASKS_MOST && !watch_zone_cut(k, m->site);
+                  m->allocations->len < RECORDS_TASKS_MOST && !watch_zone_cut(k, m->site);
     }
 }
 
@@ -176,8 +176,8 @@
         char job_id[64];
         g_strlcpy(job_id, set + 4, MIN(sizeof job_id, strcspn(set + 4, "/") + 1));
         struct job *j = jobs_find(job_id);
-        for (guint i = 0; j && i < j->bookings->len; i++) {
-            struct booking *b = j->bookings->pdata[i];
+        for (guint i = 0; j && i < j->allocations->len; i++) {
+            struct allocation *b = j->allocations->pdata[i];
             if (!b->inherited || b->attempt <= r->first) continue;
             b->inherited = false;
             b->m->kick = true;
@@ -266,8 +266,8 @@
             again = true;
         } else if (rc == STORE_CONFLICT) {
             records_shards[k].conflict_revision = a.revision;
-            /* Bookings and pages only in the order of the watch: read on their own they would be ahead of the records
-             * that they rest on. */
+            /* allocations and pages only in the order of the watch: read on their own they would be ahead of the
+             * records that they rest on. */
             for (guint f = 0; f < a.conflicts->len; f++)
                 if (!g_str_has_prefix(a.conflicts->pdata[f], "run/") &&
                     !g_str_has_prefix(a.conflicts->pdata[f], "fleet/"))
@@ -283,7 +283,7 @@
             records_shards[k].barrier = true;
         }
         store_response_clear(&a);
-        /* A conflict is one transaction's own: a fence that all controllers move once kept a shard from booking
+        /* A conflict is one transaction's own: a fence that all controllers move once kept a shard from allocation
          * anything for minutes, because what stood behind the raise was dropped with it. */
         if (rc != STORE_OK && rc != STORE_CONFLICT && rc != STORE_INVALID) break;
     }
--- a/src/rounds/rounds.h
+++ b/src/rounds/rounds.h
@@ -19,7 +19,7 @@
 };
 GArray *rounds_rank(int k);               /* the shard's unfinished jobs in order */
 GArray *rounds_rank_team(int team);       /* a team's, in whatever shards they are */
-int rounds_missing(const struct job *j);  /* tasks neither done nor booked */
+int rounds_missing(const struct job *j);  /* tasks neither done nor allocated */
 bool rounds_has_aim(const struct job *j); /* somebody expects jobs of its class to start or end by a time */
 bool rounds_has_guarantee(const struct settings_team *t);
 struct machine *rounds_reception(int k);
@@ -27,7 +27,7 @@
 /* One round's decisions, with no I/O: at most so many changes. */
 struct round;
 struct round *rounds_decide(int k, int left);
-int rounds_planned(const struct round *r, const char *job_id); /* tasks it books; uid NULL: of all jobs */
+int rounds_planned(const struct round *r, const char *job_id); /* tasks it allocates; uid NULL: of all jobs */
 int rounds_changes(const struct round *r);
 int rounds_largest(const struct round *r);                   /* changes of its largest transaction */
 const GPtrArray *rounds_transactions(const struct round *r); /* struct store_txn, in the order in which they are sent */
--- a/src/rounds/rounds_limits_test.c
+++ b/src/rounds/rounds_limits_test.c
@@ -9,7 +9,7 @@
 #include "../../tests/standin/owned.h"
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "json/json.h"
 #include "placement/placement.h"
@@ -94,30 +94,30 @@
     g_string_append(text, "\"}");
     assert_true(text->len > NEXT_BYTES);
     char key[64];
-    bookings_key(j, 0, key, sizeof key);
+    allocations_key(j, 0, key, sizeof key);
     owned_put(key, text->str);
     g_string_free(text, TRUE);
-    for (guint i = 0; i < j->bookings->len; i++) {
-        struct booking *b = j->bookings->pdata[i];
+    for (guint i = 0; i < j->allocations->len; i++) {
+        struct allocation *b = j->allocations->pdata[i];
         b->inherited = false;
         b->seen = true;
         b->state = TASK_RUNNING;
     }
-    assert_int_equal(bookings_count(j), WIDE);
+    assert_int_equal(allocations_count(j), WIDE);
     return j;
 }
 
-/* As a report shows that every n-th booking is over. */
-static void end_bookings(struct job *j, guint every) {
-    for (guint i = 0; i < j->bookings->len; i += every) {
-        struct booking *b = j->bookings->pdata[i];
-        b->over = true;
+/* As a report shows that every n-th allocation is over. */
+static void end_allocations(struct job *j, guint every) {
+    for (guint i = 0; i < j->allocations->len; i += every) {
+        struct allocation *b = j->allocations->pdata[i];
+        b->released = true;
         if (j->state == JOB_QUEUED) jobs_mark_done(j, b->task);
         jobs_mark_dirty(j, b->task);
     }
 }
 
-static void first_bookings(void **state) {
+static void first_allocations(void **state) {
     (void)state;
     static const struct {
         const char *what, *kind;
@@ -137,7 +137,7 @@
         g_snprintf(job_id, sizeof job_id, "req-%zu", 20000 + i); /* a final state never goes back: an id a row */
         struct job *j = owned_job(job_id, rows[i].kind, "high", rows[i].tasks, 0.1, 0, false, false, 5);
         settle(rows[i].what);
-        if (bookings_count(j) != rows[i].tasks) fail_msg("%s: %d booked", rows[i].what, bookings_count(j));
+        if (allocations_count(j) != rows[i].tasks) fail_msg("%s: %d booked", rows[i].what, allocations_count(j));
         owned_clear();
     }
     store_unlock();
@@ -152,30 +152,30 @@
     int n = old_pages(on, OLD_PAGE);
     struct job *j = old_wide_array("req-10010", on, n);
     for (int t = 0; t < 5; t++) { /* a few tasks end */
-        struct booking *b = j->bookings->pdata[t];
-        b->over = true;
+        struct allocation *b = j->allocations->pdata[t];
+        b->released = true;
         jobs_mark_done(j, b->task);
     }
     settle("a wide record");
-    assert_int_equal(bookings_count(j), WIDE - 5);
+    assert_int_equal(allocations_count(j), WIDE - 5);
     assert_int_equal(j->n_done, 5);
-    assert_int_equal(bookings_stretch(j), 72);
+    assert_int_equal(allocations_chunk_size(j), 72);
     assert_int_equal(j->n_recorded_chunks, 3);
     assert_int_equal(j->n_dirty_chunks, 0);
-    end_bookings(j, 1);
+    end_allocations(j, 1);
     settle("the end of a wide array");
     assert_int_equal(j->state, JOB_DONE);
     assert_int_equal(j->n_recorded_chunks, 0);
-    assert_int_equal(j->bookings->len, 0);
+    assert_int_equal(j->allocations->len, 0);
     /* One that is cancelled meanwhile. */
     struct job *other = old_wide_array("req-10011", on, n);
     owned_put("job/req-10011",
               "{\"spec\":{\"uid\":\"req-10011\"},\"state\":\"cancelled\",\"at\":1}"); /* a final state needs no spec */
     assert_int_equal(other->state, JOB_CANCELLED);
-    end_bookings(other, 2);
+    end_allocations(other, 2);
     settle("half of a cancelled array is gone");
-    assert_int_equal(bookings_count(other), WIDE / 2);
-    end_bookings(other, 1);
+    assert_int_equal(allocations_count(other), WIDE / 2);
+    end_allocations(other, 1);
     settle("all of it");
     assert_int_equal(other->n_recorded_chunks, 0);
     owned_clear();
@@ -183,7 +183,7 @@
 }
 
 /* Machines of pages that are too large for the next limit: raised, returned, passed on, and the pages themselves. No
- * machine is lost, and what runs there stays booked. */
+ * machine is lost, and what runs there stays allocated. */
 static void large_pages(void **state) {
     (void)state;
     enum { FLEET = 3 * OLD_PAGE, RETURNED = 50, PASSED = 52 };
@@ -216,7 +216,7 @@
         assert_false(m->need_raise);
     }
     assert_true(on[RETURNED]->returning);
-    assert_int_equal(bookings_count(j), 8);
+    assert_int_equal(allocations_count(j), 8);
     owned_clear();
     owned_put("machine/i-000052", NULL);
     store_unlock();
@@ -260,7 +260,7 @@
     owned_put("format/n0", "{\"version\":2}");
     owned_put("format/n1", "{\"version\":2}");
     store_unlock();
-    const struct CMUnitTest tests[] = {cmocka_unit_test(first_bookings), cmocka_unit_test(wide_records),
+    const struct CMUnitTest tests[] = {cmocka_unit_test(first_allocations), cmocka_unit_test(wide_records),
                                        cmocka_unit_test(large_pages), cmocka_unit_test(arrivals)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/rounds/rounds_test.c
+++ b/src/rounds/rounds_test.c
@@ -9,7 +9,7 @@
 #include "../../tests/standin/owned.h"
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "cloud/cloud.h"
 #include "membership/membership.h"
@@ -60,7 +60,8 @@
         if (rounds_planned(round, job_id) != rows[r].booked)
             fail_msg("%s: %d booked", rows[r].what, rounds_planned(round, job_id));
         int stopped = 0;
-        for (guint i = 0; i < array->bookings->len; i++) stopped += ((struct booking *)array->bookings->pdata[i])->stop;
+        for (guint i = 0; i < array->allocations->len; i++)
+            stopped += ((struct allocation *)array->allocations->pdata[i])->stop_requested;
         if (stopped != rows[r].stopped) fail_msg("%s: %d stopped", rows[r].what, stopped);
         /* What gathers for the gang is not given to the array that comes after it. */
         if (rows[r].booked == 0) {
@@ -235,8 +236,8 @@
         for (int n = 0; n < rows[i].silent; n++) {
             ago(all[n], rows[i].s);
             all[n]->unanswered = rows[i].unanswered;
-            for (guint b = 0; b < all[n]->bookings->len; b++)
-                ((struct booking *)all[n]->bookings->pdata[b])->seen = rows[i].seen;
+            for (guint b = 0; b < all[n]->allocations->len; b++)
+                ((struct allocation *)all[n]->allocations->pdata[b])->seen = rows[i].seen;
         }
         struct watch_hearing h = watch_hearing();
         watch_machines(0, &h);
@@ -296,7 +297,7 @@
     store_unlock();
 }
 
-/* The largest arrays: a round's cost does not grow with tasks times machines, one write carries a whole stretch of
+/* The largest arrays: a round's cost does not grow with tasks times machines, one write carries a whole chunk size of
  * tasks, and no machine gets more tasks than a report of it can list. */
 static void wide_arrays(void **state) {
     (void)state;
--- a/src/rounds/write_jobs.c
+++ b/src/rounds/write_jobs.c
@@ -1,4 +1,4 @@
-/* What a round writes of jobs and their bookings. */
+/* What a round writes of jobs and their allocations. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <time.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../json/json.h"
 #include "../membership/membership.h"
@@ -53,7 +53,7 @@
     }
 }
 
-/* A change of a job's record of bookings, or its removal where nothing is to be kept. */
+/* A change of a job's record of allocations, or its removal where nothing is to be kept. */
 static void add_run(struct store_txn *t, const struct job *j, int chunk, cJSON *value) {
     char key[128];
     /* Not if the job was cancelled meanwhile, and not over a newer record: a transaction whose answer was lost, or a
@@ -61,7 +61,7 @@
      * ours. */
     snprintf(key, sizeof key, "job/%s", j->spec.job_id);
     store_txn_compare(t, key, store_key_revision(key));
-    bookings_key(j, chunk, key, sizeof key);
+    allocations_key(j, chunk, key, sizeof key);
     store_txn_compare(t, key, store_key_revision(key));
     if (value)
         store_txn_put(t, key, value, 0);
@@ -69,49 +69,49 @@
         store_txn_delete(t, key);
 }
 
-/* Writes all records of a job in a new stretch, in one transaction: each names it, and one with nothing to keep stands
- * as well, so that what the old records said of its tasks is replaced. */
-static void write_new_stretch(struct round *r, struct job *j, int stretch) {
-    int chunks = bookings_chunks_of(j, stretch);
+/* Writes all records of a job in a new chunk size, in one transaction: each names it, and one with nothing to keep
+ * stands as well, so that what the old records said of its tasks is replaced. */
+static void write_new_stretch(struct round *r, struct job *j, int chunk_size) {
+    int chunks = allocations_chunks_of_size(j, chunk_size);
     struct store_txn *t = round_txn(r, chunks, chunks + 1);
     for (int c = 0; c < chunks; c++) {
-        cJSON *value = bookings_value(j, c, stretch, r->plans, false);
+        cJSON *value = allocations_value(j, c, chunk_size, r->plans, false);
         if (!value) {
             value = cJSON_CreateObject();
-            cJSON_AddNumberToObject(value, "n", stretch);
+            cJSON_AddNumberToObject(value, "n", chunk_size);
         }
         add_run(t, j, c, value);
     }
 }
 
 /* Whether anything of the job is to be kept on record. */
-static bool keeps_bookings(const struct round *r, const struct job *j) {
-    if (bookings_count(j) > 0 || (j->state == JOB_QUEUED && j->n_reported_done > 0)) return true;
+static bool keeps_allocations(const struct round *r, const struct job *j) {
+    if (allocations_count(j) > 0 || (j->state == JOB_QUEUED && j->n_reported_done > 0)) return true;
     for (guint i = 0; i < r->plans->len; i++)
         if (g_array_index(r->plans, struct placement_plan, i).j == j) return true;
     return false;
 }
 
-/* Writes what is known of a job: completions, bookings that came and went, done tasks. */
+/* Writes what is known of a job: completions, allocations that came and went, done tasks. */
 void round_write_job(struct round *r, struct job *j) {
     bool final = jobs_complete(j);
     char key[128];
     snprintf(key, sizeof key, "run/%s/0", j->spec.job_id);
     if (round_refused_lately(key)) return;
-    int stretch = bookings_write_stretch(j);
-    if (j->n_recorded_chunks == 0) jobs_set_chunk_size(j, stretch);
-    if (stretch != bookings_stretch(j) && !final && keeps_bookings(r, j)) {
-        write_new_stretch(r, j, stretch);
+    int chunk_size = allocations_next_chunk_size(j);
+    if (j->n_recorded_chunks == 0) jobs_set_chunk_size(j, chunk_size);
+    if (chunk_size != allocations_chunk_size(j) && !final && keeps_allocations(r, j)) {
+        write_new_stretch(r, j, chunk_size);
         return;
     }
-    stretch = bookings_stretch(j);
-    int chunks = bookings_chunks(j);
+    chunk_size = allocations_chunk_size(j);
+    int chunks = allocations_chunks(j);
     uint8_t *need = g_malloc0((gsize)chunks + 1);
     for (int c = 0; j->chunk_flags && c < chunks; c++)
         need[c] = (j->chunk_flags[c] & 2) != 0 || (final && (j->chunk_flags[c] & 1));
     for (guint i = 0; i < r->plans->len; i++) {
         const struct placement_plan *p = &g_array_index(r->plans, struct placement_plan, i);
-        if (p->j == j) need[p->task / stretch] = 2;
+        if (p->j == j) need[p->task / chunk_size] = 2;
     }
     snprintf(key, sizeof key, "job/%s", j->spec.job_id);
     if (final && !round_refused_lately(key)) {
@@ -122,8 +122,9 @@
     }
     for (int c = 0; c < chunks && (r->left > 0 || c == 0); c++) {
         if (!need[c]) continue;
-        cJSON *v = bookings_value(j, c, stretch, r->plans, final);
-        bool there = j->chunk_flags && (j->chunk_flags[c] & 1), same = need[c] == 1 && !final && !bookings_differ(j, c);
+        cJSON *v = allocations_value(j, c, chunk_size, r->plans, final);
+        bool there = j->chunk_flags && (j->chunk_flags[c] & 1),
+             same = need[c] == 1 && !final && !allocations_chunk_dirty(j, c);
         if ((!v && !there) || same) {
             cJSON_Delete(v);
             jobs_set_chunk_recorded(j, c, there);
--- a/src/rounds/write_pages.c
+++ b/src/rounds/write_pages.c
@@ -60,7 +60,7 @@
     }
     /* What runs there starts elsewhere only once it is returned; idle machines go by the dozen, a page each otherwise.
      */
-    if (m->want_return && !m->returning) p->need[page] |= m->bookings->len > 0 ? PAGE_NOW : PAGE_LATER;
+    if (m->want_return && !m->returning) p->need[page] |= m->allocations->len > 0 ? PAGE_NOW : PAGE_LATER;
     if (m->dead || m->unwritten) p->need[page] |= PAGE_LATER;
 }
 
--- a/src/schema_version/schema_version.h
+++ b/src/schema_version/schema_version.h
@@ -10,7 +10,7 @@
 
 #include "../store/store.h"
 
-/* Version 1 has no record. Version 2 adds records of bookings that name their own stretch of tasks. */
+/* Version 1 has no record. Version 2 adds records of allocations that name their own chunk size of tasks. */
 #define SCHEMA_VERSION 2
 /* Version 3 can read records of divided teams. A controller records it only while its settings divide a team, so that
  * an earlier version may come back once no team is divided any more. */
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <sys/resource.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
@@ -62,7 +62,7 @@
     workers_init(s);
     cloud_init(s);
     records_init(s);
-    bookings_init(s);
+    allocations_init(s);
     rounds_init(s);
     preempt_init(s);
     transfer_init(s);
@@ -113,7 +113,7 @@
     static struct store_write_counts before;
     struct store_write_counts written = store_writes_counted();
     log_info("changes in 10 s: %u jobs, %u bookings, %u releases, %u pages, %u others", written.jobs - before.jobs,
-             written.bookings - before.bookings, written.releases - before.releases, written.pages - before.pages,
+             written.allocations - before.allocations, written.releases - before.releases, written.pages - before.pages,
              written.others - before.others);
     before = written;
     last = now;
--- a/src/service/service_gap_test.c
+++ b/src/service/service_gap_test.c
@@ -65,7 +65,8 @@
     assert_true(pair_begin_led_by(rows[row].leader));
     const char *team = pair_team_of(rows[row].of_other ? 1 : 0);
     assert_non_null(team);
-    /* 1 runs, 2 fetches until long after the outage has begun, 3 is not cancelled, 4 is booked at the last moment. */
+    /* 1 runs, 2 fetches until long after the outage has begun, 3 is not cancelled, 4 is allocated at the last moment.
+     */
     standin_workers_fetch("req-90002", 6);
     assert_true(pair_submit("req-90001", team, "standing", 2));
     assert_true(pair_submit("req-90003", team, "standing", 1));
--- a/src/service/service_meetings_test.c
+++ b/src/service/service_meetings_test.c
@@ -347,7 +347,7 @@
     assert_int_equal(standin_workers_running("req-90002/0"), 1);
 }
 
-/* All controllers end after the record that drops a machine was written, and before that of its bookings: nobody can
+/* All controllers end after the record that drops a machine was written, and before that of its allocations: nobody can
  * ask the machine. Here it even lives on, and reaches nobody: its tasks start elsewhere on the cloud's word alone. */
 static void unrecorded_machine(void) {
     long_job("req-90001", 0, 1);
--- a/src/service/service_quota_test.c
+++ b/src/service/service_quota_test.c
@@ -1,7 +1,7 @@
 /* Divided teams with three real controllers: whatever fails, what workers hold never exceeds a team's limit, no team
  * stays below its guarantee for long while it has work that fits, no task is on two machines, and every job ends.
  *
- * One row a run: the stand-ins begin from nothing. Judged by the workers' own log, not by what was booked. */
+ * One row a run: the stand-ins begin from nothing. Judged by the workers' own log, not by what was allocated. */
 #include <glib.h>
 #include <pthread.h>
 #include <stdbool.h>
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -188,8 +188,8 @@
     int at = -1, before = standin_cloud_returned();
     store_lock();
     struct job *j = jobs_find("req-90002");
-    assert_int_equal(j->bookings->len, 1);
-    at = (int)g_ascii_strtoll(((struct booking *)j->bookings->pdata[0])->m->id + 2, NULL, 10);
+    assert_int_equal(j->allocations->len, 1);
+    at = (int)g_ascii_strtoll(((struct allocation *)j->allocations->pdata[0])->m->id + 2, NULL, 10);
     store_unlock();
     assert_int_equal(submit("req-90004", "standing", 4), 201); /* others, so that one silent machine is not all */
     assert_true(becomes("req-90004", "running", 10));
@@ -222,14 +222,14 @@
         bool touched, unknown, sending, raise, leaving, want;
     } rows[] = {
         {1, false, false, false, false, false, true}, {-1, false, false, false, false, false, false},
-        {1, true, false, false, false, false, false}, /* this round books on it */
+        {1, true, false, false, false, false, false}, /* this round allocates on it */
         {1, false, true, false, false, false, false}, {1, false, false, true, false, false, false},
         {1, false, false, false, true, false, false}, {1, false, false, false, false, true, false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine m;
         memset(&m, 0, sizeof m);
-        m.bookings = g_ptr_array_new();
+        m.allocations = g_ptr_array_new();
         m.transfer_to = rows[i].to;
         m.touched = rows[i].touched;
         m.unknown = rows[i].unknown;
@@ -237,7 +237,7 @@
         m.need_raise = rows[i].raise;
         m.want_return = rows[i].leaving;
         assert_int_equal(transfer_allowed(&m), rows[i].want);
-        g_ptr_array_free(m.bookings, TRUE);
+        g_ptr_array_free(m.allocations, TRUE);
     }
 }
 
@@ -263,17 +263,17 @@
         memset(&m, 0, sizeof m);
         memset(&j, 0, sizeof j);
         if (!rows[i].old) m.reported = clock_now();
-        struct booking a = {.job = &j, .m = &m, .attempt = 7, .seen = true, .state = rows[i].a}, b = a;
+        struct allocation a = {.job = &j, .m = &m, .attempt = 7, .seen = true, .state = rows[i].a}, b = a;
         b.state = rows[i].b;
         b.seen = rows[i].seen;
-        b.stop = rows[i].stop;
-        b.over = rows[i].over;
+        b.stop_requested = rows[i].stop;
+        b.released = rows[i].over;
         if (rows[i].other_attempt) b.attempt = 8;
-        j.bookings = g_ptr_array_new();
-        g_ptr_array_add(j.bookings, &a);
-        g_ptr_array_add(j.bookings, &b);
+        j.allocations = g_ptr_array_new();
+        g_ptr_array_add(j.allocations, &a);
+        g_ptr_array_add(j.allocations, &b);
         assert_int_equal(rounds_gang_open(&j), rows[i].want);
-        g_ptr_array_free(j.bookings, TRUE);
+        g_ptr_array_free(j.allocations, TRUE);
     }
 }
 
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -206,7 +206,7 @@
         if (g_str_has_prefix(key, "job/"))
             changes.jobs++;
         else if (g_str_has_prefix(key, "run/"))
-            ++*(set ? &changes.bookings : &changes.releases);
+            ++*(set ? &changes.allocations : &changes.releases);
         else if (g_str_has_prefix(key, "fleet/") || g_str_has_prefix(key, "machine/"))
             changes.pages++;
         else
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -68,7 +68,7 @@
 unsigned store_budget_requests_sent(void);
 /* Changes written so far, by what they change. */
 struct store_write_counts {
-    unsigned jobs, bookings, releases, pages, others; /* releases: records of bookings that were removed */
+    unsigned jobs, allocations, releases, pages, others; /* releases: records of allocations that were removed */
 };
 struct store_write_counts store_writes_counted(void);
 int store_budget_available(enum store_priority cls); /* changes that the budget allows to the class now */
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../failures/failures.h"
@@ -21,35 +21,35 @@
 /* An ordinary machine whose tasks would all make way. */
 bool transfer_possible(const struct machine *m) {
     if (m->spot || records_leaving(m) || m->warning >= 0 || !m->address[0]) return false;
-    for (guint b = 0; b < m->bookings->len; b++) {
-        const struct job_spec *s = &((struct booking *)m->bookings->pdata[b])->job->spec;
+    for (guint b = 0; b < m->allocations->len; b++) {
+        const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
         if (!s->allows_spot || s->kind != JOB_ARRAY) return false;
     }
     return true;
 }
 
-/* Not in a round that books on it or releases from it: the plan is not in its list yet. A machine was once passed
+/* Not in a round that allocates on it or releases from it: the plan is not in its list yet. A machine was once passed
  * together with a task of its old shard's, which then counted nowhere against the team's limit. */
 bool transfer_allowed(const struct machine *m) {
-    return m->transfer_to >= 0 && m->bookings->len == 0 && m->page >= 0 && !m->touched && !m->unknown && !m->sending &&
-           !m->need_raise && !m->want_return && !m->returning && !m->dead;
+    return m->transfer_to >= 0 && m->allocations->len == 0 && m->page >= 0 && !m->touched && !m->unknown &&
+           !m->sending && !m->need_raise && !m->want_return && !m->returning && !m->dead;
 }
 
 /* A spread job's part in the zone is used up. */
 static bool zone_full(const struct job *j, const char *site) {
     int here = 0;
-    for (guint i = 0; i < j->bookings->len; i++)
-        here += strcmp(((struct booking *)j->bookings->pdata[i])->m->site, site) == 0;
+    for (guint i = 0; i < j->allocations->len; i++)
+        here += strcmp(((struct allocation *)j->allocations->pdata[i])->m->site, site) == 0;
     return j->spec.spread && here >= (j->spec.tasks + 1) / 2;
 }
 
-/* Nothing fits beside what is booked: most machines of a busy shard, not worth a closer look. */
+/* Nothing fits beside what is allocated: most machines of a busy shard, not worth a closer look. */
 static bool full(const struct machine *m) {
     const struct machine_type *f = cloud_flavour(m->sku);
     double cpu = 0, gpu = 0;
-    for (guint b = 0; f && b < m->bookings->len; b++) {
-        const struct booking *x = m->bookings->pdata[b];
-        if (x->over) continue;
+    for (guint b = 0; f && b < m->allocations->len; b++) {
+        const struct allocation *x = m->allocations->pdata[b];
+        if (x->released) continue;
         cpu += x->job->spec.vcpus;
         gpu += x->job->spec.gpus;
     }
@@ -81,9 +81,9 @@
         renting_vm_add(vms, m->sku, m->site, m->spot);
         if (vms->len == before) continue;
         struct renting_vm *v = &g_array_index(vms, struct renting_vm, before);
-        for (guint b = 0; b < m->bookings->len && m->shard == s; b++) {
-            if (((struct booking *)m->bookings->pdata[b])->over) continue;
-            const struct job_spec *x = &((struct booking *)m->bookings->pdata[b])->job->spec;
+        for (guint b = 0; b < m->allocations->len && m->shard == s; b++) {
+            if (((struct allocation *)m->allocations->pdata[b])->released) continue;
+            const struct job_spec *x = &((struct allocation *)m->allocations->pdata[b])->job->spec;
             v->cpu -= x->vcpus;
             v->gpu -= x->gpus;
             v->mem -= x->memory_gb;
@@ -156,12 +156,12 @@
         if (!placement_allowed(m, j, site, NULL)) continue;
         /* For work that could use cheap machines a dear one goes only if it is surplus here. */
         if (j->spec.allows_spot && !within && !m->spot && !m->draining) continue;
-        if (j->spec.allows_spot && m->bookings->len == 0 && records_shards[k].fit_nowhere && !within) continue;
+        if (j->spec.allows_spot && m->allocations->len == 0 && records_shards[k].fit_nowhere && !within) continue;
         bool all = true;
-        for (guint b = 0; b < m->bookings->len; b++) all &= preempt_evictable(m->bookings->pdata[b], j, within);
+        for (guint b = 0; b < m->allocations->len; b++) all &= preempt_evictable(m->allocations->pdata[b], j, within);
         if (!all || !quota_may_be_cleared(m, j->priority)) continue;
-        double cost = m->bookings->len * 2.0;
-        for (guint b = 0; b < m->bookings->len; b++) cost += preempt_fresh_start(m->bookings->pdata[b]);
+        double cost = m->allocations->len * 2.0;
+        for (guint b = 0; b < m->allocations->len; b++) cost += preempt_fresh_start(m->allocations->pdata[b]);
         cost += (g_hash_table_contains(m->images, j->spec.image) ? 0 : 3);
         if (best && cost >= best_cost) continue;
         best = m;
@@ -191,10 +191,10 @@
         m->transfer_to = s;
         m->transfer_since = clock_now();
         log_info("machine %s: transfer from share %d to share %d for %s", m->id, k, s, j->spec.job_id);
-        for (guint b = 0; b < m->bookings->len; b++) {
-            struct booking *x = m->bookings->pdata[b];
-            if (!x->stop) quota_stopped(x);
-            bookings_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.checkpoint_flush_s + 1 : 0);
+        for (guint b = 0; b < m->allocations->len; b++) {
+            struct allocation *x = m->allocations->pdata[b];
+            if (!x->stop_requested) quota_stopped(x);
+            allocations_request_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.checkpoint_flush_s + 1 : 0);
         }
     }
 }
--- a/src/users/users.c
+++ b/src/users/users.c
@@ -320,7 +320,8 @@
     for (;;) {
         g_ptr_array_set_size(batch, 0);
         gather(&queues[1], batch, most);
-        /* The batch widens where requests are scarce: polls by the hundred, a request each, left none for bookings. */
+        /* The batch widens where requests are scarce: polls by the hundred, a request each, left none for allocations.
+         */
         if (batch->len < (guint)cfg->txn_ops && store_budget_requests_scarce()) {
             clock_sleep(clock_from_seconds(POLL_GATHER_S));
             gather_more(&queues[1], batch, most);
--- a/src/watch/watch.c
+++ b/src/watch/watch.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <time.h>
 
-#include "../bookings/bookings.h"
+#include "../allocations/allocations.h"
 #include "../boots/boots.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
@@ -125,9 +125,9 @@
 
 /* Its replicas may have to start elsewhere soon: what they need may boot meanwhile. */
 static void replicas_at_risk(const struct machine *m) {
-    for (guint b = 0; b < m->bookings->len; b++) {
-        struct booking *x = m->bookings->pdata[b];
-        x->job->replicas_at_risk += !x->over && x->job->spec.kind == JOB_SERVICE;
+    for (guint b = 0; b < m->allocations->len; b++) {
+        struct allocation *x = m->allocations->pdata[b];
+        x->job->replicas_at_risk += !x->released && x->job->spec.kind == JOB_SERVICE;
     }
 }
 
@@ -138,12 +138,12 @@
     if (z->newest >= keeps) return false;
     if (z->newest > MAX(5, keeps - 1.5 * boot - 5)) replicas_at_risk(m);
     bool runs = false;
-    for (guint b = 0; b < m->bookings->len; b++) {
-        const struct booking *x = m->bookings->pdata[b];
-        runs |= !x->over && (x->seen || x->inherited);
+    for (guint b = 0; b < m->allocations->len; b++) {
+        const struct allocation *x = m->allocations->pdata[b];
+        runs |= !x->released && (x->seen || x->inherited);
     }
     /* Nothing runs there, and what was ordered last may never have come: given back, its tasks start elsewhere now. */
-    return runs || m->bookings->len == 0 || z->newest < 5;
+    return runs || m->allocations->len == 0 || z->newest < 5;
 }
 
 bool watch_end_overdue(double ended_s, double reported_s, double lease_s, double cancel_s) {
@@ -156,9 +156,9 @@
 /* Every answer carries the stop, and renews the lease by which the task would otherwise end: a machine that reports and
  * does not end it has to go, whatever else runs there. */
 static bool holds_cancelled(const struct machine *m) {
-    for (guint i = 0; i < m->bookings->len; i++) {
-        const struct booking *b = m->bookings->pdata[i];
-        if (!b->over && b->seen && b->job->state == JOB_CANCELLED &&
+    for (guint i = 0; i < m->allocations->len; i++) {
+        const struct allocation *b = m->allocations->pdata[i];
+        if (!b->released && b->seen && b->job->state == JOB_CANCELLED &&
             watch_end_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->reported),
                               clock_to_seconds(cfg->lease), clock_to_seconds(cfg->cancel)))
             return true;
@@ -237,20 +237,20 @@
         }
         if (m->warning >= 0) {
             double left = m->warning - clock_seconds_since(m->warned);
-            for (guint b = 0; b < m->bookings->len; b++) {
-                struct booking *x = m->bookings->pdata[b];
-                if (!x->stop && x->job->spec.checkpoint_s > 0 && left < x->job->spec.checkpoint_flush_s + 6) {
+            for (guint b = 0; b < m->allocations->len; b++) {
+                struct allocation *x = m->allocations->pdata[b];
+                if (!x->stop_requested && x->job->spec.checkpoint_s > 0 && left < x->job->spec.checkpoint_flush_s + 6) {
                     /* A gang saves only if all its tasks are told at about the same time. */
                     bool gang = x->job->spec.kind == JOB_GANG;
-                    for (guint n = 0; n < (gang ? x->job->bookings->len : 1); n++) {
-                        struct booking *y = gang ? x->job->bookings->pdata[n] : x;
-                        bookings_stop(y, y->job->spec.checkpoint_flush_s + 2);
+                    for (guint n = 0; n < (gang ? x->job->allocations->len : 1); n++) {
+                        struct allocation *y = gang ? x->job->allocations->pdata[n] : x;
+                        allocations_request_stop(y, y->job->spec.checkpoint_flush_s + 2);
                     }
                 }
             }
-            if (m->bookings->len == 0) m->want_return = true;
+            if (m->allocations->len == 0) m->want_return = true;
         }
-        if (m->draining && m->bookings->len == 0) {
+        if (m->draining && m->allocations->len == 0) {
             log_info("machine %s: drained, returning it", m->id);
             m->want_return = true;
         } else if (m->draining && clock_has_elapsed(m->drain_since, cfg->tuning.drain_reopen)) {
--- a/src/workers/checkin.c
+++ b/src/workers/checkin.c
@@ -36,14 +36,14 @@
 bool workers_start_in_doubt(const struct machine *m, const cJSON *report) {
     const cJSON *x;
     int cancelled = 0, listed = 0;
-    for (guint i = 0; i < m->bookings->len; i++)
-        cancelled += ((const struct booking *)m->bookings->pdata[i])->job->state == JOB_CANCELLED;
+    for (guint i = 0; i < m->allocations->len; i++)
+        cancelled += ((const struct allocation *)m->allocations->pdata[i])->job->state == JOB_CANCELLED;
     GHashTable *seen = g_hash_table_new(g_direct_hash, g_direct_equal); /* a report may name a task twice */
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
         int64_t attempt = 0;
         const char *task = json_get_string(x, "task");
-        struct booking *b =
-            task && json_get_int64(x, "try", &attempt) ? workers_listed_booking(m, task, attempt) : NULL;
+        struct allocation *b =
+            task && json_get_int64(x, "try", &attempt) ? workers_listed_allocation(m, task, attempt) : NULL;
         if (b && b->job->state == JOB_CANCELLED) listed += g_hash_table_add(seen, b);
     }
     g_hash_table_destroy(seen);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -121,11 +121,11 @@
  * holds without it. */
 static void end_cancelled_elsewhere(struct machine *m) {
     cJSON *orders = NULL;
-    if (!m->address[0] || m->bookings->len == 0 || clock_seconds_since(m->asked_to_end) < END_AGAIN_S) return;
-    for (guint i = 0; i < m->bookings->len && i < RECORDS_TASKS_MOST; i++) {
-        struct booking *b = m->bookings->pdata[i];
+    if (!m->address[0] || m->allocations->len == 0 || clock_seconds_since(m->asked_to_end) < END_AGAIN_S) return;
+    for (guint i = 0; i < m->allocations->len && i < RECORDS_TASKS_MOST; i++) {
+        struct allocation *b = m->allocations->pdata[i];
         char task[96];
-        if (b->over || !b->job->cancel_acknowledged || b->asked_to_end >= END_TRIES) continue;
+        if (b->released || !b->job->cancel_acknowledged || b->asked_to_end >= END_TRIES) continue;
         snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
         if (!orders) orders = cJSON_CreateArray();
         workers_add_order(orders, "stop", task, b->attempt, 0);
@@ -259,8 +259,8 @@
         if (!hello && m->seen_fence < records_token(m)) hello = true;
         cJSON *orders = hello ? cJSON_CreateArray() : workers_orders(m, true);
         /* What must wait for a look at the store goes as soon as there is one. */
-        for (guint b = 0; !may_start && b < m->bookings->len; b++)
-            m->kick |= workers_waits_for_start(m->bookings->pdata[b]);
+        for (guint b = 0; !may_start && b < m->allocations->len; b++)
+            m->kick |= workers_waits_for_start(m->allocations->pdata[b]);
         if (!hello && cJSON_GetArraySize(orders) == 0) {
             cJSON_Delete(orders);
             continue;
--- a/src/workers/orders.c
+++ b/src/workers/orders.c
@@ -20,9 +20,9 @@
 }
 
 /* Booked by us and not yet shown by the worker. */
-bool workers_waits_for_start(const struct booking *b) {
-    return !b->over && !b->stop && !b->seen && !b->inherited && b->job->state == JOB_QUEUED && !chains_waits(b->job) &&
-           !b->m->returning && !b->m->want_return;
+bool workers_waits_for_start(const struct allocation *b) {
+    return !b->released && !b->stop_requested && !b->seen && !b->inherited && b->job->state == JOB_QUEUED &&
+           !chains_waits(b->job) && !b->m->returning && !b->m->want_return;
 }
 
 cJSON *workers_orders(struct machine *m, bool direct) {
@@ -38,19 +38,19 @@
         else
             workers_add_order(list, "stop", s->task, s->attempt, 0);
     }
-    for (guint i = 0; ours && i < m->bookings->len && i < RECORDS_TASKS_MOST; i++) {
-        struct booking *b = m->bookings->pdata[i];
+    for (guint i = 0; ours && i < m->allocations->len && i < RECORDS_TASKS_MOST; i++) {
+        struct allocation *b = m->allocations->pdata[i];
         char task[96];
-        if (b->over) continue;
+        if (b->released) continue;
         snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
-        if (b->stop) {
+        if (b->stop_requested) {
             if (b->seen && (!direct || !b->stop_sent || b->grace_s <= 0))
                 workers_add_order(list, "stop", task, b->attempt, b->grace_s);
             b->stop_sent = true;
         } else if (may_start && workers_waits_for_start(b)) {
             workers_add_order(list, "run", task, b->attempt, -1);
             if (!direct) {
-                b->ordered++;
+                b->starts_sent++;
                 m->ordered_tenure = m->tenure;
             }
         }
--- a/src/workers/reports.c
+++ b/src/workers/reports.c
@@ -30,9 +30,9 @@
     return TASK_RUNNING; /* a state not known here is a task that may run */
 }
 
-static void ended(struct booking *b, const char *cause) {
+static void ended(struct allocation *b, const char *cause) {
     struct job *j = b->job;
-    b->over = true;
+    b->released = true;
     jobs_mark_dirty(j, b->task);
     if (cause && strcmp(cause, "done") == 0) {
         if (j->state == JOB_QUEUED) {
@@ -53,13 +53,13 @@
     }
 }
 
-struct booking *workers_listed_booking(const struct machine *m, const char *task, int64_t attempt) {
+struct allocation *workers_listed_allocation(const struct machine *m, const char *task, int64_t attempt) {
     const char *slash = strrchr(task, '/');
     if (!slash) return NULL;
     size_t n = (size_t)(slash - task);
     int index = (int)g_ascii_strtoll(slash + 1, NULL, 10);
-    for (guint i = 0; i < m->bookings->len; i++) {
-        struct booking *b = m->bookings->pdata[i];
+    for (guint i = 0; i < m->allocations->len; i++) {
+        struct allocation *b = m->allocations->pdata[i];
         if (b->attempt == attempt && b->task == index && strlen(b->job->spec.job_id) == n &&
             strncmp(b->job->spec.job_id, task, n) == 0)
             return b;
@@ -115,9 +115,9 @@
  * orders answered twice are not taken up. */
 static void count_ignored(struct machine *m, const cJSON *report, bool new_session) {
     int waiting = 0;
-    for (guint i = 0; i < m->bookings->len; i++) {
-        const struct booking *b = m->bookings->pdata[i];
-        waiting += !b->seen && !b->stop && b->ordered >= 2;
+    for (guint i = 0; i < m->allocations->len; i++) {
+        const struct allocation *b = m->allocations->pdata[i];
+        waiting += !b->seen && !b->stop_requested && b->starts_sent >= 2;
     }
     const cJSON *tasks = cJSON_GetObjectItemCaseSensitive(report, "tasks");
     if (new_session && m->answered &&
@@ -156,30 +156,30 @@
     m->warned = m->heard;
 }
 
-static void log_start(const struct booking *b, const char *task) {
+static void log_start(const struct allocation *b, const char *task) {
     const struct job_spec *spec = &b->job->spec;
     bool there = spec->image && g_hash_table_contains(b->m->images, spec->image);
     log_info("task %s runs on %s (%s): %.1f s after its job was ready, %.1f s after booking, image was %s", task,
              b->m->id, spec->job_class ? spec->job_class : "?", clock_time_of_day() - b->job->ready,
-             clock_seconds_since(b->booked), there ? "there" : "fetched");
+             clock_seconds_since(b->allocated_at), there ? "there" : "fetched");
 }
 
 /* One task of the list. True if that ended it. */
-static bool take_state(struct booking *b, const char *task, enum task_state state, const char *cause) {
+static bool take_state(struct allocation *b, const char *task, enum task_state state, const char *cause) {
     b->seen = true;
-    if (b->state != state) b->changed = b->m->heard;
+    if (b->state != state) b->state_since = b->m->heard;
     if (state == TASK_RUNNING && b->state != state) log_start(b, task);
     b->state = state;
-    if (state == TASK_RUNNING && b->job->spec.kind == JOB_SERVICE && clock_seconds_since(b->changed) > PROVEN_S)
+    if (state == TASK_RUNNING && b->job->spec.kind == JOB_SERVICE && clock_seconds_since(b->state_since) > PROVEN_S)
         failures_note_success(b->job);
     if ((state == TASK_RUNNING || state == TASK_GATHERING) && b->job->spec.image)
         g_hash_table_add(b->m->images, g_strdup(b->job->spec.image));
-    if (state != TASK_ENDED || b->over) return false;
+    if (state != TASK_ENDED || b->released) return false;
     ended(b, cause);
     return true;
 }
 
-/* The tasks that the report lists; which of the bookings these are goes to listed. True if one has ended. */
+/* The tasks that the report lists; which of the allocations these are goes to listed. True if one has ended. */
 static bool take_listed(struct machine *m, const cJSON *report, bool *listed) {
     bool change = false;
     const cJSON *x;
@@ -189,32 +189,32 @@
         int64_t attempt = 0;
         if (!task || !json_get_int64(x, "try", &attempt)) continue;
         enum task_state state = state_of(json_get_string(x, "state"));
-        struct booking *b = workers_listed_booking(m, task, attempt);
+        struct allocation *b = workers_listed_allocation(m, task, attempt);
         if (!b) {
             struct unknown_task unknown = {"", attempt, state == TASK_ENDED};
             g_strlcpy(unknown.task, task, sizeof unknown.task);
             g_array_append_val(m->unknown_tasks, unknown);
             continue;
         }
-        if (b->at_machine < BOOKINGS_MOST) listed[b->at_machine] = true;
+        if (b->index_in_machine < BOOKINGS_MOST) listed[b->index_in_machine] = true;
         change |= take_state(b, task, state, json_get_string(x, "cause"));
     }
     return change;
 }
 
-/* Bookings that the report does not list: gone, if nothing is under way that may still start them. */
+/* allocations that the report does not list: gone, if nothing is under way that may still start them. */
 static bool release_absent(struct machine *m, const bool *listed) {
     bool change = false;
     if (m->unknown || workers_start_on_its_way(m)) return false;
-    for (guint i = 0; i < m->bookings->len && i < BOOKINGS_MOST; i++) {
-        struct booking *b = m->bookings->pdata[i];
-        if (listed[i] || b->over) continue;
+    for (guint i = 0; i < m->allocations->len && i < BOOKINGS_MOST; i++) {
+        struct allocation *b = m->allocations->pdata[i];
+        if (listed[i] || b->released) continue;
         bool gang_lost = b->job->spec.kind == JOB_GANG &&
-                         clock_seconds_since(b->booked) > 2 * clock_to_seconds(workers_settings->report);
-        if (!b->seen && !b->stop && !b->inherited && !gang_lost) continue;
+                         clock_seconds_since(b->allocated_at) > 2 * clock_to_seconds(workers_settings->report);
+        if (!b->seen && !b->stop_requested && !b->inherited && !gang_lost) continue;
         log_info("task %s/%d try %lld is gone from machine %s", b->job->spec.job_id, b->task, (long long)b->attempt,
                  m->id);
-        b->over = true;
+        b->released = true;
         jobs_mark_dirty(b->job, b->task);
         change = true;
     }
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -9,7 +9,7 @@
 #include "../../tests/standin/owned.h"
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "cloud/cloud.h"
 #include "json/json.h"
@@ -35,8 +35,9 @@
 
 static int64_t mod_revision = 1000000;
 
-/* One machine on a page of its own, with bookings of one job under base 5, ordered by us unless inherited. */
-static struct machine *fresh(const char *id, int64_t fence, const char *job_id, const char *bookings, bool inherited) {
+/* One machine on a page of its own, with allocations of one job under base 5, ordered by us unless inherited. */
+static struct machine *fresh(const char *id, int64_t fence, const char *job_id, const char *allocations,
+                             bool inherited) {
     char key[64], json[400];
     g_snprintf(json, sizeof json,
                "{\"sku\":[\"g\"],\"site\":[\"za\"],\"img\":[],\"m\":[[\"%s\",\"\",0,0,0,%lld,1,\"\"]]}", id,
@@ -45,10 +46,11 @@
     struct machine *m = records_find(id);
     assert_non_null(m);
     g_snprintf(key, sizeof key, "run/%s/0", job_id);
-    g_snprintf(json, sizeof json, "{\"f\":5,\"b\":\"%s\"}", bookings);
+    g_snprintf(json, sizeof json, "{\"f\":5,\"b\":\"%s\"}", allocations);
     put(key, json, ++mod_revision);
     assert_true(records_mine(m));
-    for (guint i = 0; i < m->bookings->len; i++) ((struct booking *)m->bookings->pdata[i])->inherited = inherited;
+    for (guint i = 0; i < m->allocations->len; i++)
+        ((struct allocation *)m->allocations->pdata[i])->inherited = inherited;
     return m;
 }
 
@@ -82,7 +84,7 @@
 #define T(state) "{\"task\":\"req-10001/0\",\"try\":5,\"state\":\"" state "\"}"
 #define BOOKED(id) "0@" id "+0"
 
-/* When a booking counts as gone. Each row: reports in order, then whether it is released. */
+/* When an allocation counts as gone. Each row: reports in order, then whether it is released. */
 static void proofs(void **state) {
     (void)state;
     int64_t f = membership_shard(0)->fence;
@@ -118,7 +120,7 @@
         char at[48];
         g_snprintf(at, sizeof at, "0@%s+0", id);
         struct machine *m = fresh(id, 0, "req-10001", at, rows[i].inherited);
-        struct booking *b = m->bookings->pdata[0];
+        struct allocation *b = m->allocations->pdata[0];
         if (rows[i].first) assert_true(report(m, 1, 2, f, rows[i].first, true));
         m->ordered_tenure = rows[i].ordered;
         if (rows[i].unknown) {
@@ -127,7 +129,7 @@
             m->unknown_tenure = 1;
         }
         report(m, rows[i].tenure, rows[i].seq, f - rows[i].less, rows[i].second, rows[i].checkin);
-        if (b->over != rows[i].over) fail_msg("%s: over is %d", rows[i].what, b->over);
+        if (b->released != rows[i].over) fail_msg("%s: over is %d", rows[i].what, b->released);
         away("req-10001");
     }
     store_unlock();
@@ -139,14 +141,14 @@
     int64_t f = membership_shard(0)->fence;
     store_lock();
     struct machine *m = fresh("i-000900", 0, "req-10001", BOOKED("i-000900"), true);
-    struct booking *b = m->bookings->pdata[0];
+    struct allocation *b = m->allocations->pdata[0];
     report(m, 1, 1, f - 1, "", true);
-    assert_false(b->over);
+    assert_false(b->released);
     assert_int_equal(orders(m, "run"), 0);
     report(m, 1, 2, f, T("fetching"), true); /* the former owner's command came before our token */
     assert_int_equal(orders(m, "run"), 0);
     assert_int_equal(b->state, TASK_FETCHING);
-    /* Not booked and running: stopped. Not booked and ended: forgotten. */
+    /* Not allocated and running: stopped. Not allocated and ended: forgotten. */
     report(m, 1, 3, f, T("running") ",{\"task\":\"req-10001/1\",\"try\":4,\"state\":\"running\"},"
                                     "{\"task\":\"req-10001/1\",\"try\":3,\"state\":\"ended\",\"cause\":\"done\"}", true);
     assert_int_equal(orders(m, "stop"), 1);
@@ -161,24 +163,24 @@
     int64_t f = membership_shard(0)->fence;
     store_lock();
     struct machine *m = fresh("i-000901", 0, "req-10001", BOOKED("i-000901"), false);
-    struct booking *b = m->bookings->pdata[0];
+    struct allocation *b = m->allocations->pdata[0];
     report(m, 1, 1, f, "", true);
     m->unknown = true;
     m->unknown_fence = f;
     m->unknown_tenure = 1;
-    b->stop = true;
+    b->stop_requested = true;
     report(m, 1, 2, f, "", true);
     assert_true(m->unknown);
-    assert_false(b->over);
+    assert_false(b->released);
     char json[300];
     g_snprintf(json, sizeof json, "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-000901\",\"\",0,0,0,%lld,1,\"\"]]}",
                (long long)f + 7);
     put("fleet/0/0", json, ++mod_revision);
     assert_int_equal(records_token(m), f + 7);
-    assert_true(records_find("i-000901")->bookings->pdata[0] == b); /* what is known of it stays */
+    assert_true(records_find("i-000901")->allocations->pdata[0] == b); /* what is known of it stays */
     report(m, 1, 3, f + 7, "", true);
     assert_false(m->unknown);
-    assert_true(b->over);
+    assert_true(b->released);
     away("req-10001");
     store_unlock();
 }
@@ -199,7 +201,7 @@
     /* Completed after the cancellation: it stays cancelled. */
     report(m, 1, 2, f, "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"ended\",\"cause\":\"done\"}", true);
     assert_int_equal(jobs_find("req-10002")->state, JOB_CANCELLED);
-    assert_true(((struct booking *)m->bookings->pdata[1])->over);
+    assert_true(((struct allocation *)m->allocations->pdata[1])->released);
     away("req-10002");
     store_unlock();
 }
@@ -234,7 +236,7 @@
     int64_t f = membership_shard(0)->fence;
     store_lock();
     struct machine *m = fresh("i-000920", 0, "req-10001", BOOKED("i-000920"), false);
-    struct booking *b = m->bookings->pdata[0];
+    struct allocation *b = m->allocations->pdata[0];
     assert_true(report(m, 2, 8, f, T("running"), true));
     m->heard.tv_sec -= 20;
     struct timespec heard = m->heard;
@@ -244,7 +246,7 @@
     } copies[] = {{2, 8, 0, ""}, {2, 7, 0, ""}, {1, 99, 0, ""}, {2, 5, 1, T("ended")}};
     for (size_t i = 0; i < G_N_ELEMENTS(copies); i++)
         assert_false(report(m, copies[i].tenure, copies[i].seq, f - copies[i].less, copies[i].tasks, true));
-    assert_false(b->over);
+    assert_false(b->released);
     assert_int_equal(m->tenure, 2);
     assert_int_equal(m->seq, 8);
     assert_int_equal(m->heard.tv_sec, heard.tv_sec);
@@ -255,13 +257,13 @@
     heard = m->heard;
     m->up = false;
     report(m, 2, 4, f - 1, "", true);
-    assert_false(b->over);
+    assert_false(b->released);
     assert_false(m->up);
     assert_true(m->heard.tv_sec == heard.tv_sec && m->heard.tv_nsec == heard.tv_nsec);
     assert_true(m->hello); /* it is asked */
     report(m, 2, 9, f, T("running"), true);
     assert_true(m->up);
-    assert_false(b->over);
+    assert_false(b->released);
     away("req-10001");
     store_unlock();
 }
@@ -302,10 +304,10 @@
     store_lock();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine *m = fresh("i-000930", 0, "req-10001", BOOKED("i-000930"), false);
-        struct booking *b = m->bookings->pdata[0];
+        struct allocation *b = m->allocations->pdata[0];
         report(m, 1, 1, f, rows[i].ordered ? "" : T("running"), true);
         m->answered = true;
-        b->ordered = rows[i].ordered;
+        b->starts_sent = rows[i].ordered;
         for (int n = 0; n < 4; n++) {
             m->reported = clock_now();
             report(m, 1 + rows[i].tenure_step * (n + 1), 2 + n, f - rows[i].less, rows[i].ordered ? "" : T("running"),
@@ -377,7 +379,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         store_lock();
         struct machine *m = fresh("i-000970", 0, "req-10001", BOOKED("i-000970"), false);
-        struct booking *b = m->bookings->pdata[0];
+        struct allocation *b = m->allocations->pdata[0];
         report(m, 1, 1, f, T("running"), true);
         m->sending = rows[i].sending;
         m->asking = rows[i].asking;
@@ -385,7 +387,7 @@
         m->unknown_fence = f;
         m->unknown_tenure = 1;
         report(m, 1, 2, f, "", true);
-        bool over = b->over;
+        bool over = b->released;
         away("req-10001");
         store_unlock();
         if (over != rows[i].over) fail_msg("%s: %d", rows[i].what, over);
@@ -414,7 +416,7 @@
     store_lock();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine *m = fresh("i-000980", 0, "req-10001", BOOKED("i-000980"), false);
-        struct booking *b = m->bookings->pdata[0];
+        struct allocation *b = m->allocations->pdata[0];
         assert_true(report(m, 1, 1, f, T("running"), true));
         m->heard.tv_sec -= 20;
         char json[300];
@@ -425,8 +427,8 @@
         cJSON *o = cJSON_Parse(json);
         assert_non_null(o);
         bool news = workers_report(m, o, true);
-        if (news != rows[i].news || b->over != rows[i].news || (clock_seconds_since(m->heard) < 10) != rows[i].news)
-            fail_msg("%s: news %d, over %d", rows[i].what, news, b->over);
+        if (news != rows[i].news || b->released != rows[i].news || (clock_seconds_since(m->heard) < 10) != rows[i].news)
+            fail_msg("%s: news %d, over %d", rows[i].what, news, b->released);
         cJSON_Delete(o);
         away("req-10001");
     }
--- a/tests/standin/history.h
+++ b/tests/standin/history.h
@@ -1,4 +1,4 @@
-/* What workers held when, and what can be shown from it: which team used how much, whatever the controllers booked.
+/* What workers held when, and what can be shown from it: which team used how much, whatever the controllers allocated.
  * Pure but for the process-wide log that the stand-in workers write. */
 #ifndef FF_STANDIN_HISTORY_H
 #define FF_STANDIN_HISTORY_H
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <string.h>
 
-#include "bookings/bookings.h"
+#include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "json/json.h"
 #include "logging/logging.h"
@@ -120,17 +120,17 @@
         g_array_append_val(plans, p);
     }
     char key[96];
-    cJSON *v = bookings_value(j, 0, bookings_stretch(j), plans, false);
-    bookings_key(j, 0, key, sizeof key);
+    cJSON *v = allocations_value(j, 0, allocations_chunk_size(j), plans, false);
+    allocations_key(j, 0, key, sizeof key);
     store_apply(key, v, owned_next_stamp());
     cJSON_Delete(v);
     g_array_free(plans, TRUE);
-    for (guint i = 0; i < j->bookings->len; i++) {
-        struct booking *b = j->bookings->pdata[i];
+    for (guint i = 0; i < j->allocations->len; i++) {
+        struct allocation *b = j->allocations->pdata[i];
         b->inherited = false;
         b->seen = true;
         b->state = TASK_RUNNING;
-        b->changed.tv_sec -= 100;
+        b->state_since.tv_sec -= 100;
     }
 }
 
@@ -143,8 +143,8 @@
         g_snprintf(key, sizeof key, "job/%s", j->spec.job_id);
         owned_put(key, text);
         g_free(text);
-        for (int c = 0; c < bookings_chunks(j); c++) {
-            bookings_key(j, c, key, sizeof key);
+        for (int c = 0; c < allocations_chunks(j); c++) {
+            allocations_key(j, c, key, sizeof key);
             owned_put(key, NULL);
         }
     }
--- a/tests/standin/state.h
+++ b/tests/standin/state.h
@@ -35,5 +35,5 @@
 int standin_state_requests(void); /* of all paths */
 int standin_state_epoch(void);
 int standin_state_unguarded(
-    void); /* changes of bookings or pages that don't name the mod revision of what they replace */
+    void); /* changes of allocations or pages that don't name the mod revision of what they replace */
 #endif
