--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -79,7 +79,7 @@
     if (b->stop_requested) return;
     b->stop_requested = true;
     b->grace_s = grace_s;
-    b->m->kick = true;
+    b->m->wake = true;
 }
 
 void allocations_job_changed(struct job *j) {
@@ -89,7 +89,7 @@
             if (j->state == JOB_DONE && j->spec.kind == JOB_GANG) continue; /* they complete together */
             b->stop_requested = true;
             b->grace_s = 0;
-            b->m->kick = true;
+            b->m->wake = true;
         }
     rounds_kick();
     workers_kick();
@@ -173,7 +173,7 @@
     if (moved) moved->index_in_job = b->index_in_job;
     moved = remove_at(m->allocations, b->index_in_machine);
     if (moved) moved->index_in_machine = b->index_in_machine;
-    records_drop_stub(m);
+    machines_drop_stub(m);
     g_free(b);
 }
 
@@ -241,7 +241,7 @@
         if (b && b->attempt == attempt && strcmp(b->m->id, machine) == 0) continue;
         b = g_new0(struct allocation, 1);
         b->job = j;
-        b->m = records_find_or_stub(machine);
+        b->m = machines_find_or_stub(machine);
         b->task = task;
         b->attempt = attempt;
         b->allocated_at = b->state_since = clock_now();
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -87,7 +87,7 @@
     assert_int_equal(j->n_dirty_chunks, 1);
     assert_int_equal(rounds_missing(j), 6);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
-    struct placement_plan p = {records_find("i-1"), j, 4, 60};
+    struct placement_plan p = {machines_find("i-1"), j, 4, 60};
     g_array_append_val(plans, p);
     cJSON *v = allocations_value(j, 0, allocations_chunk_size(j), plans, false);
     assert_string_equal(json_get_string(v, "d"), "0300");
@@ -99,7 +99,7 @@
     assert_int_equal(j->allocations->len, 2);
     assert_int_equal(j->n_done, 2);
     assert_int_equal(j->n_dirty_chunks, 0);
-    assert_int_equal(records_find("i-1")->allocations->len, 1);
+    assert_int_equal(machines_find("i-1")->allocations->len, 1);
     /* Reported while a write was under way: still to be written after it. */
     ((struct allocation *)j->allocations->pdata[0])->released = true;
     put("run/req-20001/0", "{\"d\":\"0300\",\"f\":53,\"b\":\"2@i-2+0 4@i-1+7\"}");
@@ -107,7 +107,7 @@
     /* A machine gone from its page is proven dead: its allocations are over, whoever allocated them. */
     put("fleet/0/0", NULL);
     assert_int_equal(allocations_count(j), 0);
-    assert_null(records_find("i-1"));
+    assert_null(machines_find("i-1"));
     assert_int_equal(jobs_active_of(0)->len, 1);
     put("job/req-20001", JOB("req-20001", "9", "cancelled"));
     assert_int_equal(jobs_active_of(0)->len, 0);
@@ -129,7 +129,7 @@
     int chunk = allocations_chunk_size(j), n = allocations_chunks(j);
     assert_true(n > 1 && n * chunk >= 100000 && chunk % 8 == 0);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
-    struct machine *m = records_find_or_stub("i-000231");
+    struct machine *m = machines_find_or_stub("i-000231");
     for (int t = 0; t < chunk; t++) {
         struct placement_plan p = {m, j, chunk + t, 8796093022208 + t};
         g_array_append_val(plans, p);
@@ -226,7 +226,7 @@
     jobs_init(&cfg);
     chains_init(&cfg);
     schema_version_init(&cfg);
-    records_init(&cfg);
+    machines_init(&cfg);
     allocations_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
--- a/src/boots/boots.c
+++ b/src/boots/boots.c
@@ -28,15 +28,17 @@
 
 static GHashTable *by_type; /* sku -> struct boot_times */
 
-static struct boot_times *times_of(const char *sku) { return by_type ? g_hash_table_lookup(by_type, sku) : NULL; }
+static struct boot_times *times_of(const char *type_name) {
+    return by_type ? g_hash_table_lookup(by_type, type_name) : NULL;
+}
 
-void boots_note(const char *sku, double took_s) {
+void boots_note(const char *type_name, double took_s) {
     if (took_s < 0) return;
     if (!by_type) by_type = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    struct boot_times *t = times_of(sku);
+    struct boot_times *t = times_of(type_name);
     if (!t) {
         t = g_new0(struct boot_times, 1);
-        g_hash_table_insert(by_type, g_strdup(sku), t);
+        g_hash_table_insert(by_type, g_strdup(type_name), t);
     }
     t->took_s[t->next] = took_s;
     t->next = (t->next + 1) % BOOTS_REMEMBERED;
@@ -63,14 +65,16 @@
 }
 
 double boots_expected(const struct machine_type *f) {
-    const struct boot_times *t = f ? times_of(f->sku) : NULL;
+    const struct boot_times *t = f ? times_of(f->type_name) : NULL;
     return t ? boots_expected_of(t->took_s, t->n, startup_of(f)) : startup_of(f) * PROMISED_TIMES;
 }
 
 bool boots_overdue(const struct machine *m) {
-    return !m->up && clock_time_of_day() - m->born > boots_expected(cloud_flavour(m->sku));
+    return !m->up && clock_time_of_day() - m->created_at > boots_expected(cloud_flavour(m->type_name));
 }
 
-double boots_limit(const struct machine *m) { return LIMIT_TIMES * startup_of(cloud_flavour(m->sku)) + LIMIT_MORE_S; }
+double boots_limit(const struct machine *m) {
+    return LIMIT_TIMES * startup_of(cloud_flavour(m->type_name)) + LIMIT_MORE_S;
+}
 
 int boots_replaced_most(int up) { return MAX(REPLACED_LEAST, up / REPLACED_PART); }
--- a/src/boots/boots.h
+++ b/src/boots/boots.h
@@ -7,14 +7,14 @@
 #define FF_BOOTS_H
 #include <stdbool.h>
 
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 #define BOOTS_REMEMBERED 32 /* of each type */
 
 /* All with store_lock held. */
 
 /* The machine, rented so long ago, has just been heard for the first time. */
-void boots_note(const char *sku, double took_s);
+void boots_note(const char *type_name, double took_s);
 /* After how long a machine of the type is overdue. */
 double boots_expected(const struct machine_type *flavour);
 bool boots_overdue(const struct machine *m);
--- a/src/chains/chains_test.c
+++ b/src/chains/chains_test.c
@@ -242,7 +242,7 @@
     jobs_init(&cfg);
     chains_init(&cfg);
     allocations_init(&cfg);
-    records_init(&cfg);
+    machines_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(waiting), cmocka_unit_test(urgency), cmocka_unit_test(cascade),
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -13,9 +13,9 @@
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
+#include "../machines/machines.h"
 #include "../membership/membership.h"
 #include "../quota/quota.h"
-#include "../records/records.h"
 #include "../renting/renting.h"
 #include "../rounds/rounds.h"
 #include "../sync/sync.h"
@@ -40,33 +40,33 @@
 const struct machine_type *cloud_flavours(void) { return machine_types; }
 int cloud_flavours_count(void) { return n_flavours; }
 
-const struct machine_type *cloud_flavour(const char *sku) {
+const struct machine_type *cloud_flavour(const char *type_name) {
     for (int i = 0; i < n_flavours; i++)
-        if (strcmp(machine_types[i].sku, sku) == 0) return &machine_types[i];
+        if (strcmp(machine_types[i].type_name, type_name) == 0) return &machine_types[i];
     return NULL;
 }
 
-static char *place_key(const char *sku, const char *site, bool spot) {
-    return g_strdup_printf("%s %s %d", sku, site, spot);
+static char *place_key(const char *type_name, const char *site, bool spot) {
+    return g_strdup_printf("%s %s %d", type_name, site, spot);
 }
 
-bool cloud_open(const char *sku, const char *site, bool spot) {
-    char *key = place_key(sku, site, spot);
+bool cloud_open(const char *type_name, const char *site, bool spot) {
+    char *key = place_key(type_name, site, spot);
     struct closed *c = g_hash_table_lookup(closed_at, key);
     g_free(key);
     return !c || clock_seconds_since(c->until) >= 0;
 }
 
-void cloud_reopen(const char *sku, const char *site, bool spot) {
-    char *key = place_key(sku, site, spot);
+void cloud_reopen(const char *type_name, const char *site, bool spot) {
+    char *key = place_key(type_name, site, spot);
     g_hash_table_remove(closed_at, key);
     g_free(key);
 }
 
 /* Calls are scarce, and asking in vain takes them from work that could be served: the pause grows to a minute, and is
  * over at once when any controller gives back a machine of the kind. */
-static void note_capacity(const struct rent_order *o, bool had) {
-    char *key = place_key(o->sku, o->site, o->spot);
+static void note_capacity(const struct rental_request *o, bool had) {
+    char *key = place_key(o->type_name, o->zone, o->spot);
     struct closed *c = g_hash_table_lookup(closed_at, key);
     if (had) {
         g_hash_table_remove(closed_at, key);
@@ -81,7 +81,7 @@
     }
     c->pause = c->pause > 0 ? MIN(c->pause * 2, 60) : 7;
     c->until = clock_instant_in(clock_from_seconds(c->pause));
-    log_info("cloud: no capacity for %s in %s (%s), asking again in %.0f s", o->sku, o->site,
+    log_info("cloud: no capacity for %s in %s (%s), asking again in %.0f s", o->type_name, o->zone,
              o->spot ? "spot" : "ordinary", c->pause);
 }
 
@@ -135,12 +135,12 @@
     const cJSON *x;
     if (*rest || !data) return;
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(data, "flavours")) {
-        const char *sku = json_get_string(x, "sku");
-        if (!sku || strlen(sku) >= sizeof machine_types[0].sku) continue;
-        struct machine_type *f = (struct machine_type *)cloud_flavour(sku);
+        const char *type_name = json_get_string(x, "sku");
+        if (!type_name || strlen(type_name) >= sizeof machine_types[0].type_name) continue;
+        struct machine_type *f = (struct machine_type *)cloud_flavour(type_name);
         if (!f && n_flavours == FLAVOURS_MOST) continue;
         if (!f) f = &machine_types[n_flavours++];
-        g_strlcpy(f->sku, sku, sizeof f->sku);
+        g_strlcpy(f->type_name, type_name, sizeof f->type_name);
         f->vcpus = json_get_double(x, "vcpus", 0);
         f->gpus = json_get_double(x, "gpus", 0);
         f->memory_gb = json_get_double(x, "memory_gb", 0);
@@ -150,10 +150,10 @@
         f->spot_price = json_get_double(x, "market_price", f->hourly_price);
         f->startup_s = json_get_double(x, "startup_s", 60);
         const cJSON *s;
-        for (int i = 0; i < f->n_sites; i++) g_free(f->sites[i]);
-        f->n_sites = 0;
-        cJSON_ArrayForEach(s, cJSON_GetObjectItemCaseSensitive(x, "sites")) if (cJSON_IsString(s) && f->n_sites < 32)
-            f->sites[f->n_sites++] = g_strdup(s->valuestring);
+        for (int i = 0; i < f->n_zones; i++) g_free(f->zones[i]);
+        f->n_zones = 0;
+        cJSON_ArrayForEach(s, cJSON_GetObjectItemCaseSensitive(x, "sites")) if (cJSON_IsString(s) && f->n_zones < 32)
+            f->zones[f->n_zones++] = g_strdup(s->valuestring);
     }
 }
 
@@ -190,24 +190,24 @@
         store_lock();
         cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(a, "hosts")) {
             const char *id = json_get_string(x, "uid"), *address = json_get_string(x, "address"),
-                       *sku = json_get_string(x, "flavour"), *site = json_get_string(x, "site"),
+                       *type_name = json_get_string(x, "flavour"), *site = json_get_string(x, "site"),
                        *state = json_get_string(x, "state");
-            if (!id || !sku || !site || !state || strlen(id) >= sizeof since) continue;
+            if (!id || !type_name || !site || !state || strlen(id) >= sizeof since) continue;
             g_strlcpy(since, id, sizeof since);
-            struct machine *m = records_find(id);
-            if (m && records_mine(m)) {
-                if (strcmp(state, "failed") == 0 && !m->want_return) {
+            struct machine *m = machines_find(id);
+            if (m && machines_owned(m)) {
+                if (strcmp(state, "failed") == 0 && !m->return_wanted) {
                     log_info("machine %s: listed as failed, returning it", id);
-                    m->want_return = true;
+                    m->return_wanted = true;
                     rounds_kick();
                 }
                 if (!m->address[0] && address && *address) {
                     g_strlcpy(m->address, address, sizeof m->address);
-                    m->unwritten = true;
+                    m->address_unrecorded = true;
                 }
-            } else if (!m && !records_known(id) && strcmp(state, "failed") != 0 &&
+            } else if (!m && !machines_known(id) && strcmp(state, "failed") != 0 &&
                        json_get_double(x, "age_s", 0) > 15) {
-                records_adopt(id, address ? address : "", sku, site, json_get_bool(x, "reclaimable"));
+                machines_adopt(id, address ? address : "", type_name, site, json_get_bool(x, "reclaimable"));
             }
         }
         store_unlock();
@@ -221,16 +221,16 @@
 static struct {
     bool open;
     char claim[80];
-    struct rent_order order;
+    struct rental_request order;
 } pending;
 static unsigned claims;
 
 static void rent(struct http_client *c) {
-    struct rent_order o = pending.order;
+    struct rental_request o = pending.order;
     cJSON *b = cJSON_CreateObject(), *a = NULL;
     cJSON_AddStringToObject(b, "claim", pending.claim);
-    cJSON_AddStringToObject(b, "flavour", o.sku);
-    cJSON_AddStringToObject(b, "site", o.site);
+    cJSON_AddStringToObject(b, "flavour", o.type_name);
+    cJSON_AddStringToObject(b, "site", o.zone);
     cJSON_AddBoolToObject(b, "reclaimable", o.spot);
     cJSON_AddNumberToObject(b, "how_many", o.count);
     char *text = cJSON_PrintUnformatted(b);
@@ -240,11 +240,11 @@
         const cJSON *x, *hosts = cJSON_GetObjectItemCaseSensitive(a, "hosts");
         store_lock();
         cJSON_ArrayForEach(x, hosts) if (cJSON_IsString(x))
-            records_rented(o.shard, x->valuestring, o.sku, o.site, o.spot);
+            machines_rented(o.shard, x->valuestring, o.type_name, o.zone, o.spot);
         note_capacity(&o, cJSON_GetArraySize(hosts) >= o.count);
         store_unlock();
-        log_info("cloud: rented %d of %d %s in %s (%s) for share %d", cJSON_GetArraySize(hosts), o.count, o.sku, o.site,
-                 o.spot ? "spot" : "ordinary", o.shard);
+        log_info("cloud: rented %d of %d %s in %s (%s) for share %d", cJSON_GetArraySize(hosts), o.count, o.type_name,
+                 o.zone, o.spot ? "spot" : "ordinary", o.shard);
         pending.open = false;
     } else if (out == HTTP_ANSWERED && status == 503) {
         const char *e = json_get_string(a, "error");
@@ -271,7 +271,7 @@
     if (call(c, "POST", "/rentals/return", text, &a, &status) == HTTP_ANSWERED && status == 200) {
         store_lock();
         for (int i = 0; i < n; i++) {
-            records_returned(ids[i]);
+            machines_returned(ids[i]);
             log_info("machine %s: returned", ids[i]);
         }
         store_unlock();
@@ -300,7 +300,7 @@
         }
         if (!typed_once) continue;
         char ids[100][64];
-        struct rent_order orders[ORDERS_MOST];
+        struct rental_request orders[ORDERS_MOST];
         int busy, wants = 0;
         store_lock();
         int back = renting_return_plan(ids, 100, &busy);
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -12,7 +12,7 @@
 bool cloud_flavours_known(void);
 const struct machine_type *cloud_flavours(void);
 int cloud_flavours_count(void);
-const struct machine_type *cloud_flavour(const char *sku);
-void cloud_reopen(const char *sku, const char *site, bool spot); /* a machine of this kind was given back */
-bool cloud_open(const char *sku, const char *site, bool spot);   /* has not just refused */
+const struct machine_type *cloud_flavour(const char *type_name);
+void cloud_reopen(const char *type_name, const char *site, bool spot); /* a machine of this kind was given back */
+bool cloud_open(const char *type_name, const char *site, bool spot);   /* has not just refused */
 #endif
--- a/src/failures/failures.h
+++ b/src/failures/failures.h
@@ -8,7 +8,7 @@
 #define FF_FAILURES_H
 #include <stdbool.h>
 
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 #define FAILURES_RETRY_MOST_S 30.0 /* a suspect job is tried again at least that often */
 
--- a/src/failures/failures_test.c
+++ b/src/failures/failures_test.c
@@ -170,9 +170,9 @@
         for (int i = 0; rows[r].elsewhere && i < 2; i++) failures_note(jobs[i], machines[1]);
         if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[r].s;
         rounds_scratch(0);
-        bool open = machines[0]->open;
+        bool open = machines[0]->schedulable;
         watch_machines(0, &all_heard);
-        bool back = machines[0]->want_return;
+        bool back = machines[0]->return_wanted;
         owned_clear();
         store_unlock();
         if (open != rows[r].open) fail_msg("%s: open is %d", rows[r].what, open);
--- a/src/jobs/job_spec.c
+++ b/src/jobs/job_spec.c
@@ -20,7 +20,7 @@
 void job_spec_clear(struct job_spec *j) {
     g_free(j->job_class);
     g_free(j->image);
-    g_free(j->site);
+    g_free(j->zone);
     g_strfreev(j->machine_types);
     g_strfreev(j->prerequisites);
     memset(j, 0, sizeof *j);
@@ -107,7 +107,7 @@
     x = cJSON_GetObjectItemCaseSensitive(o, "site");
     if (x && !cJSON_IsNull(x)) {
         NEED(cJSON_IsString(x) && *x->valuestring && strlen(x->valuestring) < 100, "site");
-        j->site = g_strdup(x->valuestring);
+        j->zone = g_strdup(x->valuestring);
     }
     static const char *const flags[] = {"together", "spread", "reclaimable"};
     bool *const into[] = {&j->single_zone, &j->spread, &j->allows_spot};
@@ -143,9 +143,9 @@
     }
     bool fits = false;
     for (int i = 0; i < nf && !fits; i++) {
-        if (j->machine_types && !g_strv_contains((const char *const *)j->machine_types, f[i].sku)) continue;
-        bool here = !j->site;
-        for (int z = 0; z < f[i].n_sites && !here; z++) here = strcmp(f[i].sites[z], j->site) == 0;
+        if (j->machine_types && !g_strv_contains((const char *const *)j->machine_types, f[i].type_name)) continue;
+        bool here = !j->zone;
+        for (int z = 0; z < f[i].n_zones && !here; z++) here = strcmp(f[i].zones[z], j->zone) == 0;
         fits = here && j->vcpus <= f[i].vcpus + 1e-9 && j->gpus <= f[i].gpus + 1e-9 &&
                j->memory_gb <= f[i].memory_gb + 1e-9;
     }
--- a/src/jobs/job_spec.h
+++ b/src/jobs/job_spec.h
@@ -16,7 +16,7 @@
 
 struct job_spec {
     char job_id[64];
-    char *job_class, *image, *site;
+    char *job_class, *image, *zone;
     char **machine_types;
     int team; /* -1: unknown */
     enum job_kind kind;
@@ -29,10 +29,10 @@
 };
 
 struct machine_type {
-    char sku[64];
+    char type_name[64];
     double vcpus, gpus, memory_gb, local_gb, fetch_rate, hourly_price, spot_price, startup_s;
-    char *sites[32];
-    int n_sites;
+    char *zones[32];
+    int n_zones;
 };
 
 /* 0, or 400 with the field named. */
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -61,7 +61,7 @@
         {"\"memory_gb\":64.0", "\"memory_gb\":4000", 422, "machine type"},
     };
     struct machine_type f = {
-        .sku = "g8", .vcpus = 96, .gpus = 8, .memory_gb = 768, .sites = {(char *)"za"}, .n_sites = 1};
+        .type_name = "g8", .vcpus = 96, .gpus = 8, .memory_gb = 768, .zones = {(char *)"za"}, .n_zones = 1};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char *text = site_with(good, rows[i].from, rows[i].to), why[128] = "";
         struct job_spec j;
@@ -209,7 +209,7 @@
     chains_init(&cfg);
     schema_version_init(&cfg);
     allocations_init(&cfg);
-    records_init(&cfg);
+    machines_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(admission), cmocka_unit_test(bits),
--- a/src/ledger/ledger.c
+++ b/src/ledger/ledger.c
@@ -19,14 +19,14 @@
 /* Where a replica could go on at once: room, and the image at hand. */
 static struct machine *replica_target(const struct allocation *b) {
     const struct job *j = b->job;
-    for (guint i = 0; i < records_of(b->m->shard)->len; i++) {
-        struct machine *m = records_of(b->m->shard)->pdata[i];
-        if (m == b->m || !m->open || m->draining || !placement_fits(m, &j->spec)) continue;
+    for (guint i = 0; i < machines_of_shard(b->m->shard)->len; i++) {
+        struct machine *m = machines_of_shard(b->m->shard)->pdata[i];
+        if (m == b->m || !m->schedulable || m->draining || !placement_fits(m, &j->spec)) continue;
         if (!g_hash_table_contains(m->images, j->spec.image) || (m->used_gpu <= 0 && m->used_cpu <= 0)) continue;
         /* In its own zone it takes its own place among a spread job's tasks. */
         struct job alone = *j;
-        if (strcmp(m->site, b->m->site) == 0) alone.spec.spread = alone.spec.single_zone = false;
-        if (placement_allowed(m, &alone, alone.spec.single_zone ? b->m->site : NULL, NULL)) return m;
+        if (strcmp(m->zone, b->m->zone) == 0) alone.spec.spread = alone.spec.single_zone = false;
+        if (placement_allowed(m, &alone, alone.spec.single_zone ? b->m->zone : NULL, NULL)) return m;
     }
     return NULL;
 }
@@ -73,9 +73,9 @@
     GArray *order = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     double occupied = 0;
     int n = 0, draining = 0, unsteady = 0;
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (m->spot != spot || !records_mine(m) || !m->up || records_leaving(m)) continue;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (m->spot != spot || !machines_owned(m) || !m->up || machines_leaving(m)) continue;
         struct candidate c = {m, placement_occupancy(m, (int)cfg->tuning.window)};
         occupied += c.occ;
         if (m->draining) {
@@ -83,11 +83,11 @@
             continue;
         }
         n++;
-        bool short_of = m->rows < (int)cfg->tuning.window;
+        bool short_of = m->n_samples < (int)cfg->tuning.window;
         unsteady += short_of;
         /* One rented for waiting tasks stays until it has had its first. */
-        if (m == reception || short_of || m->warning >= 0 ||
-            (!m->had_task && clock_time_of_day() - m->born < boots_limit(m)))
+        if (m == reception || short_of || m->preemption_notice_s >= 0 ||
+            (!m->had_task && clock_time_of_day() - m->created_at < boots_limit(m)))
             continue;
         g_array_append_val(order, c);
     }
@@ -96,7 +96,7 @@
     int drains = ledger_drains(n, h, cfg->tuning.margin, cfg->tuning.admission, draining);
     /* Nothing is returned before each machine shows its rows; in a large fleet some have always just booted, and while
      * they are few only they wait for their own. */
-    if (unsteady * 16 <= n && drains > 0 && !records_shards[k].fit_nowhere) {
+    if (unsteady * 16 <= n && drains > 0 && !shard_states[k].fit_nowhere) {
         g_array_sort(order, least_first);
         for (guint i = 0; i < order->len && drains > 0; i++, drains--) {
             struct machine *m = g_array_index(order, struct candidate, i).m;
@@ -115,13 +115,13 @@
 void ledger_tell(int k) {
     int up[2] = {0, 0}, booting[2] = {0, 0}, draining = 0, waiting[4] = {0, 0, 0, 0};
     double gpus[2] = {0, 0}, used[2] = {0, 0}, filler = 0, occupied = 0;
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (m->returning || m->dead) continue;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (m->returning || m->released_by_cloud) continue;
         (m->up ? up : booting)[m->spot]++;
         draining += m->draining;
-        if (!m->up || !m->flavour) continue;
-        gpus[m->spot] += m->flavour->gpus;
+        if (!m->up || !m->type) continue;
+        gpus[m->spot] += m->type->gpus;
         occupied += placement_occupancy(m, (int)cfg->tuning.window);
         for (guint b = 0; b < m->allocations->len; b++) {
             if (((struct allocation *)m->allocations->pdata[b])->released) continue;
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -3,7 +3,7 @@
 #define FF_LEDGER_H
 #include <stdbool.h>
 
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 void ledger_init(const struct settings *s);
 void ledger_run(int k, bool spot);
--- a/src/records/records.c
+++ b/src/machines/machines.c
@@ -1,4 +1,4 @@
-#include "records.h"
+#include "machines.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -18,24 +18,24 @@
 static const struct settings *cfg;
 static GHashTable *by_id;
 static GPtrArray *machines;
-static GPtrArray *of_shard[RECORDS_SHARES];
+static GPtrArray *of_shard[SHARDS_MAX];
 static GHashTable *unregistered;
 static GHashTable *gone; /* ids that were recorded and are no more: a stale list must not bring them back */
 static bool refused;
-static bool stale[RECORDS_SHARES][RECORDS_PAGES]; /* lists machines that a later record has moved to another page */
+static bool stale[SHARDS_MAX][MACHINE_PAGES_MAX]; /* lists machines that a later record has moved to another page */
 
-struct records_shard records_shards[RECORDS_SHARES];
+struct shard_state shard_states[SHARDS_MAX];
 
-struct machine *records_find(const char *id) {
+struct machine *machines_find(const char *id) {
     struct machine *m = g_hash_table_lookup(by_id, id);
     return m && m->known ? m : NULL;
 }
-GPtrArray *records_machines(void) { return machines; }
-GPtrArray *records_of(int k) { return of_shard[k]; }
-GHashTable *records_unregistered_all(void) { return unregistered; }
-bool records_refused(void) { return refused; }
+GPtrArray *machines_all(void) { return machines; }
+GPtrArray *machines_of_shard(int k) { return of_shard[k]; }
+GHashTable *machines_unregistered(void) { return unregistered; }
+bool machines_layout_unreadable(void) { return refused; }
 
-int records_shard_of(const char *id) {
+int machines_shard_of(const char *id) {
     const struct machine *unrecorded = g_hash_table_lookup(by_id, id);
     if (unrecorded && !unrecorded->known && unrecorded->allocations->len > 0) {
         const struct allocation *b = unrecorded->allocations->pdata[0];
@@ -45,17 +45,17 @@
     return dash ? (int)(g_ascii_strtoull(dash + 1, NULL, 10) % (guint64)cfg->size) : 0;
 }
 
-int64_t records_token(const struct machine *m) {
-    return m->shard < 0 ? m->fence : MAX(m->fence, membership_shard(m->shard)->fence);
+int64_t machines_fencing_token(const struct machine *m) {
+    return m->shard < 0 ? m->fencing_token : MAX(m->fencing_token, membership_shard(m->shard)->fencing_token);
 }
 
-bool records_known(const char *id) {
-    return records_find(id) || g_hash_table_contains(unregistered, id) || g_hash_table_contains(gone, id);
+bool machines_known(const char *id) {
+    return machines_find(id) || g_hash_table_contains(unregistered, id) || g_hash_table_contains(gone, id);
 }
 
-bool records_leaving(const struct machine *m) { return m->returning || m->want_return || m->dead; }
+bool machines_leaving(const struct machine *m) { return m->returning || m->return_wanted || m->released_by_cloud; }
 
-struct machine *records_find_or_stub(const char *id) {
+struct machine *machines_find_or_stub(const char *id) {
     struct machine *m = g_hash_table_lookup(by_id, id);
     if (m) return m;
     m = g_new0(struct machine, 1);
@@ -63,8 +63,8 @@
     m->allocations = g_ptr_array_new();
     m->unknown_tasks = g_array_new(FALSE, FALSE, sizeof(struct unknown_task));
     m->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    m->warning = -1;
-    m->shard = m->transfer_to = m->page = m->next_page = -1;
+    m->preemption_notice_s = -1;
+    m->shard = m->rebalance_to = m->page = m->next_page = -1;
     m->unrecorded_since = clock_now();
     g_hash_table_insert(by_id, m->id, m);
     g_ptr_array_add(machines, m);
@@ -75,13 +75,13 @@
     if (m->shard == shard) return;
     if (m->shard >= 0) g_ptr_array_remove_fast(of_shard[m->shard], m);
     m->shard = shard;
-    m->owned_fence = 0;
-    m->transfer_to = m->next_page = -1;
-    m->leave = false;
+    m->owned_token = 0;
+    m->rebalance_to = m->next_page = -1;
+    m->leaves_page = false;
     if (shard >= 0) g_ptr_array_add(of_shard[shard], m);
 }
 
-void records_drop_stub(struct machine *m) {
+void machines_drop_stub(struct machine *m) {
     if (m->known || m->allocations->len) return;
     set_shard(m, -1);
     g_hash_table_remove(by_id, m->id);
@@ -105,21 +105,22 @@
 /* A machine leaves its record only when the cloud has confirmed its return: whatever was allocated on it is gone. */
 static void machine_gone(struct machine *m) {
     g_hash_table_add(gone, g_strdup(m->id));
-    cloud_reopen(m->sku, m->site, m->spot);
+    cloud_reopen(m->type_name, m->zone, m->spot);
     m->known = false;
-    m->dead = true;
+    m->released_by_cloud = true;
     m->unrecorded_since = clock_now();
     release_all(m);
     set_shard(m, -1);
-    records_drop_stub(m);
+    machines_drop_stub(m);
     rounds_kick();
 }
 
 static struct machine *machine_here(const char *id, int shard, int page) {
-    struct machine *m = records_find_or_stub(id);
-    if (!m->known) m->dead = m->returning = m->want_return = false;
+    struct machine *m = machines_find_or_stub(id);
+    if (!m->known) m->released_by_cloud = m->returning = m->return_wanted = false;
     /* The page that it was on still lists it, unless that is written without it at the same time. */
-    if (m->known && m->shard >= 0 && m->page >= 0 && m->page < RECORDS_PAGES && (m->shard != shard || m->page != page))
+    if (m->known && m->shard >= 0 && m->page >= 0 && m->page < MACHINE_PAGES_MAX &&
+        (m->shard != shard || m->page != page))
         stale[m->shard][m->page] = true;
     g_hash_table_remove(unregistered, id);
     g_hash_table_remove(gone, id);
@@ -165,14 +166,14 @@
 static void read_entry(struct machine *m, const cJSON *const *f, const struct page_names *names) {
     const char *address = cJSON_IsString(f[ENTRY_ADDRESS]) ? f[ENTRY_ADDRESS]->valuestring : "";
     if (*address && !m->address[0]) g_strlcpy(m->address, address, sizeof m->address);
-    m->unwritten = strcmp(m->address, address) != 0;
-    g_strlcpy(m->sku, entry(names->skus, f[ENTRY_SKU]), sizeof m->sku);
-    g_strlcpy(m->site, entry(names->sites, f[ENTRY_SITE]), sizeof m->site);
+    m->address_unrecorded = strcmp(m->address, address) != 0;
+    g_strlcpy(m->type_name, entry(names->skus, f[ENTRY_SKU]), sizeof m->type_name);
+    g_strlcpy(m->zone, entry(names->sites, f[ENTRY_SITE]), sizeof m->zone);
     int flags = cJSON_IsNumber(f[ENTRY_FLAGS]) ? f[ENTRY_FLAGS]->valueint : 0;
     m->spot = flags & 1;
     m->returning = flags & 2;
-    m->fence = cJSON_IsNumber(f[ENTRY_FENCE]) ? (int64_t)f[ENTRY_FENCE]->valuedouble : 0;
-    m->born = cJSON_IsNumber(f[ENTRY_BORN]) ? f[ENTRY_BORN]->valuedouble : 0;
+    m->fencing_token = cJSON_IsNumber(f[ENTRY_FENCE]) ? (int64_t)f[ENTRY_FENCE]->valuedouble : 0;
+    m->created_at = cJSON_IsNumber(f[ENTRY_BORN]) ? f[ENTRY_BORN]->valuedouble : 0;
     read_images(m, f[ENTRY_IMAGE_LIST], names->images);
 }
 
@@ -194,13 +195,13 @@
         /* Two may record one machine: who rented it, and who heard of it as an unregistered one meanwhile. The later
          * record holds, in whatever order they are read: once a controller that had read them anew took the machine for
          * another's, left it out of its page, and the others released what ran on it. */
-        const struct machine *known = records_find(f[ENTRY_ID]->valuestring);
-        if (known && known->placed > mod_revision && (known->shard != k || known->page != page)) {
+        const struct machine *known = machines_find(f[ENTRY_ID]->valuestring);
+        if (known && known->placement_revision > mod_revision && (known->shard != k || known->page != page)) {
             stale[k][page] = true;
             continue;
         }
         struct machine *m = machine_here(f[ENTRY_ID]->valuestring, k, page);
-        m->placed = mod_revision;
+        m->placement_revision = mod_revision;
         g_hash_table_add(seen, m);
         read_entry(m, f, &names);
     }
@@ -224,7 +225,7 @@
     const char *slash = strchr(rest, '/');
     if (k < 0 || k >= cfg->size || !slash) return;
     int page = (int)g_ascii_strtoll(slash + 1, NULL, 10);
-    if (page < 0 || page >= RECORDS_PAGES) return;
+    if (page < 0 || page >= MACHINE_PAGES_MAX) return;
     stale[k][page] = false;
     GHashTable *seen = g_hash_table_new(g_direct_hash, g_direct_equal);
     /* A machine that a page no longer names is gone. One that can't be read names nobody: taken for an empty one, or an
@@ -241,8 +242,8 @@
 static void apply_single(const char *id, const cJSON *data, int64_t mod_revision) {
     /* As for pages: what a later record has shown holds, in whatever order they are read. A page read on its own, ahead
      * of the watch, was once undone by the transfer before it: machines that ran tasks were taken for gone. */
-    struct machine *placed = records_find(id);
-    if (placed && placed->placed > mod_revision) return;
+    struct machine *placed = machines_find(id);
+    if (placed && placed->placement_revision > mod_revision) return;
     if (!data) {
         if (placed && placed->page < 0) machine_gone(placed);
         return;
@@ -261,32 +262,33 @@
         return;
     }
     struct machine *m = machine_here(id, (int)shard, -1);
-    m->placed = mod_revision;
+    m->placement_revision = mod_revision;
     const char *v;
-    if (!json_get_int64(data, "fence", &m->fence)) m->fence = 0;
+    if (!json_get_int64(data, "fence", &m->fencing_token)) m->fencing_token = 0;
     if ((v = json_get_string(data, "address")) && *v) g_strlcpy(m->address, v, sizeof m->address);
-    if ((v = json_get_string(data, "flavour"))) g_strlcpy(m->sku, v, sizeof m->sku);
-    if ((v = json_get_string(data, "site"))) g_strlcpy(m->site, v, sizeof m->site);
+    if ((v = json_get_string(data, "flavour"))) g_strlcpy(m->type_name, v, sizeof m->type_name);
+    if ((v = json_get_string(data, "site"))) g_strlcpy(m->zone, v, sizeof m->zone);
     m->spot = json_get_bool(data, "spot");
     m->returning = false;
-    m->born = json_get_double(data, "born", 0);
+    m->created_at = json_get_double(data, "born", 0);
     rounds_kick();
 }
 
-bool records_mine(struct machine *m) {
+bool machines_owned(struct machine *m) {
     if (m->shard < 0) return false;
-    int64_t f = membership_shard(m->shard)->fence;
+    int64_t f = membership_shard(m->shard)->fencing_token;
     if (!membership_owns(m->shard)) return false;
-    if (m->owned_fence == f) return true;
-    m->owned_fence = f;
-    m->heard = m->reported = m->mine_since = clock_now();
-    m->unknown = m->need_raise = m->draining = m->want_return = m->dead = m->answered = false;
-    m->transfer_to = -1;
-    m->seen_fence = m->ordered_tenure = 0;
-    m->ignored = m->unanswered = 0;
+    if (m->owned_token == f) return true;
+    m->owned_token = f;
+    m->last_heard = m->last_heartbeat = m->owned_since = clock_now();
+    m->outcome_unknown = m->needs_token_raise = m->draining = m->return_wanted = m->released_by_cloud =
+        m->heartbeat_acknowledged = false;
+    m->rebalance_to = -1;
+    m->seen_token = m->start_incarnation = 0;
+    m->ignored_responses = m->unanswered_probes = 0;
     m->up = m->allocations->len > 0;
-    m->rows = 0;
-    m->hello = m->kick = m->address[0] != 0;
+    m->n_samples = 0;
+    m->needs_token_probe = m->wake = m->address[0] != 0;
     for (guint i = 0; i < m->allocations->len; i++) {
         struct allocation *b = m->allocations->pdata[i];
         b->seen = b->released = b->stop_sent = false;
@@ -300,7 +302,7 @@
     return true;
 }
 
-void records_row(struct machine *m) {
+void machines_add_occupancy_sample(struct machine *m) {
     double c = 0, g = 0, r = 0;
     for (guint i = 0; i < m->allocations->len; i++) {
         const struct allocation *b = m->allocations->pdata[i];
@@ -312,59 +314,59 @@
         g += s->gpus;
         r += s->memory_gb;
     }
-    const struct machine_type *f = m->flavour ? m->flavour : (m->flavour = cloud_flavour(m->sku));
+    const struct machine_type *f = m->type ? m->type : (m->type = cloud_flavour(m->type_name));
     if (!f) return;
-    double *row = m->occ[m->rows % RECORDS_WINDOW];
+    double *row = m->occupancy_samples[m->n_samples % MACHINE_OCCUPANCY_SAMPLES];
     row[0] = f->vcpus > 0 ? c / f->vcpus : 0;
     row[1] = f->memory_gb > 0 ? r / f->memory_gb : 0;
     row[2] = f->gpus > 0 ? g / f->gpus : 0;
-    m->rows++;
+    m->n_samples++;
 }
 
-static void add_unregistered(int shard, const char *id, const char *address, const char *sku, const char *site,
+static void add_unregistered(int shard, const char *id, const char *address, const char *type_name, const char *site,
                              bool spot) {
-    struct records_unregistered *n = g_new0(struct records_unregistered, 1);
+    struct unregistered_machine *n = g_new0(struct unregistered_machine, 1);
     g_strlcpy(n->id, id, sizeof n->id);
     g_strlcpy(n->address, address, sizeof n->address);
-    g_strlcpy(n->sku, sku, sizeof n->sku);
-    g_strlcpy(n->site, site, sizeof n->site);
+    g_strlcpy(n->type_name, type_name, sizeof n->type_name);
+    g_strlcpy(n->zone, site, sizeof n->zone);
     n->spot = spot;
     n->shard = shard;
     n->page = -1;
-    n->born = clock_time_of_day();
+    n->created_at = clock_time_of_day();
     g_hash_table_replace(unregistered, n->id, n);
     rounds_kick();
 }
 
-void records_adopt(const char *id, const char *address, const char *sku, const char *site, bool spot) {
-    int k = records_shard_of(id);
-    if (records_known(id) || !membership_owns(k)) return;
+void machines_adopt(const char *id, const char *address, const char *type_name, const char *site, bool spot) {
+    int k = machines_shard_of(id);
+    if (machines_known(id) || !membership_owns(k)) return;
     log_info("machine %s: unexpected, adopting it for share %d", id, k);
-    add_unregistered(k, id, address, sku, site, spot);
+    add_unregistered(k, id, address, type_name, site, spot);
 }
 
-void records_rented(int shard, const char *id, const char *sku, const char *site, bool spot) {
-    if (!records_find(id)) add_unregistered(shard, id, "", sku, site, spot);
+void machines_rented(int shard, const char *id, const char *type_name, const char *site, bool spot) {
+    if (!machines_find(id)) add_unregistered(shard, id, "", type_name, site, spot);
 }
 
-void records_returned(const char *id) {
+void machines_returned(const char *id) {
     struct machine *m = g_hash_table_lookup(by_id, id);
     if (!m) return;
-    m->dead = true;
+    m->released_by_cloud = true;
     release_all(m);
     rounds_kick();
 }
 
 #define UNRECORDED_S 5.0 /* a page or a transfer between shards is in the mirror long before */
 
-bool records_unrecorded(const struct machine *m) {
+bool machines_unrecorded(const struct machine *m) {
     if (m->known || clock_seconds_since(m->unrecorded_since) < UNRECORDED_S ||
         g_hash_table_contains(unregistered, m->id))
         return false;
     for (guint i = 0; i < m->allocations->len; i++) {
         const struct allocation *b = m->allocations->pdata[i];
         int k = jobs_shard(b->job);
-        if (!b->released && membership_owns(k) && clock_seconds_since(records_shards[k].since) > UNRECORDED_S)
+        if (!b->released && membership_owns(k) && clock_seconds_since(shard_states[k].since) > UNRECORDED_S)
             return true;
     }
     return false;
@@ -381,7 +383,7 @@
 #define NEXT_PAGE_BYTES 104
 #define NEXT_ENTRY_BYTES 40
 
-static void fill_add(struct records_fill *f, const char *id, bool kept) {
+static void fill_add(struct page_fill *f, const char *id, bool kept) {
     f->present += (int)strlen(id) + ADDRESS_BYTES + ENTRY_BYTES;
     if (kept) f->next += (int)strlen(id) + ADDRESS_BYTES + NEXT_ENTRY_BYTES;
 }
@@ -395,34 +397,34 @@
     return page_bytes(cfg->next_value_kb) - names;
 }
 
-static bool fill_fits(const struct records_fill *f) {
+static bool fill_fits(const struct page_fill *f) {
     return f->present <= page_bytes(cfg->value_kb) - PAGE_BYTES && (!limit_falls() || f->next <= next_page_room());
 }
 
 /* The page that a machine is on, or will be once this round is written. */
 static int page_of(const struct machine *m) { return m->next_page >= 0 ? m->next_page : m->page; }
 
-static void fill_pages(int k, struct records_fill *pages) {
-    memset(pages, 0, RECORDS_PAGES * sizeof *pages);
+static void fill_pages(int k, struct page_fill *pages) {
+    memset(pages, 0, MACHINE_PAGES_MAX * sizeof *pages);
     for (guint i = 0; i < of_shard[k]->len; i++) {
         const struct machine *m = of_shard[k]->pdata[i];
         int p = page_of(m);
-        if (p >= 0 && p < RECORDS_PAGES) fill_add(&pages[p], m->id, !m->dead);
+        if (p >= 0 && p < MACHINE_PAGES_MAX) fill_add(&pages[p], m->id, !m->released_by_cloud);
     }
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, unregistered);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct records_unregistered *c = v;
-        if (c->shard == k && c->page >= 0 && c->page < RECORDS_PAGES) fill_add(&pages[c->page], c->id, true);
+        const struct unregistered_machine *c = v;
+        if (c->shard == k && c->page >= 0 && c->page < MACHINE_PAGES_MAX) fill_add(&pages[c->page], c->id, true);
     }
 }
 
-void records_fills(int k, struct records_fills *fills) { fill_pages(k, fills->pages); }
+void machines_page_fills(int k, struct shard_page_fills *fills) { fill_pages(k, fills->pages); }
 
-int records_fills_add(struct records_fills *fills, const char *id) {
-    for (int p = 0; p < RECORDS_PAGES; p++) {
-        struct records_fill before = fills->pages[p];
+int machines_page_fills_add(struct shard_page_fills *fills, const char *id) {
+    for (int p = 0; p < MACHINE_PAGES_MAX; p++) {
+        struct page_fill before = fills->pages[p];
         fill_add(&fills->pages[p], id, true);
         if (before.present == 0 || fill_fits(&fills->pages[p])) return p;
         fills->pages[p] = before;
@@ -430,21 +432,21 @@
     return -1;
 }
 
-int records_page_for(int k, const char *id) {
-    struct records_fills fills;
-    records_fills(k, &fills);
-    return records_fills_add(&fills, id);
+int machines_page_for(int k, const char *id) {
+    struct shard_page_fills fills;
+    machines_page_fills(k, &fills);
+    return machines_page_fills_add(&fills, id);
 }
 
-void records_large_pages(int k, bool *large) {
-    memset(large, 0, RECORDS_PAGES * sizeof *large);
+void machines_oversized_pages(int k, bool *large) {
+    memset(large, 0, MACHINE_PAGES_MAX * sizeof *large);
     if (!limit_falls()) return;
-    struct records_fill pages[RECORDS_PAGES];
+    struct page_fill pages[MACHINE_PAGES_MAX];
     fill_pages(k, pages);
-    for (int p = 0; p < RECORDS_PAGES; p++) large[p] = pages[p].next > next_page_room();
+    for (int p = 0; p < MACHINE_PAGES_MAX; p++) large[p] = pages[p].next > next_page_room();
 }
 
-bool records_page_stale(int k, int page) { return stale[k][page]; }
+bool machines_page_stale(int k, int page) { return stale[k][page]; }
 
 static int index_of(cJSON *list, GHashTable *known, const char *name) {
     gpointer at;
@@ -457,22 +459,22 @@
 
 struct page_lists {
     cJSON *skus, *sites, *images;
-    GHashTable *sku, *site, *image;
+    GHashTable *type_name, *site, *image;
     int images_most; /* of an entry */
 };
 
 #define ENTRY_IMAGES 6 /* for who takes the machine over: a few are enough */
 
-static void add_entry(cJSON *list, struct page_lists *l, const char *id, const char *address, const char *sku,
-                      const char *site, int flags, int64_t fence, double born, GHashTable *images) {
+static void add_entry(cJSON *list, struct page_lists *l, const char *id, const char *address, const char *type_name,
+                      const char *site, int flags, int64_t fencing_token, double born, GHashTable *images) {
     char text[48] = "";
     cJSON *e = cJSON_CreateArray();
     cJSON_AddItemToArray(e, cJSON_CreateString(id));
     cJSON_AddItemToArray(e, cJSON_CreateString(address));
-    cJSON_AddItemToArray(e, cJSON_CreateNumber(index_of(l->skus, l->sku, sku)));
+    cJSON_AddItemToArray(e, cJSON_CreateNumber(index_of(l->skus, l->type_name, type_name)));
     cJSON_AddItemToArray(e, cJSON_CreateNumber(index_of(l->sites, l->site, site)));
     cJSON_AddItemToArray(e, cJSON_CreateNumber(flags));
-    cJSON_AddItemToArray(e, cJSON_CreateNumber((double)fence));
+    cJSON_AddItemToArray(e, cJSON_CreateNumber((double)fencing_token));
     cJSON_AddItemToArray(e, cJSON_CreateNumber((double)(int64_t)born));
     if (images) {
         /* For who takes it over: a start where the image is needs no fetch. */
@@ -504,27 +506,28 @@
     *count = 0;
     for (guint i = 0; i < of_shard[k]->len; i++) {
         const struct machine *m = of_shard[k]->pdata[i];
-        if (page_of(m) != page || m->leave || m->dead) continue;
-        add_entry(list, &l, m->id, m->address, m->sku, m->site, m->spot + (m->returning || m->want_return ? 2 : 0),
-                  MAX(m->fence, m->next_fence), m->born, m->images);
+        if (page_of(m) != page || m->leaves_page || m->released_by_cloud) continue;
+        add_entry(list, &l, m->id, m->address, m->type_name, m->zone,
+                  m->spot + (m->returning || m->return_wanted ? 2 : 0), MAX(m->fencing_token, m->next_token),
+                  m->created_at, m->images);
         (*count)++;
     }
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, unregistered);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct records_unregistered *c = v;
+        const struct unregistered_machine *c = v;
         if (c->shard != k || c->page != page) continue;
-        add_entry(list, &l, c->id, c->address, c->sku, c->site, c->spot, 0, c->born, NULL);
+        add_entry(list, &l, c->id, c->address, c->type_name, c->zone, c->spot, 0, c->created_at, NULL);
         (*count)++;
     }
-    g_hash_table_destroy(l.sku);
+    g_hash_table_destroy(l.type_name);
     g_hash_table_destroy(l.site);
     g_hash_table_destroy(l.image);
     return o;
 }
 
-cJSON *records_page_value(int k, int page, int *count) {
+cJSON *machines_page_value(int k, int page, int *count) {
     cJSON *value = page_value(k, page, ENTRY_IMAGES, count);
     /* Images are only a help: they go before the page outgrows the next limit. */
     for (int images = ENTRY_IMAGES / 2; limit_falls() && images >= 0; images = images > 0 ? images / 2 : -1) {
@@ -538,25 +541,25 @@
     return value;
 }
 
-cJSON *records_single_value(const struct machine *m, int shard, int64_t fence) {
+cJSON *machines_single_value(const struct machine *m, int shard, int64_t fencing_token) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddNumberToObject(o, "share", shard);
-    cJSON_AddNumberToObject(o, "fence", (double)fence);
+    cJSON_AddNumberToObject(o, "fence", (double)fencing_token);
     cJSON_AddStringToObject(o, "address", m->address);
-    cJSON_AddStringToObject(o, "flavour", m->sku);
-    cJSON_AddStringToObject(o, "site", m->site);
+    cJSON_AddStringToObject(o, "flavour", m->type_name);
+    cJSON_AddStringToObject(o, "site", m->zone);
     cJSON_AddBoolToObject(o, "spot", m->spot);
-    cJSON_AddNumberToObject(o, "born", (double)(int64_t)m->born);
+    cJSON_AddNumberToObject(o, "born", (double)(int64_t)m->created_at);
     return o;
 }
 
-void records_init(const struct settings *s) {
+void machines_init(const struct settings *s) {
     cfg = s;
     by_id = g_hash_table_new(g_str_hash, g_str_equal);
     gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     unregistered = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     machines = g_ptr_array_new();
-    for (int k = 0; k < RECORDS_SHARES; k++) of_shard[k] = g_ptr_array_new();
+    for (int k = 0; k < SHARDS_MAX; k++) of_shard[k] = g_ptr_array_new();
     store_observe_prefix("fleet/", apply_page);
     store_observe_prefix("machine/", apply_single);
 }
--- a/src/records/records_test.c
+++ b/src/machines/machines_test.c
@@ -1,4 +1,4 @@
-#include "records/records.h"
+#include "machines/machines.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -36,15 +36,15 @@
     char id[32], key[64];
     for (int i = 0; i < FLEET; i++) {
         g_snprintf(id, sizeof id, "i-%06d", i);
-        records_rented(1, id, "g48", i % 2 ? "za" : "zb", i % 3 == 0);
+        machines_rented(1, id, "g48", i % 2 ? "za" : "zb", i % 3 == 0);
     }
     GHashTableIter it;
     gpointer v;
     uint8_t used[256] = {0};
-    g_hash_table_iter_init(&it, records_unregistered_all());
+    g_hash_table_iter_init(&it, machines_unregistered());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct records_unregistered *n = v;
-        n->page = records_page_for(1, n->id);
+        struct unregistered_machine *n = v;
+        n->page = machines_page_for(1, n->id);
         assert_in_range(n->page, 0, 255);
         used[n->page] = 1;
     }
@@ -52,7 +52,7 @@
     int total = 0, pages_used = 0, n;
     for (int p = 0; p < 256; p++) {
         if (!used[p]) continue;
-        values[p] = records_page_value(1, p, &n);
+        values[p] = machines_page_value(1, p, &n);
         char *text = cJSON_PrintUnformatted(values[p]);
         assert_true(strlen(text) <= cfg.value_kb * 1024);
         free(text);
@@ -67,71 +67,71 @@
         put(key, values[p]);
         cJSON_Delete(values[p]);
     }
-    assert_int_equal(g_hash_table_size(records_unregistered_all()), 0);
-    assert_int_equal(records_of(1)->len, FLEET);
-    struct machine *m = records_find("i-000003");
+    assert_int_equal(g_hash_table_size(machines_unregistered()), 0);
+    assert_int_equal(machines_of_shard(1)->len, FLEET);
+    struct machine *m = machines_find("i-000003");
     assert_true(m->spot);
-    assert_string_equal(m->site, "za");
-    assert_string_equal(m->sku, "g48");
+    assert_string_equal(m->zone, "za");
+    assert_string_equal(m->type_name, "g48");
     /* Returned: off its page, and a late copy or a stale list does not bring it back. */
     m->next_page = -1;
-    records_returned("i-000003");
+    machines_returned("i-000003");
     int page = m->page;
-    cJSON *x = records_page_value(1, page, &n);
+    cJSON *x = machines_page_value(1, page, &n);
     g_snprintf(key, sizeof key, "fleet/1/%d", page);
     put(key, x);
     cJSON_Delete(x);
-    assert_null(records_find("i-000003"));
-    assert_true(records_known("i-000003"));
-    assert_int_equal(records_of(1)->len, FLEET - 1);
+    assert_null(machines_find("i-000003"));
+    assert_true(machines_known("i-000003"));
+    assert_int_equal(machines_of_shard(1)->len, FLEET - 1);
 }
 
 /* From one shard to another: off its page and into a record of its own at once, then onto the other's page. */
 static void passes(void **state) {
     (void)state;
-    struct machine *m = records_find("i-000004");
+    struct machine *m = machines_find("i-000004");
     int page = m->page, n;
     char key[64];
     for (int order = 0; order < 2; order++) { /* the watch may bring one transaction's changes in either order */
-        m->leave = true;
-        cJSON *x = records_page_value(1, page, &n), *single = records_single_value(m, 0, 77);
+        m->leaves_page = true;
+        cJSON *x = machines_page_value(1, page, &n), *single = machines_single_value(m, 0, 77);
         g_snprintf(key, sizeof key, "fleet/1/%d", page);
         if (order == 0) put("machine/i-000004", single);
         put(key, x);
         if (order == 1) put("machine/i-000004", single);
         cJSON_Delete(x);
         cJSON_Delete(single);
-        m = records_find("i-000004");
+        m = machines_find("i-000004");
         assert_non_null(m);
         assert_int_equal(m->shard, 0);
         assert_int_equal(m->page, -1);
-        assert_int_equal(m->fence, 77);
-        m->next_page = records_page_for(0, m->id);
-        x = records_page_value(0, m->next_page, &n);
+        assert_int_equal(m->fencing_token, 77);
+        m->next_page = machines_page_for(0, m->id);
+        x = machines_page_value(0, m->next_page, &n);
         assert_int_equal(page_len(x), 1);
         put("fleet/0/0", x);
         put("machine/i-000004", NULL);
         cJSON_Delete(x);
-        m = records_find("i-000004");
+        m = machines_find("i-000004");
         assert_non_null(m);
         assert_int_equal(m->page, 0);
-        assert_int_equal(m->fence, 77);
+        assert_int_equal(m->fencing_token, 77);
         /* and back, for the other order */
-        m->leave = true;
+        m->leaves_page = true;
         m->next_page = -1;
-        single = records_single_value(m, 1, 78);
+        single = machines_single_value(m, 1, 78);
         put("machine/i-000004", single);
         cJSON_Delete(single);
         put("fleet/0/0", NULL);
-        m = records_find("i-000004");
-        m->leave = false;
+        m = machines_find("i-000004");
+        m->leaves_page = false;
         m->next_page = page;
-        x = records_page_value(1, page, &n);
+        x = machines_page_value(1, page, &n);
         g_snprintf(key, sizeof key, "fleet/1/%d", page);
         put(key, x);
         put("machine/i-000004", NULL);
         cJSON_Delete(x);
-        m = records_find("i-000004");
+        m = machines_find("i-000004");
         assert_int_equal(m->shard, 1);
         m->next_page = -1;
     }
@@ -140,13 +140,13 @@
 /* Records of the first layout are refused as a whole, not half read. */
 static void first_layout(void **state) {
     (void)state;
-    assert_false(records_refused());
+    assert_false(machines_layout_unreadable());
     cJSON *x = cJSON_Parse(
         "{\"share\":0,\"fence\":0,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\",\"b\":[[\"req-10001\",0,5]]}");
     put("machine/i-900000", x);
     cJSON_Delete(x);
-    assert_true(records_refused());
-    assert_null(records_find("i-900000"));
+    assert_true(machines_layout_unreadable());
+    assert_null(machines_find("i-900000"));
 }
 
 static void apply(const char *key, const char *json, int64_t at) {
@@ -169,12 +169,12 @@
         apply(order ? "run/req-96001/0" : "run/req-96000/0", run, at);
         apply(order ? "fleet/0/201" : "fleet/1/200", one, order ? at + 20 : at + 10);
         apply(order ? "fleet/1/201" : "fleet/0/200", one, order ? at + 10 : at + 20);
-        struct machine *m = records_find(id);
+        struct machine *m = machines_find(id);
         assert_non_null(m);
         assert_int_equal(m->shard, 0);
         assert_int_equal(m->allocations->len, 1);
         apply(order ? "fleet/1/201" : "fleet/1/200", "{\"sku\":[],\"site\":[],\"m\":[]}", at + 30);
-        m = records_find(id);
+        m = machines_find(id);
         bool stays = m && m->shard == 0 && !((struct allocation *)m->allocations->pdata[0])->released;
         store_unlock();
         assert_true(stays);
@@ -196,12 +196,12 @@
     store_apply("machine/i-009005", transfer, at + 2);
     store_apply("fleet/1/98", page, at + 4);
     store_apply("machine/i-009005", NULL, at + 4);
-    struct machine *m = records_find("i-009005");
+    struct machine *m = machines_find("i-009005");
     assert_non_null(m);
     assert_int_equal(m->shard, 1);
     assert_int_equal(m->page, 98);
     store_apply("fleet/1/98", NULL, at + 6);
-    assert_null(records_find("i-009005"));
+    assert_null(machines_find("i-009005"));
     store_unlock();
     mod_revision += 10;
     cJSON_Delete(page);
@@ -227,9 +227,9 @@
         cJSON *one = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-009001\",\"\",0,0,0,0,1,\"\"]]}");
         cJSON *page = cJSON_Parse(rows[i].page);
         put("fleet/0/99", one);
-        assert_non_null(records_find("i-009001"));
+        assert_non_null(machines_find("i-009001"));
         put("fleet/0/99", page);
-        bool stays = records_find("i-009001") != NULL;
+        bool stays = machines_find("i-009001") != NULL;
         if (stays != rows[i].stays) fail_msg("%s: %d", rows[i].what, stays);
         cJSON_Delete(one);
         cJSON_Delete(page);
@@ -247,7 +247,7 @@
     chains_init(&cfg);
     schema_version_init(&cfg);
     cloud_init(&cfg);
-    records_init(&cfg);
+    machines_init(&cfg);
     allocations_init(&cfg);
     rounds_init(&cfg);
     workers_init(&cfg);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -12,8 +12,8 @@
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
+#include "../machines/machines.h"
 #include "../quota/quota.h"
-#include "../records/records.h"
 #include "../schema_version/schema_version.h"
 #include "../sync/sync.h"
 #include "../watch/watch.h"
@@ -157,7 +157,7 @@
     g_strlcpy(s->owner, o ? o : "", sizeof s->owner);
     g_strlcpy(s->incarnation, i ? i : "", sizeof s->incarnation);
     s->mod_revision = data ? mod_revision : 0;
-    if (!json_get_int64(data, "fence", &s->fence)) s->fence = 0;
+    if (!json_get_int64(data, "fence", &s->fencing_token)) s->fencing_token = 0;
     part_budget();
 }
 
@@ -188,11 +188,11 @@
     return -1;
 }
 
-static cJSON *shard_value(const char *owner, const char *incarnation, int64_t fence) {
+static cJSON *shard_value(const char *owner, const char *incarnation, int64_t fencing_token) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "owner", owner);
     cJSON_AddStringToObject(o, "inc", incarnation);
-    cJSON_AddNumberToObject(o, "fence", (double)fence);
+    cJSON_AddNumberToObject(o, "fence", (double)fencing_token);
     return o;
 }
 
@@ -231,7 +231,8 @@
 /* One step of the duties that need the store: become leader, take back, give. True if something is to be sent. */
 static bool next_step(struct store_txn *t) {
     struct node *me = find_node(cfg->node);
-    if (records_refused() || !store_synced() || !me || !me->live || strcmp(me->incarnation, my_incarnation) != 0)
+    if (machines_layout_unreadable() || !store_synced() || !me || !me->live ||
+        strcmp(me->incarnation, my_incarnation) != 0)
         return false;
     for (int k = 0; k < cfg->size; k++) /* Ours from before a restart: no need to wait for anyone. */
         if (strcmp(shards[k].owner, cfg->node) == 0 && strcmp(shards[k].incarnation, my_incarnation) != 0) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -9,7 +9,7 @@
 
 struct shard {
     char owner[64], incarnation[40];
-    int64_t mod_revision, fence;
+    int64_t mod_revision, fencing_token;
     struct timespec owner_changed;
 };
 
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -41,7 +41,7 @@
     set("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":5}", 10);
     set("share/0", "{\"owner\":\"n0\",\"inc\":\"y\",\"fence\":4}", 9);
     assert_string_equal(membership_shard(0)->owner, "n1");
-    assert_int_equal(membership_shard(0)->fence, 5);
+    assert_int_equal(membership_shard(0)->fencing_token, 5);
     store_lock();
     store_apply("share/0", NULL, 11);
     store_apply("share/0", NULL, 10);
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -7,8 +7,8 @@
 #include "../failures/failures.h"
 
 bool placement_fits(const struct machine *m, const struct job_spec *j) {
-    const struct machine_type *f = m->flavour;
-    if (!f || m->used_tasks >= RECORDS_TASKS_MOST) return false;
+    const struct machine_type *f = m->type;
+    if (!f || m->used_tasks >= MACHINE_TASKS_MAX) return false;
     return m->used_cpu + j->vcpus <= f->vcpus + 1e-6 && m->used_gpu + j->gpus <= f->gpus + 1e-6 &&
            m->used_mem + j->memory_gb <= f->memory_gb + 1e-6;
 }
@@ -16,7 +16,7 @@
 const char *placement_site(const struct job *j) {
     for (guint i = 0; j->spec.single_zone && i < j->allocations->len; i++) {
         const struct allocation *b = j->allocations->pdata[i];
-        if (!b->released) return b->m->site;
+        if (!b->released) return b->m->zone;
     }
     return NULL;
 }
@@ -24,20 +24,20 @@
 bool placement_allowed(const struct machine *m, const struct job *j, const char *together_site, GArray *plans) {
     const struct job_spec *s = &j->spec;
     if (m->spot && !s->allows_spot) return false;
-    if (s->machine_types && !g_strv_contains((const char *const *)s->machine_types, m->sku)) return false;
-    if (s->site && strcmp(s->site, m->site) != 0) return false;
-    if (s->single_zone && together_site && strcmp(together_site, m->site) != 0) return false;
+    if (s->machine_types && !g_strv_contains((const char *const *)s->machine_types, m->type_name)) return false;
+    if (s->zone && strcmp(s->zone, m->zone) != 0) return false;
+    if (s->single_zone && together_site && strcmp(together_site, m->zone) != 0) return false;
     if (s->spread) {
         /* Tasks that are ending count until they are proven gone. */
         int here = 0;
         for (guint i = 0; i < j->allocations->len; i++) {
             const struct allocation *b = j->allocations->pdata[i];
-            here += !b->released && strcmp(b->m->site, m->site) == 0;
+            here += !b->released && strcmp(b->m->zone, m->zone) == 0;
         }
         for (guint i = plans ? plans->len : 0; i-- > 0;) {
             struct placement_plan *p = &g_array_index(plans, struct placement_plan, i);
             if (p->j != j) break; /* a job's plans follow one another, and these are the last */
-            here += strcmp(p->m->site, m->site) == 0;
+            here += strcmp(p->m->zone, m->zone) == 0;
         }
         if (here >= (s->tasks + 1) / 2) return false;
     }
@@ -46,10 +46,11 @@
 
 double placement_occupancy(const struct machine *m, int window) {
     double sum[3] = {0, 0, 0}, most = 0;
-    int n = MIN(m->rows, window);
+    int n = MIN(m->n_samples, window);
     if (n == 0) return 0;
     for (int i = 0; i < n; i++)
-        for (int k = 0; k < 3; k++) sum[k] += m->occ[(m->rows - 1 - i) % RECORDS_WINDOW][k];
+        for (int k = 0; k < 3; k++)
+            sum[k] += m->occupancy_samples[(m->n_samples - 1 - i) % MACHINE_OCCUPANCY_SAMPLES][k];
     for (int k = 0; k < 3; k++) most = MAX(most, sum[k] / n);
     return most;
 }
@@ -70,13 +71,13 @@
         together = placement_site(j);
         if (!together && plans && plans->len) {
             struct placement_plan *p = &g_array_index(plans, struct placement_plan, plans->len - 1);
-            if (p->j == j) together = p->m->site;
+            if (p->j == j) together = p->m->zone;
         }
     }
     for (guint i = 0; i < machines->len; i++) {
         struct machine *m = machines->pdata[i];
         looks++;
-        if (!m->open || (zone && strcmp(zone, m->site) != 0)) continue;
+        if (!m->schedulable || (zone && strcmp(zone, m->zone) != 0)) continue;
         if (!placement_fits(m, &j->spec) || !placement_allowed(m, j, together, plans)) continue;
         bool reception = m == r->reception_machine;
         /* Reception first under its threshold, then the least occupied under the admission threshold. */
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 #include "../jobs/jobs.h"
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 struct placement_rules {
     double reception, admission;
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -6,15 +6,15 @@
 
 #include "../../tests/standin/site.h"
 
-static struct machine_type type = {.sku = "g4", .vcpus = 16, .gpus = 4, .memory_gb = 64};
+static struct machine_type type = {.type_name = "g4", .vcpus = 16, .gpus = 4, .memory_gb = 64};
 
 static struct machine *machine(const char *site, bool spot, double gpu_used) {
     struct machine *m = g_new0(struct machine, 1);
-    g_strlcpy(m->site, site, sizeof m->site);
-    g_strlcpy(m->sku, "g4", sizeof m->sku);
-    m->flavour = &type;
+    g_strlcpy(m->zone, site, sizeof m->zone);
+    g_strlcpy(m->type_name, "g4", sizeof m->type_name);
+    m->type = &type;
     m->spot = spot;
-    m->open = true;
+    m->schedulable = true;
     m->used_gpu = gpu_used;
     m->allocations = g_ptr_array_new();
     m->images = g_hash_table_new(g_str_hash, g_str_equal);
@@ -42,9 +42,9 @@
     struct machine *m = machine("za", false, 0);
     assert_float_equal(placement_occupancy(m, 6), 0, 1e-9); /* no rows: it admits */
     for (int i = 0; i < 8; i++) {
-        m->occ[i][0] = i < 2 ? 1 : 0.25;
-        m->occ[i][2] = i < 5 ? 0.5 : 0;
-        m->rows++;
+        m->occupancy_samples[i][0] = i < 2 ? 1 : 0.25;
+        m->occupancy_samples[i][2] = i < 5 ? 0.5 : 0;
+        m->n_samples++;
     }
     /* Averages over the last six first, then the largest: cpu 0.25, gpu 0.25. */
     assert_float_equal(placement_occupancy(m, 6), 0.25, 1e-9);
@@ -93,7 +93,7 @@
                                    .allows_spot = rows[i].allows_spot,
                                    .spread = rows[i].spread,
                                    .single_zone = rows[i].single_zone,
-                                   .site = (char *)rows[i].site};
+                                   .zone = (char *)rows[i].site};
         j.allocations = g_ptr_array_new();
         struct machine *there = machine(rows[i].booked_at ? rows[i].booked_at : "", false, 0);
         struct allocation b = {.job = &j, .m = there};
--- a/src/preempt/preempt.c
+++ b/src/preempt/preempt.c
@@ -64,7 +64,7 @@
     for (guint i = 0; i < mine->len; i++) {
         struct machine *m = mine->pdata[i];
         const char *together = placement_site(j);
-        if (!m->open || !(f = m->flavour) || (zone && strcmp(zone, m->site) != 0) ||
+        if (!m->schedulable || !(f = m->type) || (zone && strcmp(zone, m->zone) != 0) ||
             !placement_allowed(m, j, together, NULL))
             continue;
         double cpu = m->used_cpu, gpu = m->used_gpu, mem = m->used_mem, cost = 0;
@@ -86,7 +86,7 @@
         }
     }
     if (!best) return false;
-    f = best->flavour;
+    f = best->type;
     double quick = settings_within(cfg, AIM_WAIT, j->spec.job_class, 60);
     /* Those whose start has counted first, and of them the youngest: they lose least. */
     for (guint n = 2 * best->allocations->len; n-- > 0;) {
@@ -102,7 +102,7 @@
         log_info("task %s/%d on machine %s makes way for %s", x->job->spec.job_id, x->task, best->id, j->spec.job_id);
     }
     placement_take(best, &j->spec, 1); /* kept free for the rest of this round */
-    best->kick = true;
+    best->wake = true;
     return true;
 }
 
@@ -114,8 +114,7 @@
 }
 
 int preempt_times(const struct machine *m, const struct job_spec *s) {
-    return times(m->flavour->vcpus - m->used_cpu, m->flavour->gpus - m->used_gpu, m->flavour->memory_gb - m->used_mem,
-                 s);
+    return times(m->type->vcpus - m->used_cpu, m->type->gpus - m->used_gpu, m->type->memory_gb - m->used_mem, s);
 }
 
 const char *preempt_gang_zone(const struct job *j, bool within, GPtrArray *mine, int *now, int *with) {
@@ -123,12 +122,12 @@
         best = 0;
     for (guint i = 0; i < mine->len; i++) {
         const struct machine *m = mine->pdata[i];
-        if (!m->open || !m->flavour || !placement_allowed(m, j, NULL, NULL)) continue;
+        if (!m->schedulable || !m->type || !placement_allowed(m, j, NULL, NULL)) continue;
         int z = 0;
-        while (z < zones && j->spec.single_zone && strcmp(cfg->zones[z], m->site) != 0) z++;
+        while (z < zones && j->spec.single_zone && strcmp(cfg->zones[z], m->zone) != 0) z++;
         if (z == zones) continue;
-        double cpu = m->flavour->vcpus - m->used_cpu, gpu = m->flavour->gpus - m->used_gpu,
-               mem = m->flavour->memory_gb - m->used_mem;
+        double cpu = m->type->vcpus - m->used_cpu, gpu = m->type->gpus - m->used_gpu,
+               mem = m->type->memory_gb - m->used_mem;
         here[z] += times(cpu, gpu, mem, &j->spec);
         for (guint b = 0; b < m->allocations->len; b++) {
             const struct allocation *x = m->allocations->pdata[b];
@@ -152,9 +151,8 @@
 
 /* Whether a fetch would make the job miss the wait that its users accept. */
 bool preempt_fetch_too_slow(const struct job *j, const struct machine *m) {
-    return !g_hash_table_contains(m->images, j->spec.image) && m->flavour &&
-           j->spec.image_gb / MAX(m->flavour->fetch_rate, 1e-3) >
-               settings_within(cfg, AIM_WAIT, j->spec.job_class, 1e9);
+    return !g_hash_table_contains(m->images, j->spec.image) && m->type &&
+           j->spec.image_gb / MAX(m->type->fetch_rate, 1e-3) > settings_within(cfg, AIM_WAIT, j->spec.job_class, 1e9);
 }
 
 void preempt_init(const struct settings *s) { cfg = s; }
--- a/src/preempt/preempt.h
+++ b/src/preempt/preempt.h
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 void preempt_init(const struct settings *s);
 
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -32,9 +32,9 @@
 
 /* The shard is ours, and all that we wrote of it is in the mirror: what it uses is known. */
 static bool settled(int shard) {
-    const struct records_shard *s = &records_shards[shard];
-    return membership_owns(shard) && !s->barrier && s->fence == membership_shard(shard)->fence &&
-           s->conflict_revision <= store_revision();
+    const struct shard_state *s = &shard_states[shard];
+    return membership_owns(shard) && !s->barrier_pending &&
+           s->fencing_token == membership_shard(shard)->fencing_token && s->conflict_revision <= store_revision();
 }
 
 /* A change of one team's record on its way. */
@@ -138,7 +138,7 @@
         store_wake_watch();
     } else if (rc == STORE_UNKNOWN) {
         /* It may yet be carried out: nothing is allocated in these shards before their mod revisions have moved. */
-        for (int i = 0; i < c->n_shards; i++) records_shards[c->shards[i]].barrier = true;
+        for (int i = 0; i < c->n_shards; i++) shard_states[c->shards[i]].barrier_pending = true;
     }
     store_response_clear(&a);
 }
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -62,7 +62,7 @@
     int at = part_at(t, shard);
     /* A write that was refused may be the second copy of one that was carried out: until the mirror shows whether it
      * was, what the shard uses is not known. */
-    if (t->damaged || at < 0 || records_shards[shard].conflict_revision > store_revision()) return no_room;
+    if (t->damaged || at < 0 || shard_states[shard].conflict_revision > store_revision()) return no_room;
     bool closing = quota_part_closing(&t->record, t->home, quota_settings->size, shard);
     struct quota_amount may =
         quota_allowance(&t->record, at, quota_view_least_limit(team), t->used, &t->targets, closing);
@@ -101,9 +101,9 @@
 bool quota_may_be_cleared(const struct machine *m, enum job_priority rank) {
     bool may = true;
     guint counted = 0;
-    struct quota_amount before[RECORDS_TASKS_MOST] = {{{0}}};
+    struct quota_amount before[MACHINE_TASKS_MAX] = {{{0}}};
     /* Each is counted as stopped while the next is looked at: the sum must lie beyond the guarantee. */
-    for (; counted < m->allocations->len && counted < RECORDS_TASKS_MOST; counted++) {
+    for (; counted < m->allocations->len && counted < MACHINE_TASKS_MAX; counted++) {
         const struct allocation *b = m->allocations->pdata[counted];
         struct quota_team *t = divided(b->job->spec.team);
         int at = t && !t->damaged ? part_at(t, jobs_shard(b->job)) : -1;
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 
 #include "../http/client.h"
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 void quota_init(const struct settings *s);
 
--- a/src/renting/renting.c
+++ b/src/renting/renting.c
@@ -21,7 +21,7 @@
 static const struct settings *cfg;
 
 bool renting_may_use(const struct job_spec *j, const struct machine_type *f) {
-    return (!j->machine_types || g_strv_contains((const char *const *)j->machine_types, f->sku)) &&
+    return (!j->machine_types || g_strv_contains((const char *const *)j->machine_types, f->type_name)) &&
            j->vcpus <= f->vcpus + 1e-6 && j->gpus <= f->gpus + 1e-6 && j->memory_gb <= f->memory_gb + 1e-6;
 }
 
@@ -29,8 +29,8 @@
     const struct job_spec *s = &j->spec;
     if ((v->o.spot && !s->allows_spot) || (v->foreign && s->allows_spot) || (v->kept && s->kind != JOB_GANG))
         return false;
-    if ((site && strcmp(site, v->o.site) != 0) || (s->site && strcmp(s->site, v->o.site) != 0)) return false;
-    if (s->machine_types && !g_strv_contains((const char *const *)s->machine_types, v->o.sku)) return false;
+    if ((site && strcmp(site, v->o.zone) != 0) || (s->zone && strcmp(s->zone, v->o.zone) != 0)) return false;
+    if (s->machine_types && !g_strv_contains((const char *const *)s->machine_types, v->o.type_name)) return false;
     if (s->vcpus > v->cpu + 1e-6 || s->gpus > v->gpu + 1e-6 || s->memory_gb > v->mem + 1e-6) return false;
     v->cpu -= s->vcpus;
     v->gpu -= s->gpus;
@@ -38,12 +38,12 @@
     return true;
 }
 
-void renting_vm_add(GArray *vms, const char *sku, const char *site, bool spot) {
-    const struct machine_type *f = cloud_flavour(sku);
+void renting_vm_add(GArray *vms, const char *type_name, const char *site, bool spot) {
+    const struct machine_type *f = cloud_flavour(type_name);
     if (!f) return;
     struct renting_vm v = {{"", "", spot, 0, 0, 0}, f->vcpus, f->gpus, f->memory_gb, false, false};
-    g_strlcpy(v.o.sku, sku, sizeof v.o.sku);
-    g_strlcpy(v.o.site, site, sizeof v.o.site);
+    g_strlcpy(v.o.type_name, type_name, sizeof v.o.type_name);
+    g_strlcpy(v.o.zone, site, sizeof v.o.zone);
     g_array_append_val(vms, v);
 }
 
@@ -59,7 +59,7 @@
 }
 
 /* The cheapest type that fits, its kind, and a zone that has not just refused. */
-static bool choose(int k, const struct job *j, const char *site, bool dear, struct rent_order *o) {
+static bool choose(int k, const struct job *j, const char *site, bool dear, struct rental_request *o) {
     for (int spot = j->spec.allows_spot ? 1 : 0; spot >= (j->spec.allows_spot && !dear ? 1 : 0); spot--) {
         double best = 0;
         bool found = false;
@@ -67,18 +67,18 @@
             const struct machine_type *f = &cloud_flavours()[i];
             if (!renting_may_use(&j->spec, f)) continue;
             double price = spot ? f->spot_price : f->hourly_price;
-            for (int z = 0; z < f->n_sites; z++) {
-                const char *s = f->sites[z];
-                if ((site && strcmp(site, s) != 0) || (j->spec.site && strcmp(j->spec.site, s) != 0)) continue;
-                if (!cloud_open(f->sku, s, spot == 1) || watch_zone_cut(k, s)) continue;
+            for (int z = 0; z < f->n_zones; z++) {
+                const char *s = f->zones[z];
+                if ((site && strcmp(site, s) != 0) || (j->spec.zone && strcmp(j->spec.zone, s) != 0)) continue;
+                if (!cloud_open(f->type_name, s, spot == 1) || watch_zone_cut(k, s)) continue;
                 /* Among equal prices, the zone where this shard has least; a whole order goes to one, calls are scarce.
                  */
                 double cost = price * (1 + 0.001 * (here_in(s) / zone_lot));
                 if (found && cost >= best) continue;
                 found = true;
                 best = cost;
-                g_strlcpy(o->sku, f->sku, sizeof o->sku);
-                g_strlcpy(o->site, s, sizeof o->site);
+                g_strlcpy(o->type_name, f->type_name, sizeof o->type_name);
+                g_strlcpy(o->zone, s, sizeof o->zone);
                 o->spot = spot == 1;
             }
         }
@@ -98,7 +98,7 @@
             while (fit < j->spec.tasks && renting_vm_takes(&v, j, cfg->zones[z])) fit++;
         }
         /* Pieces in a zone that the cloud adds nothing to are no beginning. */
-        struct rent_order o;
+        struct rental_request o;
         if (fit <= best || (fit < j->spec.tasks && !choose(k, j, cfg->zones[z], true, &o))) continue;
         best = fit;
         g_strlcpy(site, cfg->zones[z], n);
@@ -106,10 +106,10 @@
 }
 
 /* One more machine in the plan. */
-static void add_order(GArray *vms, const struct rent_order *o, int weight) {
-    renting_vm_add(vms, o->sku, o->site, o->spot);
+static void add_order(GArray *vms, const struct rental_request *o, int weight) {
+    renting_vm_add(vms, o->type_name, o->zone, o->spot);
     g_array_index(vms, struct renting_vm, vms->len - 1).o.weight = weight;
-    if (zone_of(o->site)) ++*zone_of(o->site);
+    if (zone_of(o->zone)) ++*zone_of(o->zone);
 }
 
 /* The design's weak point: headroom is a sum, so scattered pieces starve gangs while no rental fires. A shard that runs
@@ -125,11 +125,11 @@
     int whole = 0;
     for (guint y = 0; y < vms->len; y++) {
         const struct renting_vm *v = &g_array_index(vms, struct renting_vm, y);
-        const struct machine_type *f = cloud_flavour(v->o.sku);
+        const struct machine_type *f = cloud_flavour(v->o.type_name);
         whole += f && !v->foreign && !v->o.spot && v->cpu >= f->vcpus - 1e-6 && v->gpu >= f->gpus - 1e-6;
     }
     for (int n = MIN(steady / SPARE_IN - whole, most); like && n > 0; n--) {
-        struct rent_order o;
+        struct rental_request o;
         memset(&o, 0, sizeof o);
         if (!choose(k, like, NULL, true, &o)) return;
         add_order(vms, &o, 1);
@@ -150,30 +150,30 @@
 };
 
 static void count_machine(struct shard_plan *p, struct machine *m) {
-    if (zone_of(m->site)) ++*zone_of(m->site);
-    if (records_leaving(m)) return;
+    if (zone_of(m->zone)) ++*zone_of(m->zone);
+    if (machines_leaving(m)) return;
     p->have++;
-    const struct machine_type *f = cloud_flavour(m->sku);
+    const struct machine_type *f = cloud_flavour(m->type_name);
     if (f && m->spot) p->slots += f->gpus;
     for (guint b = 0; !m->spot && b < m->allocations->len; b++) {
         const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
         if (s->allows_spot) p->slots += s->gpus;
     }
     if (!m->up) {
-        if (watch_zone_cut(p->shard, m->site)) return; /* nobody knows when it is heard */
+        if (watch_zone_cut(p->shard, m->zone)) return; /* nobody knows when it is heard */
         /* Nor when this one comes, if ever. More than a few at a time are not replaced: a spell of slow boots must not
          * multiply the bill. */
         if (boots_overdue(m) && p->overdue++ < boots_replaced_most(p->up)) return;
-        renting_vm_add(p->vms, m->sku, m->site, m->spot);
+        renting_vm_add(p->vms, m->type_name, m->zone, m->spot);
         p->booting = true;
         return;
     }
-    if (m->spot || m->draining || m->warning >= 0) return;
+    if (m->spot || m->draining || m->preemption_notice_s >= 0) return;
     p->steady++;
     /* Whole ones are kept for gangs that lack others. */
-    if (allocations_on_machine(m) == 0 && m->open) {
+    if (allocations_on_machine(m) == 0 && m->schedulable) {
         guint before = p->vms->len;
-        renting_vm_add(p->vms, m->sku, m->site, false);
+        renting_vm_add(p->vms, m->type_name, m->zone, false);
         if (p->vms->len > before) g_array_index(p->vms, struct renting_vm, before).kept = true;
     }
     if (m != p->reception && placement_occupancy(m, (int)cfg->tuning.window) < cfg->tuning.admission) p->roomy = true;
@@ -181,16 +181,17 @@
 
 static void count_machines(struct shard_plan *p) {
     memset(zone_count, 0, sizeof zone_count);
-    for (guint i = 0; i < records_of(p->shard)->len; i++)
-        p->up += ((struct machine *)records_of(p->shard)->pdata[i])->up;
-    for (guint i = 0; i < records_of(p->shard)->len; i++) count_machine(p, records_of(p->shard)->pdata[i]);
+    for (guint i = 0; i < machines_of_shard(p->shard)->len; i++)
+        p->up += ((struct machine *)machines_of_shard(p->shard)->pdata[i])->up;
+    for (guint i = 0; i < machines_of_shard(p->shard)->len; i++)
+        count_machine(p, machines_of_shard(p->shard)->pdata[i]);
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, records_unregistered_all());
+    g_hash_table_iter_init(&it, machines_unregistered());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct records_unregistered *u = v;
+        const struct unregistered_machine *u = v;
         if (u->shard != p->shard) continue;
-        renting_vm_add(p->vms, u->sku, u->site, u->spot);
+        renting_vm_add(p->vms, u->type_name, u->zone, u->spot);
         p->have++;
         p->booting = true;
     }
@@ -205,11 +206,11 @@
         const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
         if (j->unplaced && !j->spec.allows_spot) waited = MAX(waited, clock_seconds_since(j->eligible_since));
     }
-    for (guint i = 0; i < records_machines()->len && waited < TRANSFER_S; i++) {
-        const struct machine *m = records_machines()->pdata[i];
-        if (m->shard == p->shard || m->shard < 0 || !transfer_possible(m) || m->transfer_to >= 0) continue;
+    for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
+        const struct machine *m = machines_all()->pdata[i];
+        if (m->shard == p->shard || m->shard < 0 || !transfer_possible(m) || m->rebalance_to >= 0) continue;
         guint before = p->vms->len;
-        renting_vm_add(p->vms, m->sku, m->site, false);
+        renting_vm_add(p->vms, m->type_name, m->zone, false);
         if (p->vms->len > before) g_array_index(p->vms, struct renting_vm, before).foreign = true;
     }
 }
@@ -220,7 +221,7 @@
     for (int z = 0; z < cfg->n_zones; z++) {
         int here = 0;
         for (guint b = 0; b < j->allocations->len; b++)
-            here += strcmp(((struct allocation *)j->allocations->pdata[b])->m->site, cfg->zones[z]) == 0;
+            here += strcmp(((struct allocation *)j->allocations->pdata[b])->m->zone, cfg->zones[z]) == 0;
         if (here == 0) return cfg->zones[z];
     }
     return NULL;
@@ -245,17 +246,17 @@
     for (; *from < p->vms->len; ++*from) {
         struct renting_vm *vm = &g_array_index(p->vms, struct renting_vm, *from);
         if (!renting_vm_takes(vm, j, want)) continue;
-        if (j->spec.single_zone && !site[0]) g_strlcpy(site, vm->o.site, n);
+        if (j->spec.single_zone && !site[0]) g_strlcpy(site, vm->o.zone, n);
         return;
     }
-    struct rent_order o;
+    struct rental_request o;
     memset(&o, 0, sizeof o);
     if (p->have + p->requested >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
     add_order(p->vms, &o, weights[j->priority]);
     p->requested++;
-    if (j->spec.allows_spot && cloud_flavour(o.sku)) p->slots += cloud_flavour(o.sku)->gpus;
+    if (j->spec.allows_spot && cloud_flavour(o.type_name)) p->slots += cloud_flavour(o.type_name)->gpus;
     renting_vm_takes(&g_array_index(p->vms, struct renting_vm, p->vms->len - 1), j, want);
-    if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.site, n);
+    if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.zone, n);
 }
 
 #define TASKS_MOST 128 /* of a job that a plan looks at */
@@ -288,22 +289,22 @@
         struct allocation *x = p->reception->allocations->pdata[b];
         if (!x->job->spec.allows_spot) like = x->job;
     }
-    struct rent_order o;
+    struct rental_request o;
     memset(&o, 0, sizeof o);
     if (!like || (p->steady == 1 && occupancy <= cfg->tuning.reception) || !choose(p->shard, like, NULL, true, &o))
         return;
-    renting_vm_add(p->vms, o.sku, o.site, o.spot);
+    renting_vm_add(p->vms, o.type_name, o.zone, o.spot);
 }
 
 #define ORDER_MOST 50 /* machines a call may ask for */
 
 /* Adds up what the plan orders by type, zone and kind. */
-static void collect_orders(const struct shard_plan *p, struct rent_order *out, int most, int *n) {
+static void collect_orders(const struct shard_plan *p, struct rental_request *out, int most, int *n) {
     for (guint y = p->first_new; y < p->vms->len; y++) {
-        const struct rent_order *o = &g_array_index(p->vms, struct renting_vm, y).o;
+        const struct rental_request *o = &g_array_index(p->vms, struct renting_vm, y).o;
         int i = 0;
-        while (i < *n && !(out[i].shard == p->shard && out[i].spot == o->spot && !strcmp(out[i].sku, o->sku) &&
-                           !strcmp(out[i].site, o->site)))
+        while (i < *n && !(out[i].shard == p->shard && out[i].spot == o->spot &&
+                           !strcmp(out[i].type_name, o->type_name) && !strcmp(out[i].zone, o->zone)))
             i++;
         if (i == *n && *n < most) {
             out[i] = *o;
@@ -319,7 +320,7 @@
     }
 }
 
-static void rent_for_shard(int k, struct rent_order *out, int most, int *n) {
+static void rent_for_shard(int k, struct rental_request *out, int most, int *n) {
     struct shard_plan p = {.shard = k, .reception = rounds_reception(k)};
     p.vms = g_array_new(FALSE, FALSE, sizeof(struct renting_vm));
     count_machines(&p);
@@ -344,15 +345,15 @@
 }
 
 static int weightier(const void *a, const void *b) {
-    return ((const struct rent_order *)b)->weight - ((const struct rent_order *)a)->weight;
+    return ((const struct rental_request *)b)->weight - ((const struct rental_request *)a)->weight;
 }
 
 /* Calls are scarce: first the order that helps most, by how many machines and for whom. A few machines for services go
  * before as many for arrays, but not before fifty. */
-int renting_plan(struct rent_order *out, int most) {
+int renting_plan(struct rental_request *out, int most) {
     int n = 0;
     for (int k = 0; k < cfg->size; k++)
-        if (membership_owns(k) && membership_may_answer() && clock_seconds_since(records_shards[k].since) > 4)
+        if (membership_owns(k) && membership_may_answer() && clock_seconds_since(shard_states[k].since) > 4)
             rent_for_shard(k, out, most, &n);
     qsort(out, (size_t)n, sizeof *out, weightier);
     return n;
@@ -364,10 +365,10 @@
  * answer proves that it is gone, and a name that it does not know is ignored. */
 static int unrecorded_machines(char ids[][64], int most, int *busy) {
     int n = 0;
-    if (records_refused() || !membership_may_answer()) return 0;
-    for (guint i = 0; i < records_machines()->len && n < most; i++) {
-        const struct machine *m = records_machines()->pdata[i];
-        if (!records_unrecorded(m)) continue;
+    if (machines_layout_unreadable() || !membership_may_answer()) return 0;
+    for (guint i = 0; i < machines_all()->len && n < most; i++) {
+        const struct machine *m = machines_all()->pdata[i];
+        if (!machines_unrecorded(m)) continue;
         log_info("machine %s: tasks are booked on it and no record names it, returning it", m->id);
         g_strlcpy(ids[n++], m->id, 64);
         (*busy)++;
@@ -381,9 +382,10 @@
     *busy = 0;
     for (int with_tasks = 1; with_tasks >= 0; with_tasks--)
         for (int k = 0; k < cfg->size; k++)
-            for (guint i = 0; membership_owns(k) && i < records_of(k)->len && n < most; i++) {
-                struct machine *m = records_of(k)->pdata[i];
-                if (!m->returning || m->dead || !records_mine(m) || (allocations_on_machine(m) > 0) != with_tasks)
+            for (guint i = 0; membership_owns(k) && i < machines_of_shard(k)->len && n < most; i++) {
+                struct machine *m = machines_of_shard(k)->pdata[i];
+                if (!m->returning || m->released_by_cloud || !machines_owned(m) ||
+                    (allocations_on_machine(m) > 0) != with_tasks)
                     continue;
                 g_strlcpy(ids[n++], m->id, 64);
                 *busy += with_tasks;
--- a/src/rounds/plan.c
+++ b/src/rounds/plan.c
@@ -15,7 +15,7 @@
 #include "../quota/quota.h"
 #include "round.h"
 
-static int64_t next_attempt(int k) { return records_shards[k].fence * 1048576 + ++records_shards[k].next; }
+static int64_t next_attempt(int k) { return shard_states[k].fencing_token * 1048576 + ++shard_states[k].next; }
 
 static void plan_task(struct round *r, struct machine *m, struct job *j, int task, int64_t attempt,
                       struct preempt_usage *u) {
@@ -62,7 +62,7 @@
         if (attempt && x->attempt != attempt) return 0;
         attempt = x->attempt;
         if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
-        if (clock_seconds_since(x->m->reported) > clock_to_seconds(round_settings->report) * 1.25 + 1) return 0;
+        if (clock_seconds_since(x->m->last_heartbeat) > clock_to_seconds(round_settings->report) * 1.25 + 1) return 0;
     }
     return attempt;
 }
@@ -129,7 +129,7 @@
 };
 
 static bool unconstrained(const struct job_spec *s) {
-    return s->kind == JOB_ARRAY && !s->machine_types && !s->site && !s->single_zone && !s->spread;
+    return s->kind == JOB_ARRAY && !s->machine_types && !s->zone && !s->single_zone && !s->spread;
 }
 
 static bool surely_no_room(const struct no_room *none, const struct job_spec *s) {
@@ -217,7 +217,8 @@
         guint kept = 0;
         for (guint i = 0; i < mine->len && kept < (guint)j->spec.tasks; i++) {
             struct machine *m = mine->pdata[i];
-            if (!m->open || (zone && strcmp(zone, m->site) != 0) || !placement_allowed(m, j, NULL, NULL)) continue;
+            if (!m->schedulable || (zone && strcmp(zone, m->zone) != 0) || !placement_allowed(m, j, NULL, NULL))
+                continue;
             for (int n = preempt_times(m, &j->spec); n > 0 && kept < (guint)j->spec.tasks; n--, kept++)
                 placement_take(m, &j->spec, 1);
         }
@@ -261,7 +262,7 @@
     }
     for (guint i = 0; i < mine->len; i++) {
         struct machine *m = mine->pdata[i];
-        if (m->open && placement_fits(m, &smallest)) g_ptr_array_add(room, m);
+        if (m->schedulable && placement_fits(m, &smallest)) g_ptr_array_add(room, m);
     }
     return room;
 }
@@ -275,8 +276,8 @@
     struct free_room free = {0, 0};
     for (guint i = 0; i < room->len; i++) {
         const struct machine *m = room->pdata[i];
-        free.cpu += m->flavour->vcpus - m->used_cpu;
-        free.gpu += m->flavour->gpus - m->used_gpu;
+        free.cpu += m->type->vcpus - m->used_cpu;
+        free.gpu += m->type->gpus - m->used_gpu;
     }
     return free;
 }
@@ -296,7 +297,7 @@
         if (missing[i] <= 0 || waits_to_retry(j) || failures_suspect(j)) continue;
         take_free(&free, j, missing[i]);
         j->unplaced = free.cpu < 0 || free.gpu < 0;
-        records_shards[k].fit_nowhere |= j->unplaced;
+        shard_states[k].fit_nowhere |= j->unplaced;
     }
 }
 
@@ -309,7 +310,7 @@
 
 void round_plan_jobs(struct round *r, int k) {
     GArray *order = rounds_rank(k);
-    GPtrArray *mine = records_of(k);
+    GPtrArray *mine = machines_of_shard(k);
     struct preempt_usage u[SETTINGS_TEAMS];
     memset(u, 0, sizeof u);
     struct placement_rules rules = {round_settings->tuning.reception, round_settings->tuning.admission,
@@ -326,7 +327,7 @@
     }
     GPtrArray *room = machines_with_room(mine, order, missing);
     struct free_room free = count_free(room);
-    records_shards[k].fit_nowhere = false;
+    shard_states[k].fit_nowhere = false;
     int jobs_planned = 0;
     struct no_room none = {.n = 0};
     for (guint i = 0; i < order->len; i++) {
@@ -343,7 +344,7 @@
         guint before = r->plans->len;
         if (!may_preempt(j, within) && surely_no_room(&none, &j->spec)) {
             j->unplaced = !failures_suspect(j);
-            records_shards[k].fit_nowhere |= j->unplaced;
+            shard_states[k].fit_nowhere |= j->unplaced;
             continue;
         }
         j->unplaced = j->spec.kind == JOB_GANG ? plan_group(r, j, within, mine, room, &rules, u)
@@ -352,10 +353,10 @@
         held_back[j->spec.team] |= quota_gathers(j);
         if (j->unplaced) note_no_room(&none, &j->spec);
         if (failures_suspect(j)) j->unplaced = false; /* it waits for room, and has none rented */
-        if (j->unplaced) records_shards[k].fit_nowhere = true;
+        if (j->unplaced) shard_states[k].fit_nowhere = true;
     }
     /* Only what stays planned is written: a gang's tries that came to nothing are not. */
-    for (guint i = 0; i < r->plans->len; i++) g_array_index(r->plans, struct placement_plan, i).m->touched = true;
+    for (guint i = 0; i < r->plans->len; i++) g_array_index(r->plans, struct placement_plan, i).m->dirty = true;
     g_free(missing);
     g_array_free(order, TRUE);
     g_ptr_array_free(room, TRUE);
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -40,22 +40,24 @@
 
 struct machine *rounds_reception(int k) {
     struct machine *best = NULL;
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (m->spot || records_leaving(m) || !m->up || m->warning >= 0) continue;
-        if (!best || m->born < best->born || (m->born == best->born && strcmp(m->id, best->id) < 0)) best = m;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (m->spot || machines_leaving(m) || !m->up || m->preemption_notice_s >= 0) continue;
+        if (!best || m->created_at < best->created_at ||
+            (m->created_at == best->created_at && strcmp(m->id, best->id) < 0))
+            best = m;
     }
     return best;
 }
 
 void rounds_scratch(int k) {
     double quiet = clock_to_seconds(round_settings->report) * 2 + 1;
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (!records_mine(m)) continue;
-        if (!m->flavour) m->flavour = cloud_flavour(m->sku);
-        m->touched = m->leave = false;
-        m->next_fence = 0;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (!machines_owned(m)) continue;
+        if (!m->type) m->type = cloud_flavour(m->type_name);
+        m->dirty = m->leaves_page = false;
+        m->next_token = 0;
         m->next_page = -1;
         m->occupancy = placement_occupancy(m, (int)round_settings->tuning.window);
         m->used_cpu = m->used_gpu = m->used_mem = 0;
@@ -63,7 +65,7 @@
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
             if (x->released) {
-                m->touched = true;
+                m->dirty = true;
                 continue;
             }
             m->used_cpu += x->job->spec.vcpus;
@@ -71,10 +73,11 @@
             m->used_mem += x->job->spec.memory_gb;
             m->used_tasks++;
         }
-        m->open = m->up && m->page >= 0 && m->flavour && !records_leaving(m) && !m->draining && m->transfer_to < 0 &&
-                  m->warning < 0 && !m->need_raise && !m->unknown && m->ignored == 0 && !failures_machine_faulty(m) &&
-                  m->seen_fence >= records_token(m) && clock_seconds_since(m->reported) < quiet &&
-                  m->allocations->len < RECORDS_TASKS_MOST && !watch_zone_cut(k, m->site);
+        m->schedulable = m->up && m->page >= 0 && m->type && !machines_leaving(m) && !m->draining &&
+                         m->rebalance_to < 0 && m->preemption_notice_s < 0 && !m->needs_token_raise &&
+                         !m->outcome_unknown && m->ignored_responses == 0 && !failures_machine_faulty(m) &&
+                         m->seen_token >= machines_fencing_token(m) && clock_seconds_since(m->last_heartbeat) < quiet &&
+                         m->allocations->len < MACHINE_TASKS_MAX && !watch_zone_cut(k, m->zone);
     }
 }
 
@@ -98,7 +101,7 @@
 static void plan_round(struct round *r) {
     int k = r->shard;
     rounds_scratch(k);
-    r->first = records_shards[k].fence * 1048576 + records_shards[k].next;
+    r->first = shard_states[k].fencing_token * 1048576 + shard_states[k].next;
     /* Completions are what users wait for, those first that other jobs wait for; then starts; then what else is known,
      * longest first. */
     GHashTable *written = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -136,7 +139,7 @@
     r->plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
     r->txns = g_ptr_array_new_with_free_func(round_txn_free);
     r->left = left;
-    r->apart = clock_seconds_since(records_shards[k].apart_until) < 0;
+    r->apart = clock_seconds_since(shard_states[k].isolated_until) < 0;
     /* With nothing left of the budget there is nothing to decide: the more has gathered, the more the next carries. */
     if (left >= LEAST_CHANGES) plan_round(r);
     return r;
@@ -180,12 +183,12 @@
             struct allocation *b = j->allocations->pdata[i];
             if (!b->inherited || b->attempt <= r->first) continue;
             b->inherited = false;
-            b->m->kick = true;
+            b->m->wake = true;
         }
     }
-    for (guint i = 0; i < records_of(r->shard)->len; i++) {
-        struct machine *m = records_of(r->shard)->pdata[i];
-        if (m->need_raise && records_token(m) > m->unknown_fence) m->need_raise = false;
+    for (guint i = 0; i < machines_of_shard(r->shard)->len; i++) {
+        struct machine *m = machines_of_shard(r->shard)->pdata[i];
+        if (m->needs_token_raise && machines_fencing_token(m) > m->unknown_token) m->needs_token_raise = false;
     }
 }
 
@@ -204,7 +207,7 @@
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "owner", s->owner);
     cJSON_AddStringToObject(o, "inc", s->incarnation);
-    cJSON_AddNumberToObject(o, "fence", (double)s->fence);
+    cJSON_AddNumberToObject(o, "fence", (double)s->fencing_token);
     store_txn_put(&t, key, o, 0);
     store_unlock();
     bool ok = false;
@@ -237,21 +240,21 @@
     store_lock();
     bool mine = membership_owns(k);
     if (mine) {
-        int64_t f = membership_shard(k)->fence;
-        if (records_shards[k].fence != f) {
-            records_shards[k].fence = f;
-            records_shards[k].next = 0;
-            records_shards[k].barrier = false;
-            records_shards[k].since = clock_now();
+        int64_t f = membership_shard(k)->fencing_token;
+        if (shard_states[k].fencing_token != f) {
+            shard_states[k].fencing_token = f;
+            shard_states[k].next = 0;
+            shard_states[k].barrier_pending = false;
+            shard_states[k].since = clock_now();
             log_info("share %d: ours under fence %lld", k, (long long)f);
         }
     }
     if (mine && left < LEAST_CHANGES && needed_end(k)) left = store_budget_available(STORE_PRIORITY_ALLOCATE);
-    bool blocked = records_shards[k].barrier;
+    bool blocked = shard_states[k].barrier_pending;
     if (mine && !blocked) r = rounds_decide(k, left);
     store_unlock();
     if (mine && blocked) {
-        if (barrier(c, k)) records_shards[k].barrier = false;
+        if (barrier(c, k)) shard_states[k].barrier_pending = false;
         again = true;
     }
     for (guint i = 0; r && i < r->txns->len; i++) {
@@ -265,7 +268,7 @@
             store_unlock();
             again = true;
         } else if (rc == STORE_CONFLICT) {
-            records_shards[k].conflict_revision = a.revision;
+            shard_states[k].conflict_revision = a.revision;
             /* allocations and pages only in the order of the watch: read on their own they would be ahead of the
              * records that they rest on. */
             for (guint f = 0; f < a.conflicts->len; f++)
@@ -277,10 +280,10 @@
         } else if (rc == STORE_INVALID) {
             /* Surely not executed. What it held is written apart from other work from now on, and not at once again. */
             if (r->apart || t->writes == 1) round_note_refused(t);
-            records_shards[k].apart_until = clock_instant_in(clock_from_seconds(2 * ROUND_REFUSED_S));
+            shard_states[k].isolated_until = clock_instant_in(clock_from_seconds(2 * ROUND_REFUSED_S));
             again = true;
         } else if (rc == STORE_UNKNOWN) {
-            records_shards[k].barrier = true;
+            shard_states[k].barrier_pending = true;
         }
         store_response_clear(&a);
         /* A conflict is one transaction's own: a fence that all controllers move once kept a shard from allocation
--- a/src/rounds/rounds.h
+++ b/src/rounds/rounds.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 void rounds_init(const struct settings *s);
 void rounds_start(void);
--- a/src/rounds/rounds_limits_test.c
+++ b/src/rounds/rounds_limits_test.c
@@ -39,7 +39,7 @@
 /* Rounds until nothing is written any more; all that is written is applied as the store would. */
 static void settle(const char *what) {
     for (int i = 0; i < ROUNDS; i++) {
-        records_shards[0].tidied.tv_sec = 0;
+        shard_states[0].compacted_at.tv_sec = 0;
         struct round *round = rounds_decide(0, 12);
         const GPtrArray *txns = rounds_transactions(round);
         bool wrote = false;
@@ -57,9 +57,9 @@
 
 static void keep_steady(struct machine *m) {
     m->up = true;
-    m->seen_fence = records_token(m);
-    m->reported = m->heard = clock_now();
-    m->rows = 6;
+    m->seen_token = machines_fencing_token(m);
+    m->last_heartbeat = m->last_heard = clock_now();
+    m->n_samples = 6;
 }
 
 /* Machines of the shard on pages as full as the first version filled them. */
@@ -77,9 +77,9 @@
     }
     for (int i = 0; i < n; i++) {
         g_snprintf(id, sizeof id, "i-%06d", i);
-        out[i] = records_find(id);
+        out[i] = machines_find(id);
         assert_non_null(out[i]);
-        assert_true(records_mine(out[i]));
+        assert_true(machines_owned(out[i]));
         keep_steady(out[i]);
     }
     return n;
@@ -188,32 +188,32 @@
     (void)state;
     enum { FLEET = 3 * OLD_PAGE, RETURNED = 50, PASSED = 52 };
     struct machine *on[FLEET];
-    bool large[RECORDS_PAGES];
+    bool large[MACHINE_PAGES_MAX];
     store_lock();
     int n = old_pages(on, FLEET);
     struct job *j = owned_job("req-10020", "standing", "high", 8, 1, 0, false, false, 10);
     owned_book(j, on, 8);
-    records_large_pages(0, large);
+    machines_oversized_pages(0, large);
     assert_true(large[0] && large[1] && large[2]);
     for (int i = 0; i < n; i++) {
-        on[i]->need_raise = i % 3 == 0;
-        on[i]->unknown_fence = records_token(on[i]);
+        on[i]->needs_token_raise = i % 3 == 0;
+        on[i]->unknown_token = machines_fencing_token(on[i]);
     }
-    on[RETURNED]->want_return = true;
-    on[PASSED]->transfer_to = 1;
-    on[PASSED]->transfer_since = clock_now();
+    on[RETURNED]->return_wanted = true;
+    on[PASSED]->rebalance_to = 1;
+    on[PASSED]->rebalance_since = clock_now();
     settle("large pages");
-    records_large_pages(0, large);
-    for (int p = 0; p < RECORDS_PAGES; p++) {
+    machines_oversized_pages(0, large);
+    for (int p = 0; p < MACHINE_PAGES_MAX; p++) {
         assert_false(large[p]);
-        assert_false(records_page_stale(0, p));
+        assert_false(machines_page_stale(0, p));
     }
     for (int i = 0; i < n; i++) {
         char id[32];
         g_snprintf(id, sizeof id, "i-%06d", i);
-        const struct machine *m = records_find(id);
+        const struct machine *m = machines_find(id);
         if (!m || m->shard != (i == PASSED)) fail_msg("machine %d is lost", i);
-        assert_false(m->need_raise);
+        assert_false(m->needs_token_raise);
     }
     assert_true(on[RETURNED]->returning);
     assert_int_equal(allocations_count(j), 8);
@@ -236,7 +236,7 @@
     settle("arrivals");
     for (int i = 0; i < 9; i++) {
         g_snprintf(id, sizeof id, "i-%06d", 500 + i);
-        const struct machine *m = records_find(id);
+        const struct machine *m = machines_find(id);
         assert_non_null(m);
         assert_true(m->page >= 0);
     }
--- a/src/rounds/rounds_test.c
+++ b/src/rounds/rounds_test.c
@@ -123,9 +123,9 @@
 /* What is ordered: whole orders for what waits, at most a call's worth each, less what boots already. */
 static void rentals(void **state) {
     (void)state;
-    struct rent_order out[16];
+    struct rental_request out[16];
     store_lock();
-    records_shards[0].since = (struct timespec){0, 0};
+    shard_states[0].since = (struct timespec){0, 0};
     struct job *j = owned_job("req-60001", "batch", "normal", 300, 8, 1, false, false, 10);
     rounds_round_free(rounds_decide(0, 20));
     assert_true(j->unplaced);
@@ -140,10 +140,10 @@
     char id[32];
     for (int i = 0; i < 64; i++) {
         g_snprintf(id, sizeof id, "i-9%03d", i);
-        records_rented(0, id, "g16", "za", false);
+        machines_rented(0, id, "g16", "za", false);
     }
     assert_int_equal(renting_plan(out, 16), 0);
-    g_hash_table_remove_all(records_unregistered_all());
+    g_hash_table_remove_all(machines_unregistered());
     owned_clear();
     store_unlock();
 }
@@ -162,7 +162,7 @@
         {"too few machines to keep any", 5, 0, 30, 0},
     };
     store_lock();
-    records_shards[0].since = (struct timespec){0, 0};
+    shard_states[0].since = (struct timespec){0, 0};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine *all[32];
         char id[32], one[32], two[32];
@@ -178,7 +178,7 @@
         owned_book(gang, all, 1);
         owned_book(rest, all + 1, rows[i].busy - 1);
         rounds_round_free(rounds_decide(0, 20));
-        struct rent_order out[16];
+        struct rental_request out[16];
         int n = renting_plan(out, 16);
         for (int o = 0; o < n; o++) machines += out[o].spot ? 1000 : out[o].count;
         owned_clear();
@@ -191,9 +191,9 @@
 }
 
 static void ago(struct machine *m, double s) {
-    m->heard = m->reported = clock_instant_in(clock_from_seconds(0));
-    m->heard.tv_sec -= (time_t)s;
-    m->reported.tv_sec -= (time_t)s;
+    m->last_heard = m->last_heartbeat = clock_instant_in(clock_from_seconds(0));
+    m->last_heard.tv_sec -= (time_t)s;
+    m->last_heartbeat.tv_sec -= (time_t)s;
 }
 
 /* Which of the machines that are not heard are given back: one alone, one in a cut zone, one whose zone is just back.
@@ -235,21 +235,21 @@
         if (rows[i].booked) owned_book(j, all, rows[i].silent);
         for (int n = 0; n < rows[i].silent; n++) {
             ago(all[n], rows[i].s);
-            all[n]->unanswered = rows[i].unanswered;
+            all[n]->unanswered_probes = rows[i].unanswered;
             for (guint b = 0; b < all[n]->allocations->len; b++)
                 ((struct allocation *)all[n]->allocations->pdata[b])->seen = rows[i].seen;
         }
         struct watch_hearing h = watch_hearing();
         watch_machines(0, &h);
-        for (int n = 0; n < total; n++) back += all[n]->want_return;
+        for (int n = 0; n < total; n++) back += all[n]->return_wanted;
         /* The zone's first machine is heard again: the others get the time to be. */
         bool grace = true;
         if (rows[i].silent == rows[i].here && rows[i].there && rows[i].seen && rows[i].want == 0) {
-            all[0]->heard = all[0]->reported = clock_now();
+            all[0]->last_heard = all[0]->last_heartbeat = clock_now();
             watch_machines(0, &h);
-            for (int n = 0; n < total; n++) grace &= !all[n]->want_return;
+            for (int n = 0; n < total; n++) grace &= !all[n]->return_wanted;
         }
-        for (int n = 0; n < total; n++) all[n]->want_return = false;
+        for (int n = 0; n < total; n++) all[n]->return_wanted = false;
         owned_clear();
         store_unlock();
         if (back != rows[i].want) fail_msg("%s: %d", rows[i].what, back);
@@ -310,7 +310,7 @@
     } rows[] = {
         {"thousands of small tasks", 25000, 0.25, 64},
         {"as many as the protocol allows", JOB_TASKS_MAX, 0.25, 64},
-        {"tiny ones: bound by what a report lists", 25000, 0.01, RECORDS_TASKS_MOST},
+        {"tiny ones: bound by what a report lists", 25000, 0.01, MACHINE_TASKS_MAX},
     };
     static struct machine *all[FLEET];
     for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
@@ -388,23 +388,23 @@
     };
     for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
         char id[32], job_id[32];
-        struct rent_order out[16];
+        struct rental_request out[16];
         store_lock();
-        records_shards[0].since = (struct timespec){0, 0};
+        shard_states[0].since = (struct timespec){0, 0};
         for (int i = 0; i < rows[r].booting + rows[r].up; i++) {
             g_snprintf(id, sizeof id, "i-6%zu%03d", r, i);
             struct machine *m = owned_machine(id, "za", false);
             if (i < rows[r].booting) {
                 m->up = false;
-                m->born = clock_time_of_day() - rows[r].age_s;
+                m->created_at = clock_time_of_day() - rows[r].age_s;
             }
         }
         g_snprintf(job_id, sizeof job_id, "req-8100%02zu", r);
         struct job *full = owned_job("req-819999", "batch", "high", MAX(rows[r].up, 1), 16, 2, false, false, 300);
         for (int i = 0; i < rows[r].up; i++) {
             g_snprintf(id, sizeof id, "i-6%zu%03d", r, rows[r].booting + i);
-            records_find(id)->open = false;
-            records_find(id)->warning = 100;
+            machines_find(id)->schedulable = false;
+            machines_find(id)->preemption_notice_s = 100;
         }
         if (!rows[r].up) full->retry_at = clock_instant_in(clock_from_seconds(60));
         owned_job(job_id, "batch", "high", rows[r].booting, 16, 2, false, false, 10);
--- a/src/rounds/write_pages.c
+++ b/src/rounds/write_pages.c
@@ -15,26 +15,26 @@
 /* What is to be done with each page of a shard in a round. */
 enum { PAGE_LATER = 1, PAGE_NOW = 2, PAGE_RAISE = 4 };
 struct page_plan {
-    uint8_t need[RECORDS_PAGES];
-    bool large[RECORDS_PAGES]; /* can't be rewritten under the service's next limit */
-    int64_t fence;             /* the token of machines that are raised */
-    int raise_writes;          /* changes of the transaction that raises; the fence is one */
+    uint8_t need[MACHINE_PAGES_MAX];
+    bool large[MACHINE_PAGES_MAX]; /* can't be rewritten under the service's next limit */
+    int64_t fencing_token;         /* the token of machines that are raised */
+    int raise_writes;              /* changes of the transaction that raises; the fence is one */
     bool raised;
 };
 
 #define MOVES_PAGES 2 /* pages that a round fills with machines of large ones */
 
 /* Gives machines of large pages a place on others, those first that are to be changed. */
-static void move_from_large(int k, struct page_plan *p, struct records_fills *fills, bool tidy) {
-    bool opened[RECORDS_PAGES] = {false};
+static void move_from_large(int k, struct page_plan *p, struct shard_page_fills *fills, bool tidy) {
+    bool opened[MACHINE_PAGES_MAX] = {false};
     int pages = 0;
     for (int urgent = 1; urgent >= (tidy ? 0 : 1); urgent--)
-        for (guint i = 0; i < records_of(k)->len; i++) {
-            struct machine *m = records_of(k)->pdata[i];
-            if (m->page < 0 || m->page >= RECORDS_PAGES || !p->large[m->page] || m->next_page >= 0) continue;
-            bool change = m->need_raise || (m->want_return && !m->returning) || m->transfer_to >= 0;
-            if (m->dead || (urgent && !change)) continue;
-            int to = records_fills_add(fills, m->id);
+        for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+            struct machine *m = machines_of_shard(k)->pdata[i];
+            if (m->page < 0 || m->page >= MACHINE_PAGES_MAX || !p->large[m->page] || m->next_page >= 0) continue;
+            bool change = m->needs_token_raise || (m->return_wanted && !m->returning) || m->rebalance_to >= 0;
+            if (m->released_by_cloud || (urgent && !change)) continue;
+            int to = machines_page_fills_add(fills, m->id);
             if (to < 0 || (!opened[to] && pages == MOVES_PAGES)) return;
             pages += !opened[to];
             opened[to] = true;
@@ -46,33 +46,33 @@
 /* A machine that came from another shard, or whose record is to change. */
 static void plan_machine(struct machine *m, struct page_plan *p) {
     int page = m->next_page >= 0 ? m->next_page : m->page;
-    if (page < 0 || page >= RECORDS_PAGES || p->large[page]) return;
+    if (page < 0 || page >= MACHINE_PAGES_MAX || p->large[page]) return;
     bool pass = transfer_allowed(m);
-    if (pass || m->need_raise) {
+    if (pass || m->needs_token_raise) {
         int writes = pass + ((p->need[page] & PAGE_RAISE) == 0);
         if (p->raise_writes + writes <= round_settings->txn_ops) {
             p->raise_writes += writes;
-            m->next_fence = p->fence;
-            m->leave = pass;
+            m->next_token = p->fencing_token;
+            m->leaves_page = pass;
             p->raised = true;
             p->need[page] |= PAGE_RAISE;
         }
     }
     /* What runs there starts elsewhere only once it is returned; idle machines go by the dozen, a page each otherwise.
      */
-    if (m->want_return && !m->returning) p->need[page] |= m->allocations->len > 0 ? PAGE_NOW : PAGE_LATER;
-    if (m->dead || m->unwritten) p->need[page] |= PAGE_LATER;
+    if (m->return_wanted && !m->returning) p->need[page] |= m->allocations->len > 0 ? PAGE_NOW : PAGE_LATER;
+    if (m->released_by_cloud || m->address_unrecorded) p->need[page] |= PAGE_LATER;
 }
 
-static void plan_machines(int k, struct page_plan *p, struct records_fills *fills) {
+static void plan_machines(int k, struct page_plan *p, struct shard_page_fills *fills) {
     int incoming = 0;
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
         if (m->page >= 0) {
             plan_machine(m, p);
             continue;
         }
-        if (incoming++ < round_settings->txn_ops / 2 && (m->next_page = records_fills_add(fills, m->id)) >= 0)
+        if (incoming++ < round_settings->txn_ops / 2 && (m->next_page = machines_page_fills_add(fills, m->id)) >= 0)
             p->need[m->next_page] |= PAGE_NOW;
     }
 }
@@ -81,20 +81,20 @@
 static void forget_places(int k) {
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, records_unregistered_all());
+    g_hash_table_iter_init(&it, machines_unregistered());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct records_unregistered *c = v;
+        struct unregistered_machine *c = v;
         if (c->shard == k) c->page = -1;
     }
 }
 
-static void plan_unregistered(int k, struct page_plan *p, struct records_fills *fills) {
+static void plan_unregistered(int k, struct page_plan *p, struct shard_page_fills *fills) {
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, records_unregistered_all());
+    g_hash_table_iter_init(&it, machines_unregistered());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct records_unregistered *c = v;
-        if (c->shard == k && (c->page = records_fills_add(fills, c->id)) >= 0) p->need[c->page] |= PAGE_NOW;
+        struct unregistered_machine *c = v;
+        if (c->shard == k && (c->page = machines_page_fills_add(fills, c->id)) >= 0) p->need[c->page] |= PAGE_NOW;
     }
 }
 
@@ -105,20 +105,20 @@
     struct store_txn *t = round_txn(r, round_settings->txn_ops, 3);
     r->left += round_settings->txn_ops - p->raise_writes;
     store_txn_compare(t, "fence", store_key_revision("fence"));
-    store_txn_put(t, "fence", cJSON_CreateNumber((double)p->fence), 0);
-    for (int page = 0; page < RECORDS_PAGES; page++) {
+    store_txn_put(t, "fence", cJSON_CreateNumber((double)p->fencing_token), 0);
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
         if (!(p->need[page] & PAGE_RAISE)) continue;
         snprintf(key, sizeof key, "fleet/%d/%d", k, page);
         store_txn_compare(t, key, store_key_revision(key));
-        store_txn_put(t, key, records_page_value(k, page, &n), 0);
+        store_txn_put(t, key, machines_page_value(k, page, &n), 0);
         p->need[page] = 0;
     }
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (!m->leave) continue;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (!m->leaves_page) continue;
         snprintf(key, sizeof key, "machine/%s", m->id);
         store_txn_compare(t, key, 0);
-        store_txn_put(t, key, records_single_value(m, m->transfer_to, p->fence), 0);
+        store_txn_put(t, key, machines_single_value(m, m->rebalance_to, p->fencing_token), 0);
     }
 }
 
@@ -128,20 +128,20 @@
 static void write_page(struct round *r, int k, int page) {
     char key[96];
     int incoming = 0, n;
-    for (guint i = 0; i < records_of(k)->len; i++) incoming += arrives_at(records_of(k)->pdata[i], page);
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) incoming += arrives_at(machines_of_shard(k)->pdata[i], page);
     snprintf(key, sizeof key, "fleet/%d/%d", k, page);
     if (1 + incoming > round_settings->txn_ops || round_refused_lately(key)) return;
     struct store_txn *t = round_txn(r, 1 + incoming, 2 + incoming);
     store_txn_compare(t, key, store_key_revision(key));
-    cJSON *value = records_page_value(k, page, &n);
+    cJSON *value = machines_page_value(k, page, &n);
     if (n > 0) {
         store_txn_put(t, key, value, 0);
     } else {
         cJSON_Delete(value);
         store_txn_delete(t, key);
     }
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
         if (!arrives_at(m, page)) continue;
         snprintf(key, sizeof key, "machine/%s", m->id);
         store_txn_compare(t, key, store_key_revision(key));
@@ -153,20 +153,20 @@
 
 /* The pages of the shard's machines. */
 void round_write_pages(struct round *r, int k) {
-    struct page_plan p = {.fence = membership_fencing_token() + 1, .raise_writes = 1};
-    bool tidy = clock_seconds_since(records_shards[k].tidied) > TIDY_S;
-    if (tidy) records_shards[k].tidied = clock_now();
-    records_large_pages(k, p.large);
-    struct records_fills fills;
+    struct page_plan p = {.fencing_token = membership_fencing_token() + 1, .raise_writes = 1};
+    bool tidy = clock_seconds_since(shard_states[k].compacted_at) > TIDY_S;
+    if (tidy) shard_states[k].compacted_at = clock_now();
+    machines_oversized_pages(k, p.large);
+    struct shard_page_fills fills;
     forget_places(k);
-    records_fills(k, &fills);
+    machines_page_fills(k, &fills);
     move_from_large(k, &p, &fills, tidy);
     plan_machines(k, &p, &fills);
     plan_unregistered(k, &p, &fills);
-    for (int page = 0; page < RECORDS_PAGES; page++)
-        if (records_page_stale(k, page)) p.need[page] |= PAGE_LATER;
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++)
+        if (machines_page_stale(k, page)) p.need[page] |= PAGE_LATER;
     if (p.raised) write_raises(r, k, &p);
-    for (int page = 0; page < RECORDS_PAGES && r->left > 0; page++) {
+    for (int page = 0; page < MACHINE_PAGES_MAX && r->left > 0; page++) {
         bool due = p.need[page] & PAGE_NOW || (p.need[page] & PAGE_LATER && tidy);
         if (due && !p.large[page]) write_page(r, k, page);
     }
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -14,11 +14,11 @@
 #include "../jobs/jobs.h"
 #include "../ledger/ledger.h"
 #include "../logging/logging.h"
+#include "../machines/machines.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
-#include "../records/records.h"
 #include "../renting/renting.h"
 #include "../rounds/rounds.h"
 #include "../schema_version/schema_version.h"
@@ -61,7 +61,7 @@
     chains_init(s);
     workers_init(s);
     cloud_init(s);
-    records_init(s);
+    machines_init(s);
     allocations_init(s);
     rounds_init(s);
     preempt_init(s);
@@ -106,7 +106,7 @@
         "status: %u unfinished jobs, %u machines, store %.1f calls/s (pace %.1f, of changes %.1f), store seen %.1f s "
         "ago, %d answers to users "
         "(median %.1f ms, p95 %.1f ms)",
-        jobs_active()->len, records_machines()->len, (now - last) / 10.0, store_budget_rate_factor(false),
+        jobs_active()->len, machines_all()->len, (now - last) / 10.0, store_budget_rate_factor(false),
         store_budget_rate_factor(true), clock_seconds_since(store_last_read()), answers, median, p95);
     quota_tell();
     store_unlock();
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -20,7 +20,7 @@
 
 /* An ordinary machine whose tasks would all make way. */
 bool transfer_possible(const struct machine *m) {
-    if (m->spot || records_leaving(m) || m->warning >= 0 || !m->address[0]) return false;
+    if (m->spot || machines_leaving(m) || m->preemption_notice_s >= 0 || !m->address[0]) return false;
     for (guint b = 0; b < m->allocations->len; b++) {
         const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
         if (!s->allows_spot || s->kind != JOB_ARRAY) return false;
@@ -31,21 +31,22 @@
 /* Not in a round that allocates on it or releases from it: the plan is not in its list yet. A machine was once passed
  * together with a task of its old shard's, which then counted nowhere against the team's limit. */
 bool transfer_allowed(const struct machine *m) {
-    return m->transfer_to >= 0 && m->allocations->len == 0 && m->page >= 0 && !m->touched && !m->unknown &&
-           !m->sending && !m->need_raise && !m->want_return && !m->returning && !m->dead;
+    return m->rebalance_to >= 0 && m->allocations->len == 0 && m->page >= 0 && !m->dirty && !m->outcome_unknown &&
+           !m->command_in_flight && !m->needs_token_raise && !m->return_wanted && !m->returning &&
+           !m->released_by_cloud;
 }
 
 /* A spread job's part in the zone is used up. */
 static bool zone_full(const struct job *j, const char *site) {
     int here = 0;
     for (guint i = 0; i < j->allocations->len; i++)
-        here += strcmp(((struct allocation *)j->allocations->pdata[i])->m->site, site) == 0;
+        here += strcmp(((struct allocation *)j->allocations->pdata[i])->m->zone, site) == 0;
     return j->spec.spread && here >= (j->spec.tasks + 1) / 2;
 }
 
 /* Nothing fits beside what is allocated: most machines of a busy shard, not worth a closer look. */
 static bool full(const struct machine *m) {
-    const struct machine_type *f = cloud_flavour(m->sku);
+    const struct machine_type *f = cloud_flavour(m->type_name);
     double cpu = 0, gpu = 0;
     for (guint b = 0; f && b < m->allocations->len; b++) {
         const struct allocation *x = m->allocations->pdata[b];
@@ -62,7 +63,7 @@
     const char *site = placement_site(j);
     for (guint y = 0; y < vms->len && tasks > 0; y++) {
         struct renting_vm *v = &g_array_index(vms, struct renting_vm, y);
-        if (zone_full(j, v->o.site)) continue;
+        if (zone_full(j, v->o.zone)) continue;
         while (tasks > 0 && renting_vm_takes(v, j, site)) tasks--;
     }
     return tasks <= 0;
@@ -72,13 +73,13 @@
  * records, so that the donor sees it without being asked. */
 static struct job *needy_job(int s, bool reclaimable, bool *within) {
     GArray *vms = g_array_new(FALSE, FALSE, sizeof(struct renting_vm));
-    for (guint i = 0; i < records_machines()->len; i++) {
-        struct machine *m = records_machines()->pdata[i];
-        if ((m->shard != s && m->transfer_to != s) || m->returning || (m->spot && !reclaimable) ||
+    for (guint i = 0; i < machines_all()->len; i++) {
+        struct machine *m = machines_all()->pdata[i];
+        if ((m->shard != s && m->rebalance_to != s) || m->returning || (m->spot && !reclaimable) ||
             (m->shard == s && full(m)))
             continue;
         guint before = vms->len;
-        renting_vm_add(vms, m->sku, m->site, m->spot);
+        renting_vm_add(vms, m->type_name, m->zone, m->spot);
         if (vms->len == before) continue;
         struct renting_vm *v = &g_array_index(vms, struct renting_vm, before);
         for (guint b = 0; b < m->allocations->len && m->shard == s; b++) {
@@ -144,19 +145,19 @@
     const char *site = placement_site(j);
     bool claims = within && quota_divided(j->spec.team);
     if (claims ? own_guarantee_first(k, j) : own_work_first(k, j)) return NULL;
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (m == reception || m->touched || clock_seconds_since(m->mine_since) < 5 || m->transfer_to >= 0 || !m->up ||
-            !records_mine(m) || !m->flavour)
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (m == reception || m->dirty || clock_seconds_since(m->owned_since) < 5 || m->rebalance_to >= 0 || !m->up ||
+            !machines_owned(m) || !m->type)
             continue;
-        if (records_leaving(m) || m->warning >= 0 || !m->address[0]) continue;
-        if (clock_seconds_since(m->heard) > clock_to_seconds(cfg->report) * 2 + 1 ||
-            !renting_may_use(&j->spec, m->flavour))
+        if (machines_leaving(m) || m->preemption_notice_s >= 0 || !m->address[0]) continue;
+        if (clock_seconds_since(m->last_heard) > clock_to_seconds(cfg->report) * 2 + 1 ||
+            !renting_may_use(&j->spec, m->type))
             continue;
         if (!placement_allowed(m, j, site, NULL)) continue;
         /* For work that could use cheap machines a dear one goes only if it is surplus here. */
         if (j->spec.allows_spot && !within && !m->spot && !m->draining) continue;
-        if (j->spec.allows_spot && m->allocations->len == 0 && records_shards[k].fit_nowhere && !within) continue;
+        if (j->spec.allows_spot && m->allocations->len == 0 && shard_states[k].fit_nowhere && !within) continue;
         bool all = true;
         for (guint b = 0; b < m->allocations->len; b++) all &= preempt_evictable(m->allocations->pdata[b], j, within);
         if (!all || !quota_may_be_cleared(m, j->priority)) continue;
@@ -171,13 +172,13 @@
 }
 
 void transfer_plan(int k) {
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (m->transfer_to >= 0 && clock_seconds_since(m->transfer_since) > 12) m->transfer_to = -1;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (m->rebalance_to >= 0 && clock_seconds_since(m->rebalance_since) > 12) m->rebalance_to = -1;
     }
     /* A look at every other shard's needs is the dearest part of a round, and nothing passes faster than this. */
-    if (clock_seconds_since(records_shards[k].passed) < records_machines()->len * 0.0008) return;
-    records_shards[k].passed = clock_now();
+    if (clock_seconds_since(shard_states[k].rebalanced_at) < machines_all()->len * 0.0008) return;
+    shard_states[k].rebalanced_at = clock_now();
     for (int s = 0; s < cfg->size; s++) {
         if (s == k || jobs_active_of(s)->len == 0) continue;
         struct machine *m = NULL;
@@ -188,8 +189,8 @@
             if (j) m = donation(k, j, within);
         }
         if (!m) continue;
-        m->transfer_to = s;
-        m->transfer_since = clock_now();
+        m->rebalance_to = s;
+        m->rebalance_since = clock_now();
         log_info("machine %s: transfer from share %d to share %d for %s", m->id, k, s, j->spec.job_id);
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
--- a/src/transfer/transfer.h
+++ b/src/transfer/transfer.h
@@ -3,7 +3,7 @@
 #define FF_TRANSFER_H
 #include <stdbool.h>
 
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 void transfer_init(const struct settings *s);
 void transfer_plan(int k);
--- a/src/watch/watch.c
+++ b/src/watch/watch.c
@@ -34,8 +34,8 @@
     char urls[3][128];
     int n = 0;
     store_lock();
-    for (guint i = 0; i < records_machines()->len && n < 3; i++) {
-        struct machine *m = records_machines()->pdata[g_random_int_range(0, (gint32)records_machines()->len)];
+    for (guint i = 0; i < machines_all()->len && n < 3; i++) {
+        struct machine *m = machines_all()->pdata[g_random_int_range(0, (gint32)machines_all()->len)];
         if (m->address[0]) snprintf(urls[n++], sizeof urls[0], "http://%s/inspect", m->address);
     }
     store_unlock();
@@ -58,13 +58,13 @@
     struct watch_hearing h = {0, 0, 0, HUGE_VAL};
     double lately = heard_lately();
     for (int k = 0; k < cfg->size; k++)
-        for (guint i = 0; membership_owns(k) && i < records_of(k)->len; i++) {
-            struct machine *m = records_of(k)->pdata[i];
-            if (!records_mine(m) || !m->up || records_leaving(m)) continue;
+        for (guint i = 0; membership_owns(k) && i < machines_of_shard(k)->len; i++) {
+            struct machine *m = machines_of_shard(k)->pdata[i];
+            if (!machines_owned(m) || !m->up || machines_leaving(m)) continue;
             h.up++;
-            h.heard += clock_seconds_since(m->heard) < lately;
-            h.reported += clock_seconds_since(m->reported) < lately;
-            h.newest_s = MIN(h.newest_s, clock_seconds_since(m->heard));
+            h.heard += clock_seconds_since(m->last_heard) < lately;
+            h.reported += clock_seconds_since(m->last_heartbeat) < lately;
+            h.newest_s = MIN(h.newest_s, clock_seconds_since(m->last_heard));
         }
     return h;
 }
@@ -86,8 +86,8 @@
     double newest; /* seconds since any of its machines was heard */
 };
 
-static bool zone_cut[RECORDS_SHARES][SETTINGS_ZONES]; /* as of the last look */
-static struct timespec zone_back[RECORDS_SHARES][SETTINGS_ZONES];
+static bool zone_cut[SHARDS_MAX][SETTINGS_ZONES]; /* as of the last look */
+static struct timespec zone_back[SHARDS_MAX][SETTINGS_ZONES];
 
 bool watch_zone_cut(int k, const char *site) {
     int z = settings_zone(cfg, site);
@@ -106,14 +106,14 @@
 static void look_at_zones(int k, struct zone_watch *z) {
     double lately = heard_lately();
     for (int i = 0; i < cfg->n_zones; i++) z[i] = (struct zone_watch){0, 0, 1e9};
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        const struct machine *m = records_of(k)->pdata[i];
-        if (!m->up || records_leaving(m)) continue;
-        int n = settings_zone(cfg, m->site);
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        const struct machine *m = machines_of_shard(k)->pdata[i];
+        if (!m->up || machines_leaving(m)) continue;
+        int n = settings_zone(cfg, m->zone);
         if (n < 0) continue;
         z[n].up++;
-        z[n].heard += clock_seconds_since(m->heard) < lately;
-        z[n].newest = MIN(z[n].newest, clock_seconds_since(m->heard));
+        z[n].heard += clock_seconds_since(m->last_heard) < lately;
+        z[n].newest = MIN(z[n].newest, clock_seconds_since(m->last_heard));
     }
     for (int i = 0; i < cfg->n_zones; i++) {
         bool cut = z[i].newest > watch_zone_silence(z[i].up, clock_to_seconds(cfg->report));
@@ -134,7 +134,7 @@
 /* A machine of a cut zone. It may be back before its tasks' end; until then they run on. If it is not, their replicas
  * should find machines that have booted meanwhile. True: nothing is to be done about it yet. */
 static bool wait_for_zone(struct machine *m, const struct zone_watch *z) {
-    double keeps = watch_zone_keeps(m->site), boot = m->flavour ? m->flavour->startup_s : 60;
+    double keeps = watch_zone_keeps(m->zone), boot = m->type ? m->type->startup_s : 60;
     if (z->newest >= keeps) return false;
     if (z->newest > MAX(5, keeps - 1.5 * boot - 5)) replicas_at_risk(m);
     bool runs = false;
@@ -159,7 +159,7 @@
     for (guint i = 0; i < m->allocations->len; i++) {
         const struct allocation *b = m->allocations->pdata[i];
         if (!b->released && b->seen && b->job->state == JOB_CANCELLED &&
-            watch_end_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->reported),
+            watch_end_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->last_heartbeat),
                               clock_to_seconds(cfg->lease), clock_to_seconds(cfg->cancel)))
             return true;
     }
@@ -187,56 +187,58 @@
     /* If most are silent it is more likely us than them; not so if one zone is silent and another is heard well. */
     bool hears = hearing->heard * 2 >= hearing->up - 1;
     for (int z = 0; z < cfg->n_zones; z++) hears |= zones[z].up >= 4 && zones[z].heard * 10 >= zones[z].up * 8;
-    for (guint i = 0; i < records_of(k)->len; i++) {
-        struct machine *m = records_of(k)->pdata[i];
-        if (records_leaving(m)) continue;
-        int z = settings_zone(cfg, m->site);
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (machines_leaving(m)) continue;
+        int z = settings_zone(cfg, m->zone);
         bool cut = z >= 0 && zone_cut[k][z];
         /* Of a cut zone a few are asked, in turn: each that does not answer costs a sender its time limit. Where one
          * has just failed to answer, all are asked: what took it may have taken a hundred at once. */
         double again = cut ? MAX(1.5, zones[z].up / 4.0) : 1.5,
-               quiet = clock_seconds_since(records_shards[k].alarm) < ALARM_S ? ALARM_S / 2
-                                                                              : clock_to_seconds(cfg->report) * 1.1;
-        if (m->up && clock_seconds_since(m->heard) > quiet && clock_seconds_since(m->probed) > again) {
+               quiet = clock_seconds_since(shard_states[k].suspicion_at) < ALARM_S
+                           ? ALARM_S / 2
+                           : clock_to_seconds(cfg->report) * 1.1;
+        if (m->up && clock_seconds_since(m->last_heard) > quiet && clock_seconds_since(m->last_probe) > again) {
             /* Asked directly, so that silence is not just a report on its way round the controllers. */
-            m->probed = clock_now();
-            m->hello = true;
+            m->last_probe = clock_now();
+            m->needs_token_probe = true;
         }
-        bool silent = clock_seconds_since(m->heard) > silent_limit() ||
-                      clock_seconds_since(m->reported) > clock_to_seconds(cfg->lease) + silent_limit();
+        bool silent = clock_seconds_since(m->last_heard) > silent_limit() ||
+                      clock_seconds_since(m->last_heartbeat) > clock_to_seconds(cfg->lease) + silent_limit();
         /* Two questions without an answer tell it sooner; only where a cut of the whole zone would have shown before.
          */
-        if (m->unanswered >= 2 && clock_seconds_since(m->heard) > UNANSWERED_S && z >= 0 &&
+        if (m->unanswered_probes >= 2 && clock_seconds_since(m->last_heard) > UNANSWERED_S && z >= 0 &&
             watch_zone_silence(zones[z].up, clock_to_seconds(cfg->report)) < UNANSWERED_S - 1)
             silent = true;
-        if (m->up && m->unanswered && !cut) replicas_at_risk(m);
+        if (m->up && m->unanswered_probes && !cut) replicas_at_risk(m);
         /* It reports, but nothing of what we answer reaches it: its lease runs out though it is not silent. */
-        if (m->up && m->ignored >= 3) {
+        if (m->up && m->ignored_responses >= 3) {
             log_info("machine %s: its reports arrive, our answers don't reach it; returning it", m->id);
-            m->want_return = true;
+            m->return_wanted = true;
         }
         /* When a cut zone is heard again, its machines come one after the other: 65 healthy ones were once returned in
          * the moment in which the first of them answered. */
         if (z >= 0 && clock_seconds_since(zone_back[k][z]) < silent_limit()) silent = false;
         if (m->up && cut) silent = !wait_for_zone(m, &zones[z]);
         if (m->up && silent && hears) {
-            log_info("machine %s: silent for %.0f s, returning it", m->id, clock_seconds_since(m->heard));
-            m->want_return = true;
+            log_info("machine %s: silent for %.0f s, returning it", m->id, clock_seconds_since(m->last_heard));
+            m->return_wanted = true;
         }
         if (m->up && faulty_for_long(m)) {
             log_info("machine %s: different jobs fail on it, returning it", m->id);
-            m->want_return = true;
+            m->return_wanted = true;
         }
-        if (!m->up && clock_time_of_day() - m->born > boots_limit(m) && clock_seconds_since(m->mine_since) > 20) {
+        if (!m->up && clock_time_of_day() - m->created_at > boots_limit(m) &&
+            clock_seconds_since(m->owned_since) > 20) {
             log_info("machine %s: never came up, returning it", m->id);
-            m->want_return = true;
+            m->return_wanted = true;
         }
         if (m->up && holds_cancelled(m)) {
             log_info("machine %s: does not end a cancelled task, returning it", m->id);
-            m->want_return = true;
+            m->return_wanted = true;
         }
-        if (m->warning >= 0) {
-            double left = m->warning - clock_seconds_since(m->warned);
+        if (m->preemption_notice_s >= 0) {
+            double left = m->preemption_notice_s - clock_seconds_since(m->notice_received);
             for (guint b = 0; b < m->allocations->len; b++) {
                 struct allocation *x = m->allocations->pdata[b];
                 if (!x->stop_requested && x->job->spec.checkpoint_s > 0 && left < x->job->spec.checkpoint_flush_s + 6) {
@@ -248,11 +250,11 @@
                     }
                 }
             }
-            if (m->allocations->len == 0) m->want_return = true;
+            if (m->allocations->len == 0) m->return_wanted = true;
         }
         if (m->draining && m->allocations->len == 0) {
             log_info("machine %s: drained, returning it", m->id);
-            m->want_return = true;
+            m->return_wanted = true;
         } else if (m->draining && clock_has_elapsed(m->drain_since, cfg->tuning.drain_reopen)) {
             log_info("machine %s: still busy, drain given up", m->id);
             m->draining = false;
@@ -268,12 +270,12 @@
 /* A controller that came back after a minute once took the silence of all its machines for theirs: the first that were
  * heard again made the others look silent alone. */
 void watch_forgive(void) {
-    for (guint i = 0; i < records_machines()->len; i++) {
-        struct machine *m = records_machines()->pdata[i];
-        count_anew(&m->heard);
-        count_anew(&m->reported);
-        count_anew(&m->mine_since); /* a boot that was over meanwhile has not been heard of */
-        m->unanswered = 0;
+    for (guint i = 0; i < machines_all()->len; i++) {
+        struct machine *m = machines_all()->pdata[i];
+        count_anew(&m->last_heard);
+        count_anew(&m->last_heartbeat);
+        count_anew(&m->owned_since); /* a boot that was over meanwhile has not been heard of */
+        m->unanswered_probes = 0;
     }
 }
 
--- a/src/watch/watch.h
+++ b/src/watch/watch.h
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 
 #include "../http/client.h"
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 void watch_init(const struct settings *s);
 bool watch_try_workers(struct http_client *c); /* without the lock: whether one of a few workers answers */
--- a/src/workers/checkin.c
+++ b/src/workers/checkin.c
@@ -27,12 +27,12 @@
  * the last look at the store, and over as soon as store or owner is in reach. */
 bool workers_may_proxy(const struct machine *m) {
     const char *owner = m->shard < 0 ? "" : membership_shard(m->shard)->owner;
-    return store_unreachable() && membership_may_answer() && strcmp(m->site, workers_settings->area) == 0 &&
+    return store_unreachable() && membership_may_answer() && strcmp(m->zone, workers_settings->area) == 0 &&
            strcmp(owner, workers_settings->node) != 0 && !peers_reach(owner);
 }
 
 /* A start that the owner sent before it learned of the cancellation may be held up on its way into the zone. Our own
- * look may be later than the cancellation: kept alive, the session would take that start after cancel_s. */
+ * look may be later than the cancellation: kept alive, the incarnation would take that start after cancel_s. */
 bool workers_start_in_doubt(const struct machine *m, const cJSON *report) {
     const cJSON *x;
     int cancelled = 0, listed = 0;
@@ -57,28 +57,28 @@
         const struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
         workers_add_order(orders, "stop", s->task, s->attempt, 0);
     }
-    cJSON_AddNumberToObject(a, "fence", (double)records_token(m));
+    cJSON_AddNumberToObject(a, "fence", (double)machines_fencing_token(m));
     cJSON_AddItemToObject(a, "orders", orders);
     return a;
 }
 
 /* A machine that no record names: the owner of the shard that it would be in asks it, and adopts it. */
 static void on_unrecorded(struct http_request *r, const char *id, const char *address) {
-    int k = records_shard_of(id);
+    int k = machines_shard_of(id);
     if (!membership_owns(k)) {
         go_elsewhere(r, membership_shard(k)->owner);
         return;
     }
-    if (!records_known(id) && address && *address) workers_ask_unregistered(id, address);
+    if (!machines_known(id) && address && *address) workers_ask_unregistered(id, address);
     http_reply(r, 503, NULL, 1);
 }
 
 /* A machine of another's shard, or of one that we do not know to be ours yet. */
 static void on_anothers(struct http_request *r, struct machine *m, const cJSON *report) {
     const struct shard *s = membership_shard(m->shard);
-    int64_t fence = 0;
-    json_get_int64(report, "fence", &fence);
-    if (fence <= records_token(m) && workers_may_proxy(m) && !workers_start_in_doubt(m, report))
+    int64_t fencing_token = 0;
+    json_get_int64(report, "fence", &fencing_token);
+    if (fencing_token <= machines_fencing_token(m) && workers_may_proxy(m) && !workers_start_in_doubt(m, report))
         http_reply_json(r, 200, workers_proxy_answer(m, report), 0);
     else if (strcmp(s->owner, workers_settings->node) == 0)
         http_reply(r, 503, NULL, 1);
@@ -89,36 +89,36 @@
 static void learn_address(struct machine *m, const char *address) {
     if (!address || !*address || strcmp(address, m->address) == 0) return;
     g_strlcpy(m->address, address, sizeof m->address);
-    m->unwritten = true;
+    m->address_unrecorded = true;
 }
 
-static void answer_report(struct http_request *r, struct machine *m, const cJSON *report, int64_t fence) {
+static void answer_report(struct http_request *r, struct machine *m, const cJSON *report, int64_t fencing_token) {
     bool newest = workers_report(m, report, true);
-    if (newest && fence >= records_token(m)) records_row(m);
-    if (m->unknown && !workers_start_on_its_way(m) && records_token(m) <= m->unknown_fence) {
+    if (newest && fencing_token >= machines_fencing_token(m)) machines_add_occupancy_sample(m);
+    if (m->outcome_unknown && !workers_start_on_its_way(m) && machines_fencing_token(m) <= m->unknown_token) {
         /* A command may still be on its way: this machine's lease is renewed under a higher token only. */
-        m->need_raise = true;
+        m->needs_token_raise = true;
         rounds_kick();
         http_reply(r, 503, NULL, 1);
         return;
     }
     cJSON *a = cJSON_CreateObject();
-    cJSON_AddNumberToObject(a, "fence", (double)records_token(m));
+    cJSON_AddNumberToObject(a, "fence", (double)machines_fencing_token(m));
     cJSON_AddItemToObject(a, "orders", newest ? workers_orders(m, false) : cJSON_CreateArray());
     http_reply_json(r, 200, a, 0);
-    m->answered = true;
+    m->heartbeat_acknowledged = true;
 }
 
 static void on_ours(struct http_request *r, struct machine *m, const cJSON *report, const char *address) {
-    int64_t fence = 0;
-    json_get_int64(report, "fence", &fence);
+    int64_t fencing_token = 0;
+    json_get_int64(report, "fence", &fencing_token);
     learn_address(m, address);
-    if (fence > records_token(m))
+    if (fencing_token > machines_fencing_token(m))
         go_elsewhere(r, NULL); /* someone newer commands it */
     else if (!membership_may_answer())
         http_reply(r, 503, NULL, 1);
     else
-        answer_report(r, m, report, fence);
+        answer_report(r, m, report, fencing_token);
 }
 
 #define ID_MOST 60
@@ -134,12 +134,12 @@
         return;
     }
     store_lock();
-    struct machine *m = records_find(id);
+    struct machine *m = machines_find(id);
     if (!store_synced())
         http_reply(r, 503, NULL, 1);
     else if (!m)
         on_unrecorded(r, id, address);
-    else if (!records_mine(m))
+    else if (!machines_owned(m))
         on_anothers(r, m, report);
     else
         on_ours(r, m, report, address);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -42,15 +42,15 @@
     char *body;
     cJSON *ends; /* stops of cancelled tasks on another's machine; then there is no body */
     bool has_run;
-    int64_t fence, tenure, owned;
+    int64_t fencing_token, incarnation, owned;
     struct timespec decided;
 };
 
 /* The body of /commands; free it. */
-static char *command_body(int64_t fence, int64_t tenure, cJSON *orders) {
+static char *command_body(int64_t fencing_token, int64_t incarnation, cJSON *orders) {
     cJSON *o = cJSON_CreateObject();
-    cJSON_AddNumberToObject(o, "fence", (double)fence);
-    cJSON_AddNumberToObject(o, "tenure", (double)tenure);
+    cJSON_AddNumberToObject(o, "fence", (double)fencing_token);
+    cJSON_AddNumberToObject(o, "tenure", (double)incarnation);
     cJSON_AddItemReferenceToObject(o, "orders", orders);
     char *body = cJSON_PrintUnformatted(o);
     cJSON_Delete(o);
@@ -66,9 +66,9 @@
 static bool still_good(const struct direct_command *l) {
     if (!l->has_run) return true; /* most letters only ask: no lock for them */
     store_lock();
-    struct machine *m = records_find(l->id);
+    struct machine *m = machines_find(l->id);
     bool good = workers_still_good(true, clock_seconds_since(l->decided),
-                                   m && records_mine(m) && m->owned_fence == l->owned, membership_may_start_tasks());
+                                   m && machines_owned(m) && m->owned_token == l->owned, membership_may_start_tasks());
     store_unlock();
     return good;
 }
@@ -104,11 +104,11 @@
 }
 
 static void adopt_answer(const struct direct_command *l, const cJSON *a) {
-    const char *id = json_get_string(a, "host"), *sku = json_get_string(a, "flavour"),
+    const char *id = json_get_string(a, "host"), *type_name = json_get_string(a, "flavour"),
                *site = json_get_string(a, "site");
-    if (!id || strcmp(id, l->id) != 0 || !sku || !site) return;
+    if (!id || strcmp(id, l->id) != 0 || !type_name || !site) return;
     store_lock();
-    records_adopt(l->id, l->address, sku, site, json_get_bool(a, "reclaimable"));
+    machines_adopt(l->id, l->address, type_name, site, json_get_bool(a, "reclaimable"));
     store_unlock();
 }
 
@@ -121,44 +121,44 @@
  * holds without it. */
 static void end_cancelled_elsewhere(struct machine *m) {
     cJSON *orders = NULL;
-    if (!m->address[0] || m->allocations->len == 0 || clock_seconds_since(m->asked_to_end) < END_AGAIN_S) return;
-    for (guint i = 0; i < m->allocations->len && i < RECORDS_TASKS_MOST; i++) {
+    if (!m->address[0] || m->allocations->len == 0 || clock_seconds_since(m->stops_requested_at) < END_AGAIN_S) return;
+    for (guint i = 0; i < m->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *b = m->allocations->pdata[i];
         char task[96];
-        if (b->released || !b->job->cancel_acknowledged || b->asked_to_end >= END_TRIES) continue;
+        if (b->released || !b->job->cancel_acknowledged || b->stop_requests >= END_TRIES) continue;
         snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
         if (!orders) orders = cJSON_CreateArray();
         workers_add_order(orders, "stop", task, b->attempt, 0);
-        b->asked_to_end++;
+        b->stop_requests++;
     }
     if (!orders) return;
-    m->asked_to_end = clock_now();
+    m->stops_requested_at = clock_now();
     struct direct_command *l = g_new0(struct direct_command, 1);
     g_strlcpy(l->id, m->id, sizeof l->id);
     g_strlcpy(l->address, m->address, sizeof l->address);
-    l->fence = records_token(m);
-    l->tenure = m->tenure > 0 ? m->tenure : 1;
+    l->fencing_token = machines_fencing_token(m);
+    l->incarnation = m->incarnation > 0 ? m->incarnation : 1;
     l->ends = orders;
     post(&outbox, l);
 }
 
-/* Sends stops to another's machine, a second time if it is in another session than we know. */
+/* Sends stops to another's machine, a second time if it is in another incarnation than we know. */
 static void send_ends(struct http_client *c, const struct direct_command *l) {
     char url[160];
-    int64_t tenure = l->tenure;
+    int64_t incarnation = l->incarnation;
     snprintf(url, sizeof url, "http://%s/commands", l->address);
     for (int i = 0; i < 2; i++) {
         long status = 0;
         cJSON *a = NULL;
-        char *body = command_body(l->fence, tenure, l->ends);
+        char *body = command_body(l->fencing_token, incarnation, l->ends);
         bool answered = http_call(c, "POST", url, body, ANSWER_MS, &status, &a) == HTTP_ANSWERED;
         free(body);
         log_debug("machine %s: asked to end cancelled tasks, %ld", l->id, status);
         int64_t shown = 0;
         const char *host = json_get_string(a, "host");
         bool again = answered && status == 409 && host && strcmp(host, l->id) == 0 &&
-                     json_get_int64(a, "tenure", &shown) && shown != tenure;
-        tenure = shown;
+                     json_get_int64(a, "tenure", &shown) && shown != incarnation;
+        incarnation = shown;
         cJSON_Delete(a);
         if (!again) break;
     }
@@ -168,23 +168,23 @@
 static void take_outcome(const struct direct_command *l, enum http_outcome out, long status, const cJSON *answer,
                          bool good, bool in_time) {
     store_lock();
-    struct machine *m = records_find(l->id);
-    if (m && m->sending) {
-        m->sending = false;
-        bool same = records_mine(m) && m->owned_fence == l->owned;
-        if (same && good && out != HTTP_ANSWERED && in_time && m->unanswered++ == 0)
-            records_shards[m->shard].alarm = clock_now();
+    struct machine *m = machines_find(l->id);
+    if (m && m->command_in_flight) {
+        m->command_in_flight = false;
+        bool same = machines_owned(m) && m->owned_token == l->owned;
+        if (same && good && out != HTTP_ANSWERED && in_time && m->unanswered_probes++ == 0)
+            shard_states[m->shard].suspicion_at = clock_now();
         bool answered = out == HTTP_ANSWERED && (status == 200 || status == 409);
         /* Only a start's outcome matters: a late stop or forget harms nobody, attempts are unique. */
         if (same && l->has_run) {
             if (!answered && out != HTTP_NOT_SENT)
                 log_info("machine %s: a command's outcome is not known, raising its token", m->id);
-            else if (m->unknown_fence == l->fence && m->unknown_tenure == l->tenure)
-                m->unknown = false;
+            else if (m->unknown_token == l->fencing_token && m->unknown_incarnation == l->incarnation)
+                m->outcome_unknown = false;
         }
         if (same && answered && answer) workers_report(m, answer, false);
         /* It has the token now: what waited for that need not wait for its next report. */
-        if (same && (!good || (answered && !l->has_run))) m->kick = true;
+        if (same && (!good || (answered && !l->has_run))) m->wake = true;
     }
     store_unlock();
 }
@@ -244,23 +244,25 @@
 
 static void send_due_commands(void) {
     store_lock();
-    GPtrArray *ms = records_machines();
+    GPtrArray *ms = machines_all();
     bool may_start = membership_may_start_tasks();
     for (guint i = 0; i < ms->len; i++) {
         struct machine *m = ms->pdata[i];
-        if (store_unreachable() && m->known && !records_mine(m)) end_cancelled_elsewhere(m);
-        if ((!m->kick && !m->hello) || !records_mine(m)) continue;
-        if (!m->address[0] || m->sending || (m->unknown && !m->hello) || m->dead || (!m->up && !m->hello)) continue;
+        if (store_unreachable() && m->known && !machines_owned(m)) end_cancelled_elsewhere(m);
+        if ((!m->wake && !m->needs_token_probe) || !machines_owned(m)) continue;
+        if (!m->address[0] || m->command_in_flight || (m->outcome_unknown && !m->needs_token_probe) ||
+            m->released_by_cloud || (!m->up && !m->needs_token_probe))
+            continue;
         if (!membership_may_answer()) continue;
         /* One that has just failed to answer is asked before it is ordered anything: orders to a hundred that hang at
          * once would hold up everybody's. */
-        bool hello = m->hello || m->unanswered > 0;
-        m->hello = m->kick = false;
-        if (!hello && m->seen_fence < records_token(m)) hello = true;
+        bool hello = m->needs_token_probe || m->unanswered_probes > 0;
+        m->needs_token_probe = m->wake = false;
+        if (!hello && m->seen_token < machines_fencing_token(m)) hello = true;
         cJSON *orders = hello ? cJSON_CreateArray() : workers_orders(m, true);
         /* What must wait for a look at the store goes as soon as there is one. */
         for (guint b = 0; !may_start && b < m->allocations->len; b++)
-            m->kick |= workers_waits_for_start(m->allocations->pdata[b]);
+            m->wake |= workers_waits_for_start(m->allocations->pdata[b]);
         if (!hello && cJSON_GetArraySize(orders) == 0) {
             cJSON_Delete(orders);
             continue;
@@ -270,18 +272,18 @@
         cJSON_ArrayForEach(x, orders) l->has_run |= strcmp(json_get_string(x, "verb"), "run") == 0;
         g_strlcpy(l->id, m->id, sizeof l->id);
         g_strlcpy(l->address, m->address, sizeof l->address);
-        l->fence = records_token(m);
-        l->tenure = m->tenure > 0 ? m->tenure : 1;
-        l->owned = m->owned_fence;
+        l->fencing_token = machines_fencing_token(m);
+        l->incarnation = m->incarnation > 0 ? m->incarnation : 1;
+        l->owned = m->owned_token;
         l->decided = clock_now();
-        l->body = command_body(l->fence, l->tenure, orders);
+        l->body = command_body(l->fencing_token, l->incarnation, orders);
         cJSON_Delete(orders);
-        m->sending = true;
-        m->asking = hello;
+        m->command_in_flight = true;
+        m->probe_in_flight = hello;
         if (l->has_run) {
-            m->unknown = true;
-            m->unknown_fence = l->fence;
-            m->unknown_tenure = l->tenure;
+            m->outcome_unknown = true;
+            m->unknown_token = l->fencing_token;
+            m->unknown_incarnation = l->incarnation;
         }
         post(hello ? &probes : &outbox, l);
     }
--- a/src/workers/orders.c
+++ b/src/workers/orders.c
@@ -22,23 +22,24 @@
 /* Booked by us and not yet shown by the worker. */
 bool workers_waits_for_start(const struct allocation *b) {
     return !b->released && !b->stop_requested && !b->seen && !b->inherited && b->job->state == JOB_QUEUED &&
-           !chains_waits(b->job) && !b->m->returning && !b->m->want_return;
+           !chains_waits(b->job) && !b->m->returning && !b->m->return_wanted;
 }
 
 cJSON *workers_orders(struct machine *m, bool direct) {
     cJSON *list = cJSON_CreateArray();
-    bool ours = m->seen_fence >= records_token(m); /* first the token, then orders, but for stops that can't wait */
+    bool ours =
+        m->seen_token >= machines_fencing_token(m); /* first the token, then orders, but for stops that can't wait */
     bool may_start = membership_may_start_tasks();
-    for (guint i = 0; i < m->unknown_tasks->len && i < RECORDS_TASKS_MOST; i++) {
+    for (guint i = 0; i < m->unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
         struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
         /* As long as the worker lists an attempt, a start of it that still comes does nothing. */
-        if (s->ended && (!ours || m->unknown || workers_start_on_its_way(m))) continue;
+        if (s->ended && (!ours || m->outcome_unknown || workers_start_on_its_way(m))) continue;
         if (s->ended)
             workers_add_order(list, "forget", s->task, s->attempt, -1);
         else
             workers_add_order(list, "stop", s->task, s->attempt, 0);
     }
-    for (guint i = 0; ours && i < m->allocations->len && i < RECORDS_TASKS_MOST; i++) {
+    for (guint i = 0; ours && i < m->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *b = m->allocations->pdata[i];
         char task[96];
         if (b->released) continue;
@@ -51,7 +52,7 @@
             workers_add_order(list, "run", task, b->attempt, -1);
             if (!direct) {
                 b->starts_sent++;
-                m->ordered_tenure = m->tenure;
+                m->start_incarnation = m->incarnation;
             }
         }
     }
--- a/src/workers/reports.c
+++ b/src/workers/reports.c
@@ -21,7 +21,7 @@
 
 /* A command that may carry starts is on its way. One that only asks does not count: a machine whose last start is in
  * doubt is asked all the same, else those that hang with a start in doubt were found 5 s later than the others. */
-bool workers_start_on_its_way(const struct machine *m) { return m->sending && !m->asking; }
+bool workers_start_on_its_way(const struct machine *m) { return m->command_in_flight && !m->probe_in_flight; }
 
 static enum task_state state_of(const char *s) {
     static const char *const names[] = {"", "fetching", "gathering", "running", "flushing", "ended"};
@@ -102,10 +102,10 @@
  * proves nothing: no sign of life, no occupancy row, nothing about its tasks. Asked directly, a live one takes the
  * token up at once. One whose reports arrive but which never does is out of reach of our answers. */
 static void take_outdated(struct machine *m, const cJSON *report, bool checkin) {
-    if (checkin && m->answered) m->ignored++;
-    if (checkin && clock_seconds_since(m->probed) > PROBE_S) {
-        m->probed = clock_now();
-        m->hello = m->kick = true;
+    if (checkin && m->heartbeat_acknowledged) m->ignored_responses++;
+    if (checkin && clock_seconds_since(m->last_probe) > PROBE_S) {
+        m->last_probe = clock_now();
+        m->needs_token_probe = m->wake = true;
         workers_kick();
     }
     workers_list_cancelled(m, report);
@@ -113,34 +113,34 @@
 
 /* Counts reports that show nothing of what we answered: its lease ended although each of its reports was answered, or
  * orders answered twice are not taken up. */
-static void count_ignored(struct machine *m, const cJSON *report, bool new_session) {
+static void count_ignored(struct machine *m, const cJSON *report, bool new_incarnation) {
     int waiting = 0;
     for (guint i = 0; i < m->allocations->len; i++) {
         const struct allocation *b = m->allocations->pdata[i];
         waiting += !b->seen && !b->stop_requested && b->starts_sent >= 2;
     }
     const cJSON *tasks = cJSON_GetObjectItemCaseSensitive(report, "tasks");
-    if (new_session && m->answered &&
-        clock_seconds_since(m->reported) < clock_to_seconds(workers_settings->lease) * 0.7)
-        m->ignored += 2;
+    if (new_incarnation && m->heartbeat_acknowledged &&
+        clock_seconds_since(m->last_heartbeat) < clock_to_seconds(workers_settings->lease) * 0.7)
+        m->ignored_responses += 2;
     else if (waiting && cJSON_GetArraySize(tasks) < waiting)
-        m->ignored++;
+        m->ignored_responses++;
     else
-        m->ignored = 0;
+        m->ignored_responses = 0;
 }
 
-static void take_sign_of_life(struct machine *m, int64_t fence, bool checkin) {
-    m->seen_fence = fence;
-    m->heard = clock_now();
-    m->unanswered = 0;
+static void take_sign_of_life(struct machine *m, int64_t fencing_token, bool checkin) {
+    m->seen_token = fencing_token;
+    m->last_heard = clock_now();
+    m->unanswered_probes = 0;
     /* The first answer may be to a question of ours, long after it was rented: its reports are due from now on. One in
      * sixteen machines was once returned the moment it came up, for not having reported. */
-    if (checkin || !m->up) m->reported = m->heard;
+    if (checkin || !m->up) m->last_heartbeat = m->last_heard;
     if (!m->up) {
         log_info("machine %s: up", m->id);
         /* Only who owned it all the while knows that this is its first word. */
-        if (!m->had_task && clock_time_of_day() - m->born < clock_seconds_since(m->mine_since) + RENTAL_S)
-            boots_note(m->sku, clock_time_of_day() - m->born);
+        if (!m->had_task && clock_time_of_day() - m->created_at < clock_seconds_since(m->owned_since) + RENTAL_S)
+            boots_note(m->type_name, clock_time_of_day() - m->created_at);
     }
     m->up = true;
 }
@@ -148,12 +148,12 @@
 static void take_notice(struct machine *m, const cJSON *report) {
     const cJSON *warning = cJSON_GetObjectItemCaseSensitive(report, "warning_s");
     if (!cJSON_IsNumber(warning)) {
-        m->warning = -1;
+        m->preemption_notice_s = -1;
         return;
     }
-    if (m->warning < 0) log_info("machine %s: notice, taken in %.0f s", m->id, warning->valuedouble);
-    m->warning = warning->valuedouble;
-    m->warned = m->heard;
+    if (m->preemption_notice_s < 0) log_info("machine %s: notice, taken in %.0f s", m->id, warning->valuedouble);
+    m->preemption_notice_s = warning->valuedouble;
+    m->notice_received = m->last_heard;
 }
 
 static void log_start(const struct allocation *b, const char *task) {
@@ -167,7 +167,7 @@
 /* One task of the list. True if that ended it. */
 static bool take_state(struct allocation *b, const char *task, enum task_state state, const char *cause) {
     b->seen = true;
-    if (b->state != state) b->state_since = b->m->heard;
+    if (b->state != state) b->state_since = b->m->last_heard;
     if (state == TASK_RUNNING && b->state != state) log_start(b, task);
     b->state = state;
     if (state == TASK_RUNNING && b->job->spec.kind == JOB_SERVICE && clock_seconds_since(b->state_since) > PROVEN_S)
@@ -205,7 +205,7 @@
 /* allocations that the report does not list: gone, if nothing is under way that may still start them. */
 static bool release_absent(struct machine *m, const bool *listed) {
     bool change = false;
-    if (m->unknown || workers_start_on_its_way(m)) return false;
+    if (m->outcome_unknown || workers_start_on_its_way(m)) return false;
     for (guint i = 0; i < m->allocations->len && i < BOOKINGS_MOST; i++) {
         struct allocation *b = m->allocations->pdata[i];
         if (listed[i] || b->released) continue;
@@ -222,34 +222,36 @@
 }
 
 bool workers_report(struct machine *m, const cJSON *report, bool checkin) {
-    int64_t tenure = 0, seq = 0, fence = 0;
-    if (!json_get_int64(report, "tenure", &tenure) || !json_get_int64(report, "seq", &seq) || !readable(m, report)) {
+    int64_t incarnation = 0, sequence = 0, fencing_token = 0;
+    if (!json_get_int64(report, "tenure", &incarnation) || !json_get_int64(report, "seq", &sequence) ||
+        !readable(m, report)) {
         log_debug("machine %s: a report that can't be read", m->id);
         return false;
     }
-    json_get_int64(report, "fence", &fence);
+    json_get_int64(report, "fence", &fencing_token);
     /* A copy of what is known already, or of something older. */
-    if (tenure < m->tenure || (tenure == m->tenure && seq <= m->seq)) return false;
-    bool new_session = m->tenure > 0 && tenure > m->tenure;
-    m->tenure = tenure;
-    m->seq = seq;
-    if (fence < records_token(m)) {
+    if (incarnation < m->incarnation || (incarnation == m->incarnation && sequence <= m->sequence)) return false;
+    bool new_incarnation = m->incarnation > 0 && incarnation > m->incarnation;
+    m->incarnation = incarnation;
+    m->sequence = sequence;
+    if (fencing_token < machines_fencing_token(m)) {
         take_outdated(m, report, checkin);
         return true;
     }
-    if (checkin) count_ignored(m, report, new_session);
-    take_sign_of_life(m, fence, checkin);
+    if (checkin) count_ignored(m, report, new_incarnation);
+    take_sign_of_life(m, fencing_token, checkin);
     take_notice(m, report);
-    if (m->unknown && !workers_start_on_its_way(m) && (fence > m->unknown_fence || tenure > m->unknown_tenure)) {
-        m->unknown = false;
-        m->need_raise = false;
+    if (m->outcome_unknown && !workers_start_on_its_way(m) &&
+        (fencing_token > m->unknown_token || incarnation > m->unknown_incarnation)) {
+        m->outcome_unknown = false;
+        m->needs_token_raise = false;
     }
     bool listed[BOOKINGS_MOST] = {false};
     bool change = take_listed(m, report, listed);
-    /* A report follows every answer of ours. A direct answer does not, unless none of this session carried a start:
-     * others' and earlier ones' answers are ruled out by the token and the session that it shows. So a takeover knows
-     * what runs as soon as it has asked; waiting for reports took 20 s after a cut. */
-    bool proves = checkin || m->ordered_tenure < tenure;
+    /* A report follows every answer of ours. A direct answer does not, unless none of this incarnation carried a start:
+     * others' and earlier ones' answers are ruled out by the token and the incarnation that it shows. So a takeover
+     * knows what runs as soon as it has asked; waiting for reports took 20 s after a cut. */
+    bool proves = checkin || m->start_incarnation < incarnation;
     if (proves) change |= release_absent(m, listed);
     if (change) rounds_kick();
     return true;
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -5,7 +5,7 @@
 
 #include "../http/server.h"
 #include "../json/json.h"
-#include "../records/records.h"
+#include "../machines/machines.h"
 
 void workers_init(const struct settings *s);
 void workers_start(void);
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -36,19 +36,19 @@
 static int64_t mod_revision = 1000000;
 
 /* One machine on a page of its own, with allocations of one job under base 5, ordered by us unless inherited. */
-static struct machine *fresh(const char *id, int64_t fence, const char *job_id, const char *allocations,
+static struct machine *fresh(const char *id, int64_t fencing_token, const char *job_id, const char *allocations,
                              bool inherited) {
     char key[64], json[400];
     g_snprintf(json, sizeof json,
                "{\"sku\":[\"g\"],\"site\":[\"za\"],\"img\":[],\"m\":[[\"%s\",\"\",0,0,0,%lld,1,\"\"]]}", id,
-               (long long)fence);
+               (long long)fencing_token);
     put("fleet/0/0", json, ++mod_revision);
-    struct machine *m = records_find(id);
+    struct machine *m = machines_find(id);
     assert_non_null(m);
     g_snprintf(key, sizeof key, "run/%s/0", job_id);
     g_snprintf(json, sizeof json, "{\"f\":5,\"b\":\"%s\"}", allocations);
     put(key, json, ++mod_revision);
-    assert_true(records_mine(m));
+    assert_true(machines_owned(m));
     for (guint i = 0; i < m->allocations->len; i++)
         ((struct allocation *)m->allocations->pdata[i])->inherited = inherited;
     return m;
@@ -61,10 +61,11 @@
     store_apply("fleet/0/0", NULL, ++mod_revision);
 }
 
-static bool report(struct machine *m, int tenure, int seq, int64_t fence, const char *tasks, bool checkin) {
+static bool report(struct machine *m, int incarnation, int sequence, int64_t fencing_token, const char *tasks,
+                   bool checkin) {
     char json[600];
-    g_snprintf(json, sizeof json, "{\"tenure\":%d,\"seq\":%d,\"fence\":%lld,\"warning_s\":null,\"tasks\":[%s]}", tenure,
-               seq, (long long)fence, tasks);
+    g_snprintf(json, sizeof json, "{\"tenure\":%d,\"seq\":%d,\"fence\":%lld,\"warning_s\":null,\"tasks\":[%s]}",
+               incarnation, sequence, (long long)fencing_token, tasks);
     cJSON *o = cJSON_Parse(json);
     assert_non_null(o);
     bool newest = workers_report(m, o, checkin);
@@ -87,12 +88,12 @@
 /* When an allocation counts as gone. Each row: reports in order, then whether it is released. */
 static void proofs(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     static const struct {
         const char *what, *first, *second;
-        int tenure, seq, less; /* of the second report; less: fence below ours */
+        int incarnation, sequence, less; /* of the second report; less: fence below ours */
         bool checkin, unknown, inherited, over;
-        int ordered; /* session in which an answer to a report carried starts */
+        int ordered; /* incarnation in which an answer to a report carried starts */
     } rows[] = {
         {"seen, then not listed", T("running"), "", 1, 3, 0, true, false, false, true, 0},
         {"seen, then not listed by an older report", T("running"), "", 1, 1, 0, true, false, false, false, 0},
@@ -122,13 +123,13 @@
         struct machine *m = fresh(id, 0, "req-10001", at, rows[i].inherited);
         struct allocation *b = m->allocations->pdata[0];
         if (rows[i].first) assert_true(report(m, 1, 2, f, rows[i].first, true));
-        m->ordered_tenure = rows[i].ordered;
+        m->start_incarnation = rows[i].ordered;
         if (rows[i].unknown) {
-            m->unknown = true;
-            m->unknown_fence = f;
-            m->unknown_tenure = 1;
+            m->outcome_unknown = true;
+            m->unknown_token = f;
+            m->unknown_incarnation = 1;
         }
-        report(m, rows[i].tenure, rows[i].seq, f - rows[i].less, rows[i].second, rows[i].checkin);
+        report(m, rows[i].incarnation, rows[i].sequence, f - rows[i].less, rows[i].second, rows[i].checkin);
         if (b->released != rows[i].over) fail_msg("%s: over is %d", rows[i].what, b->released);
         away("req-10001");
     }
@@ -138,7 +139,7 @@
 /* A takeover with a start still in flight: nothing is ordered or released until the worker shows our token. */
 static void takeover_in_flight(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     store_lock();
     struct machine *m = fresh("i-000900", 0, "req-10001", BOOKED("i-000900"), true);
     struct allocation *b = m->allocations->pdata[0];
@@ -158,28 +159,28 @@
 }
 
 /* A raise of the machine's token is the proof that an unanswered command can't come any more. */
-static void raise_token(void **state) {
+static void raise_fencing_token(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     store_lock();
     struct machine *m = fresh("i-000901", 0, "req-10001", BOOKED("i-000901"), false);
     struct allocation *b = m->allocations->pdata[0];
     report(m, 1, 1, f, "", true);
-    m->unknown = true;
-    m->unknown_fence = f;
-    m->unknown_tenure = 1;
+    m->outcome_unknown = true;
+    m->unknown_token = f;
+    m->unknown_incarnation = 1;
     b->stop_requested = true;
     report(m, 1, 2, f, "", true);
-    assert_true(m->unknown);
+    assert_true(m->outcome_unknown);
     assert_false(b->released);
     char json[300];
     g_snprintf(json, sizeof json, "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-000901\",\"\",0,0,0,%lld,1,\"\"]]}",
                (long long)f + 7);
     put("fleet/0/0", json, ++mod_revision);
-    assert_int_equal(records_token(m), f + 7);
-    assert_true(records_find("i-000901")->allocations->pdata[0] == b); /* what is known of it stays */
+    assert_int_equal(machines_fencing_token(m), f + 7);
+    assert_true(machines_find("i-000901")->allocations->pdata[0] == b); /* what is known of it stays */
     report(m, 1, 3, f + 7, "", true);
-    assert_false(m->unknown);
+    assert_false(m->outcome_unknown);
     assert_true(b->released);
     away("req-10001");
     store_unlock();
@@ -187,7 +188,7 @@
 
 static void cancelled(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     store_lock();
     put("job/req-10002", SPEC("req-10002", "batch", "2"), ++mod_revision);
     struct machine *m = fresh("i-000902", 0, "req-10002", "0@i-000902+0 1@i-000902+1", false);
@@ -210,7 +211,7 @@
  * The stop of a cancelled task goes with that first answer. */
 static void cancelled_under_old_token(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     store_lock();
     put("job/req-10004", SPEC("req-10004", "batch", "2"), ++mod_revision);
     struct machine *m = fresh("i-000940", 0, "req-10004", "0@i-000940+0 1@i-000940+1", true);
@@ -233,34 +234,34 @@
 /* Copies of reports, from seconds to minutes late, before and after a change of owner. */
 static void late_copies(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     store_lock();
     struct machine *m = fresh("i-000920", 0, "req-10001", BOOKED("i-000920"), false);
     struct allocation *b = m->allocations->pdata[0];
     assert_true(report(m, 2, 8, f, T("running"), true));
-    m->heard.tv_sec -= 20;
-    struct timespec heard = m->heard;
+    m->last_heard.tv_sec -= 20;
+    struct timespec heard = m->last_heard;
     static const struct {
-        int tenure, seq, less;
+        int incarnation, sequence, less;
         const char *tasks;
     } copies[] = {{2, 8, 0, ""}, {2, 7, 0, ""}, {1, 99, 0, ""}, {2, 5, 1, T("ended")}};
     for (size_t i = 0; i < G_N_ELEMENTS(copies); i++)
-        assert_false(report(m, copies[i].tenure, copies[i].seq, f - copies[i].less, copies[i].tasks, true));
+        assert_false(report(m, copies[i].incarnation, copies[i].sequence, f - copies[i].less, copies[i].tasks, true));
     assert_false(b->released);
-    assert_int_equal(m->tenure, 2);
-    assert_int_equal(m->seq, 8);
-    assert_int_equal(m->heard.tv_sec, heard.tv_sec);
+    assert_int_equal(m->incarnation, 2);
+    assert_int_equal(m->sequence, 8);
+    assert_int_equal(m->last_heard.tv_sec, heard.tv_sec);
     /* To an owner that knows nothing of the machine yet the copy is new, but its token is old. */
-    m->owned_fence = 0;
-    m->tenure = m->seq = 0;
-    assert_true(records_mine(m));
-    heard = m->heard;
+    m->owned_token = 0;
+    m->incarnation = m->sequence = 0;
+    assert_true(machines_owned(m));
+    heard = m->last_heard;
     m->up = false;
     report(m, 2, 4, f - 1, "", true);
     assert_false(b->released);
     assert_false(m->up);
-    assert_true(m->heard.tv_sec == heard.tv_sec && m->heard.tv_nsec == heard.tv_nsec);
-    assert_true(m->hello); /* it is asked */
+    assert_true(m->last_heard.tv_sec == heard.tv_sec && m->last_heard.tv_nsec == heard.tv_nsec);
+    assert_true(m->needs_token_probe); /* it is asked */
     report(m, 2, 9, f, T("running"), true);
     assert_true(m->up);
     assert_false(b->released);
@@ -271,17 +272,17 @@
 /* A machine that took long to boot and is first heard by a direct answer. */
 static void first_answer(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     store_lock();
     struct machine *m = fresh("i-000950", 0, "req-10001", BOOKED("i-000950"), false);
     m->up = false;
-    m->reported.tv_sec -= 300;
+    m->last_heartbeat.tv_sec -= 300;
     report(m, 1, 1, f, "", false);
     assert_true(m->up);
-    assert_true(clock_seconds_since(m->reported) < 5);
-    m->reported.tv_sec -= 300;
+    assert_true(clock_seconds_since(m->last_heartbeat) < 5);
+    m->last_heartbeat.tv_sec -= 300;
     report(m, 1, 2, f, "", false); /* once up, only reports count */
-    assert_true(clock_seconds_since(m->reported) > 200);
+    assert_true(clock_seconds_since(m->last_heartbeat) > 200);
     away("req-10001");
     store_unlock();
 }
@@ -289,7 +290,7 @@
 /* Reports arrive, answers and orders don't: not silent, yet of no use. */
 static void out_of_reach(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     static const struct {
         const char *what;
         int less, ordered, tenure_step;
@@ -306,14 +307,14 @@
         struct machine *m = fresh("i-000930", 0, "req-10001", BOOKED("i-000930"), false);
         struct allocation *b = m->allocations->pdata[0];
         report(m, 1, 1, f, rows[i].ordered ? "" : T("running"), true);
-        m->answered = true;
+        m->heartbeat_acknowledged = true;
         b->starts_sent = rows[i].ordered;
         for (int n = 0; n < 4; n++) {
-            m->reported = clock_now();
+            m->last_heartbeat = clock_now();
             report(m, 1 + rows[i].tenure_step * (n + 1), 2 + n, f - rows[i].less, rows[i].ordered ? "" : T("running"),
                    true);
         }
-        if (m->ignored != rows[i].ignored) fail_msg("%s: %d", rows[i].what, m->ignored);
+        if (m->ignored_responses != rows[i].ignored) fail_msg("%s: %d", rows[i].what, m->ignored_responses);
         away("req-10001");
     }
     store_unlock();
@@ -328,7 +329,7 @@
         "{\"sku\":[\"g\"],\"site\":[\"za\",\"zb\"],\"m\":[[\"i-000960\",\"\",0,0,0,0,1,\"\"],"
         "[\"i-000961\",\"\",0,1,0,0,1,\"\"]]}",
         ++mod_revision);
-    struct machine *here = records_find("i-000960"), *there = records_find("i-000961");
+    struct machine *here = machines_find("i-000960"), *there = machines_find("i-000961");
     char *text = site_with(SPEC("req-10005", "batch", "2"), "\"queued\"", "\"cancelled\"");
     put("job/req-10005", SPEC("req-10005", "batch", "2"), ++mod_revision);
     put("job/req-10005", text, ++mod_revision);
@@ -368,7 +369,7 @@
 /* What is on its way to the machine, and whether a report that does not list a seen task proves its end. */
 static void under_way(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     static const struct {
         const char *what;
         bool sending, asking, unknown, over;
@@ -381,11 +382,11 @@
         struct machine *m = fresh("i-000970", 0, "req-10001", BOOKED("i-000970"), false);
         struct allocation *b = m->allocations->pdata[0];
         report(m, 1, 1, f, T("running"), true);
-        m->sending = rows[i].sending;
-        m->asking = rows[i].asking;
-        m->unknown = rows[i].unknown;
-        m->unknown_fence = f;
-        m->unknown_tenure = 1;
+        m->command_in_flight = rows[i].sending;
+        m->probe_in_flight = rows[i].asking;
+        m->outcome_unknown = rows[i].unknown;
+        m->unknown_token = f;
+        m->unknown_incarnation = 1;
         report(m, 1, 2, f, "", true);
         bool over = b->released;
         away("req-10001");
@@ -397,7 +398,7 @@
 /* Reports that can't be read, or come from elsewhere, are no news: nothing is released, nobody is alive by them. */
 static void unreadable(void **state) {
     (void)state;
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     static const struct {
         const char *what, *report;
         bool news;
@@ -418,7 +419,7 @@
         struct machine *m = fresh("i-000980", 0, "req-10001", BOOKED("i-000980"), false);
         struct allocation *b = m->allocations->pdata[0];
         assert_true(report(m, 1, 1, f, T("running"), true));
-        m->heard.tv_sec -= 20;
+        m->last_heard.tv_sec -= 20;
         char json[300];
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wformat-nonliteral"
@@ -427,7 +428,8 @@
         cJSON *o = cJSON_Parse(json);
         assert_non_null(o);
         bool news = workers_report(m, o, true);
-        if (news != rows[i].news || b->released != rows[i].news || (clock_seconds_since(m->heard) < 10) != rows[i].news)
+        if (news != rows[i].news || b->released != rows[i].news ||
+            (clock_seconds_since(m->last_heard) < 10) != rows[i].news)
             fail_msg("%s: news %d, over %d", rows[i].what, news, b->released);
         cJSON_Delete(o);
         away("req-10001");
@@ -439,7 +441,7 @@
 static void starts_need_a_look(void **state) {
     (void)state;
     store_lock();
-    int64_t f = membership_shard(0)->fence;
+    int64_t f = membership_shard(0)->fencing_token;
     struct machine *m = fresh("i-000981", 0, "req-10001", BOOKED("i-000981"), false);
     assert_true(report(m, 1, 1, f, "", true));
     assert_int_equal(orders(m, "run"), 1);
@@ -474,8 +476,8 @@
     store_unlock();
 }
 
-/* A start of a cancelled job that the owner may have sent before it knew: a stand-in must not keep the session alive
- * for it. */
+/* A start of a cancelled job that the owner may have sent before it knew: a stand-in must not keep the incarnation
+ * alive for it. */
 static void start_in_doubt(void **state) {
     (void)state;
     static const struct {
@@ -540,7 +542,7 @@
     owned_start(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(proofs),
                                        cmocka_unit_test(takeover_in_flight),
-                                       cmocka_unit_test(raise_token),
+                                       cmocka_unit_test(raise_fencing_token),
                                        cmocka_unit_test(cancelled),
                                        cmocka_unit_test(cancelled_under_old_token),
                                        cmocka_unit_test(late_copies),
--- a/tests/standin/fleet.c
+++ b/tests/standin/fleet.c
@@ -41,7 +41,7 @@
     enum standin_reach reach;
     int at; /* the controller it reports to */
     struct timespec answered;
-    int64_t tenure, seq, fence;
+    int64_t incarnation, sequence, fencing_token;
     GArray *tasks;
 };
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
@@ -105,9 +105,9 @@
     cJSON_AddStringToObject(o, "flavour", "g4");
     cJSON_AddStringToObject(o, "site", "za");
     cJSON_AddBoolToObject(o, "reclaimable", w->spot);
-    cJSON_AddNumberToObject(o, "tenure", (double)w->tenure);
-    cJSON_AddNumberToObject(o, "seq", (double)++w->seq);
-    cJSON_AddNumberToObject(o, "fence", (double)w->fence);
+    cJSON_AddNumberToObject(o, "tenure", (double)w->incarnation);
+    cJSON_AddNumberToObject(o, "seq", (double)++w->sequence);
+    cJSON_AddNumberToObject(o, "fence", (double)w->fencing_token);
     list = cJSON_AddArrayToObject(o, "tasks");
     for (guint t = 0; t < w->tasks->len; t++) {
         struct task *x = &g_array_index(w->tasks, struct task, t);
@@ -159,9 +159,9 @@
 }
 
 static void obey(struct worker *w, const cJSON *answer) {
-    int64_t fence = 0;
-    if (!json_get_int64(answer, "fence", &fence) || fence < w->fence) return;
-    w->fence = fence;
+    int64_t fencing_token = 0;
+    if (!json_get_int64(answer, "fence", &fencing_token) || fencing_token < w->fencing_token) return;
+    w->fencing_token = fencing_token;
     const cJSON *x;
     cJSON_ArrayForEach(x, cJSON_GetObjectItem(answer, "orders")) {
         const char *verb = json_get_string(x, "verb"), *task = json_get_string(x, "task");
@@ -198,11 +198,11 @@
     }
 }
 
-/* Executes commands if token and session match. */
+/* Executes commands if token and incarnation match. */
 static bool command(struct worker *w, const cJSON *o) {
-    int64_t fence = 0, tenure = 0;
-    bool good = json_get_int64(o, "fence", &fence) && json_get_int64(o, "tenure", &tenure) && fence >= w->fence &&
-                tenure == w->tenure;
+    int64_t fencing_token = 0, incarnation = 0;
+    bool good = json_get_int64(o, "fence", &fencing_token) && json_get_int64(o, "tenure", &incarnation) &&
+                fencing_token >= w->fencing_token && incarnation == w->incarnation;
     if (good) obey(w, o);
     return good;
 }
@@ -233,11 +233,11 @@
     http_reply_json(r, good ? 200 : 409, rep, 0);
 }
 
-/* A lease that ran out: all tasks are killed and a new session begins. */
+/* A lease that ran out: all tasks are killed and a new incarnation begins. */
 static void check_lease(struct worker *w) {
     if (clock_seconds_since(w->answered) < lease_s) return;
     lose_tasks(w);
-    w->tenure++;
+    w->incarnation++;
     w->answered = clock_now();
 }
 
@@ -262,7 +262,7 @@
         if (w->reach == STANDIN_ISLAND) w->at = 0;
         int at = w->at;
         cJSON *rep = report_of(w);
-        int64_t tenure = w->tenure;
+        int64_t incarnation = w->incarnation;
         g_snprintf(url, sizeof url, "http://%s/checkin", controllers[at]);
         char *text = cJSON_PrintUnformatted(rep);
         if (copy_after_s > 0 && alive && !quiet) {
@@ -279,12 +279,12 @@
         struct timespec sent = clock_now();
         if (alive && !quiet) {
             bool got = http_call(c, "POST", url, text, 1000, &status, &a) == HTTP_ANSWERED;
-            int64_t fence = 0;
+            int64_t fencing_token = 0;
             pthread_mutex_lock(&lock);
             if (w->reach == STANDIN_DEAF || w->reach == STANDIN_HANGS) {
                 /* Lost. */
-            } else if (got && status == 200 && tenure == w->tenure && json_get_int64(a, "fence", &fence) &&
-                       fence >= w->fence) {
+            } else if (got && status == 200 && incarnation == w->incarnation &&
+                       json_get_int64(a, "fence", &fencing_token) && fencing_token >= w->fencing_token) {
                 w->answered = sent;
                 obey(w, a);
             } else if (!got || status != 200) {
@@ -337,7 +337,7 @@
         w->spot = json_get_bool(o, "reclaimable");
         w->alive = true;
         w->answered = clock_now();
-        w->tenure = 1;
+        w->incarnation = 1;
         w->tasks = g_array_new(FALSE, FALSE, sizeof(struct task));
         n_workers++;
         http_server_start(w->address, 16, on_commands, w);
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -39,21 +39,21 @@
 
 /* A steady machine of ours with a free room of 16 CPUs, 2 GPUs, 64 GB, on page 0 and up. */
 struct machine *owned_machine(const char *id, const char *zone, bool spot) {
-    records_rented(0, id, "g16", zone, spot);
-    struct records_unregistered *n = g_hash_table_lookup(records_unregistered_all(), id);
-    int page = n->page = records_page_for(0, id), count;
-    cJSON *v = records_page_value(0, page, &count);
+    machines_rented(0, id, "g16", zone, spot);
+    struct unregistered_machine *n = g_hash_table_lookup(machines_unregistered(), id);
+    int page = n->page = machines_page_for(0, id), count;
+    cJSON *v = machines_page_value(0, page, &count);
     char key[32];
     g_snprintf(key, sizeof key, "fleet/0/%d", page);
     store_apply(key, v, owned_next_stamp());
     cJSON_Delete(v);
-    struct machine *m = records_find(id);
+    struct machine *m = machines_find(id);
     assert_non_null(m);
-    assert_true(records_mine(m));
+    assert_true(machines_owned(m));
     m->up = true;
-    m->seen_fence = records_token(m);
-    m->reported = m->heard = clock_now();
-    m->rows = 6;
+    m->seen_token = machines_fencing_token(m);
+    m->last_heartbeat = m->last_heard = clock_now();
+    m->n_samples = 6;
     return m;
 }
 
@@ -62,34 +62,34 @@
     char id[32];
     for (int i = 0; i < n; i++) {
         g_snprintf(id, sizeof id, "i-%06d", 100000 + i);
-        records_rented(0, id, "g16", zones[i % 3], spot);
+        machines_rented(0, id, "g16", zones[i % 3], spot);
     }
     GHashTableIter it;
     gpointer v;
-    struct records_fills fills;
-    records_fills(0, &fills);
-    g_hash_table_iter_init(&it, records_unregistered_all());
+    struct shard_page_fills fills;
+    machines_page_fills(0, &fills);
+    g_hash_table_iter_init(&it, machines_unregistered());
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct records_unregistered *m = v;
-        m->page = records_fills_add(&fills, m->id);
+        struct unregistered_machine *m = v;
+        m->page = machines_page_fills_add(&fills, m->id);
         assert_true(m->page >= 0);
     }
-    cJSON *pages[RECORDS_PAGES];
-    int counts[RECORDS_PAGES];
-    for (int p = 0; p < RECORDS_PAGES; p++) pages[p] = records_page_value(0, p, &counts[p]);
-    for (int p = 0; p < RECORDS_PAGES; p++) {
+    cJSON *pages[MACHINE_PAGES_MAX];
+    int counts[MACHINE_PAGES_MAX];
+    for (int p = 0; p < MACHINE_PAGES_MAX; p++) pages[p] = machines_page_value(0, p, &counts[p]);
+    for (int p = 0; p < MACHINE_PAGES_MAX; p++) {
         g_snprintf(id, sizeof id, "fleet/0/%d", p);
         if (counts[p]) store_apply(id, pages[p], owned_next_stamp());
         cJSON_Delete(pages[p]);
     }
-    assert_int_equal(records_of(0)->len, n);
+    assert_int_equal(machines_of_shard(0)->len, n);
     for (int i = 0; i < n; i++) {
-        struct machine *m = all[i] = records_of(0)->pdata[i];
-        assert_true(records_mine(m));
+        struct machine *m = all[i] = machines_of_shard(0)->pdata[i];
+        assert_true(machines_owned(m));
         m->up = true;
-        m->seen_fence = records_token(m);
-        m->reported = m->heard = clock_now();
-        m->rows = 6;
+        m->seen_token = machines_fencing_token(m);
+        m->last_heartbeat = m->last_heard = clock_now();
+        m->n_samples = 6;
     }
 }
 
@@ -152,6 +152,6 @@
         g_snprintf(key, sizeof key, "fleet/0/%d", p);
         owned_put(key, NULL);
     }
-    assert_int_equal(records_of(0)->len, 0);
+    assert_int_equal(machines_of_shard(0)->len, 0);
     assert_int_equal(jobs_active()->len, 0);
 }
--- a/tests/standin/owned.h
+++ b/tests/standin/owned.h
@@ -4,8 +4,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#include "machines/machines.h"
 #include "membership/membership.h"
-#include "records/records.h"
 #include "service/service.h"
 #include "store/store.h"
 
