--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -11,7 +11,7 @@
 #include "../failures/failures.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "../schema_version/schema_version.h"
 #include "../workers/workers.h"
 
@@ -91,7 +91,7 @@
             b->grace_s = 0;
             b->m->wake = true;
         }
-    rounds_kick();
+    scheduler_wake();
     workers_kick();
 }
 
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -9,7 +9,7 @@
 #include "chains/chains.h"
 #include "json/json.h"
 #include "membership/membership.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
@@ -77,7 +77,7 @@
     struct job *j = jobs_find("req-20001");
     assert_int_equal(j->n_done, 1);
     assert_int_equal(j->allocations->len, 2);
-    assert_int_equal(rounds_missing(j), 6);
+    assert_int_equal(scheduler_missing_tasks(j), 6);
     assert_int_equal(j->n_recorded_chunks, 1);
     assert_int_equal(j->n_dirty_chunks, 0);
     struct allocation *b = j->allocations->pdata[0];
@@ -85,7 +85,7 @@
     b->released = true;
     jobs_mark_done(j, 1);
     assert_int_equal(j->n_dirty_chunks, 1);
-    assert_int_equal(rounds_missing(j), 6);
+    assert_int_equal(scheduler_missing_tasks(j), 6);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
     struct placement_plan p = {machines_find("i-1"), j, 4, 60};
     g_array_append_val(plans, p);
@@ -228,7 +228,7 @@
     schema_version_init(&cfg);
     machines_init(&cfg);
     allocations_init(&cfg);
-    rounds_init(&cfg);
+    scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(entries), cmocka_unit_test(round_trip), cmocka_unit_test(large),
                                        cmocka_unit_test(stretches), cmocka_unit_test(unreadable)};
--- a/src/chains/chains.c
+++ b/src/chains/chains.c
@@ -11,7 +11,7 @@
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 
 static const struct settings *cfg;
@@ -152,7 +152,7 @@
         if (j->state == JOB_CANCELLED) mark_to_cancel(dependent);
     }
     if (j->state == JOB_CANCELLED) withdraw_urgency(j);
-    if (j->dependents) rounds_kick();
+    if (j->dependents) scheduler_wake();
 }
 
 bool chains_cancelled_among(char *const *prerequisites) {
--- a/src/chains/chains_test.c
+++ b/src/chains/chains_test.c
@@ -13,7 +13,7 @@
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
@@ -51,9 +51,9 @@
 
 static int ranked(const char *job_id) {
     int n = 0;
-    GArray *order = rounds_rank(0);
+    GArray *order = scheduler_order_jobs(0);
     for (guint i = 0; i < order->len; i++)
-        n += strcmp(g_array_index(order, struct rounds_ranked, i).j->spec.job_id, job_id) == 0;
+        n += strcmp(g_array_index(order, struct ranked_job, i).j->spec.job_id, job_id) == 0;
     g_array_free(order, TRUE);
     return n;
 }
@@ -243,7 +243,7 @@
     chains_init(&cfg);
     allocations_init(&cfg);
     machines_init(&cfg);
-    rounds_init(&cfg);
+    scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(waiting), cmocka_unit_test(urgency), cmocka_unit_test(cascade),
                                        cmocka_unit_test(deep_and_wide)};
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -17,7 +17,7 @@
 #include "../membership/membership.h"
 #include "../quota/quota.h"
 #include "../renting/renting.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 
 #define FLAVOURS_MOST 64
@@ -199,7 +199,7 @@
                 if (strcmp(state, "failed") == 0 && !m->return_wanted) {
                     log_info("machine %s: listed as failed, returning it", id);
                     m->return_wanted = true;
-                    rounds_kick();
+                    scheduler_wake();
                 }
                 if (!m->address[0] && address && *address) {
                     g_strlcpy(m->address, address, sizeof m->address);
--- a/src/failures/failures_test.c
+++ b/src/failures/failures_test.c
@@ -12,7 +12,7 @@
 #include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "json/json.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "watch/watch.h"
 
 enum { MACHINES = 4, JOBS = 3 };
@@ -92,19 +92,19 @@
     store_lock();
     begin("batch", 30);
     for (int i = 0; i < MACHINES; i++) failures_note(jobs[0], machines[i]);
-    struct round *waiting = rounds_decide(0, 20);
-    int planned_waiting = rounds_planned(waiting, jobs[0]->spec.job_id);
-    rounds_round_free(waiting);
+    struct scheduling_round *waiting = scheduler_decide(0, 20);
+    int planned_waiting = scheduler_planned_tasks(waiting, jobs[0]->spec.job_id);
+    scheduler_round_free(waiting);
     jobs[0]->retry_at = clock_now();
     /* The other two ask for more than there is: nothing is left for the suspect one, and it asks for no machine. */
-    struct round *full = rounds_decide(0, 20);
-    int planned_full = rounds_planned(full, jobs[0]->spec.job_id);
+    struct scheduling_round *full = scheduler_decide(0, 20);
+    int planned_full = scheduler_planned_tasks(full, jobs[0]->spec.job_id);
     bool unplaced = jobs[0]->unplaced;
-    rounds_round_free(full);
+    scheduler_round_free(full);
     jobs[1]->retry_at = jobs[2]->retry_at = clock_instant_in(clock_from_seconds(60));
-    struct round *tried = rounds_decide(0, 20);
-    int planned_tried = rounds_planned(tried, jobs[0]->spec.job_id);
-    rounds_round_free(tried);
+    struct scheduling_round *tried = scheduler_decide(0, 20);
+    int planned_tried = scheduler_planned_tasks(tried, jobs[0]->spec.job_id);
+    scheduler_round_free(tried);
     owned_clear();
     store_unlock();
     assert_int_equal(planned_waiting, 0);
@@ -169,7 +169,7 @@
         watch_machines(0, &all_heard);
         for (int i = 0; rows[r].elsewhere && i < 2; i++) failures_note(jobs[i], machines[1]);
         if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[r].s;
-        rounds_scratch(0);
+        scheduler_prepare_machines(0);
         bool open = machines[0]->schedulable;
         watch_machines(0, &all_heard);
         bool back = machines[0]->return_wanted;
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -11,7 +11,7 @@
 #include "chains/chains.h"
 #include "json/json.h"
 #include "membership/membership.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
@@ -210,7 +210,7 @@
     schema_version_init(&cfg);
     allocations_init(&cfg);
     machines_init(&cfg);
-    rounds_init(&cfg);
+    scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(admission), cmocka_unit_test(bits),
                                        cmocka_unit_test(prerequisites), cmocka_unit_test(records),
--- a/src/ledger/ledger.c
+++ b/src/ledger/ledger.c
@@ -12,7 +12,7 @@
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
 
@@ -35,7 +35,7 @@
  * again at once where their image is. Without them a drain that holds a replica would be paid for until it gives up.
  * All or none: a machine that keeps one task is not given back. */
 static void move_off(struct machine *m) {
-    rounds_scratch(m->shard);
+    scheduler_prepare_machines(m->shard);
     for (guint b = 0; b < m->allocations->len; b++) {
         struct allocation *x = m->allocations->pdata[b];
         const struct job_spec *s = &x->job->spec;
@@ -69,7 +69,7 @@
 
 /* One ledger for each kind: headroom on cheap machines is none for work that may not use them. */
 void ledger_run(int k, bool spot) {
-    struct machine *reception = rounds_reception(k);
+    struct machine *reception = scheduler_reception(k);
     GArray *order = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     double occupied = 0;
     int n = 0, draining = 0, unsteady = 0;
@@ -133,7 +133,7 @@
     GPtrArray *jobs = jobs_active_of(k);
     for (guint i = 0; i < jobs->len; i++) {
         struct job *j = jobs->pdata[i];
-        waiting[j->priority] += MAX(0, rounds_missing(j));
+        waiting[j->priority] += MAX(0, scheduler_missing_tasks(j));
     }
     log_info(
         "share %d: waiting %d/%d/%d/%d tasks (production to idle), up %d ordinary %d spot, booting %d+%d, draining %d, "
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -13,7 +13,7 @@
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
 static GHashTable *by_id;
@@ -112,7 +112,7 @@
     release_all(m);
     set_shard(m, -1);
     machines_drop_stub(m);
-    rounds_kick();
+    scheduler_wake();
 }
 
 static struct machine *machine_here(const char *id, int shard, int page) {
@@ -271,7 +271,7 @@
     m->spot = json_get_bool(data, "spot");
     m->returning = false;
     m->created_at = json_get_double(data, "born", 0);
-    rounds_kick();
+    scheduler_wake();
 }
 
 bool machines_owned(struct machine *m) {
@@ -335,7 +335,7 @@
     n->page = -1;
     n->created_at = clock_time_of_day();
     g_hash_table_replace(unregistered, n->id, n);
-    rounds_kick();
+    scheduler_wake();
 }
 
 void machines_adopt(const char *id, const char *address, const char *type_name, const char *site, bool spot) {
@@ -354,7 +354,7 @@
     if (!m) return;
     m->released_by_cloud = true;
     release_all(m);
-    rounds_kick();
+    scheduler_wake();
 }
 
 #define UNRECORDED_S 5.0 /* a page or a transfer between shards is in the mirror long before */
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -13,7 +13,7 @@
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
@@ -249,7 +249,7 @@
     cloud_init(&cfg);
     machines_init(&cfg);
     allocations_init(&cfg);
-    rounds_init(&cfg);
+    scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(pages),          cmocka_unit_test(passes),
                                        cmocka_unit_test(recorded_twice), cmocka_unit_test(read_ahead),
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -9,7 +9,7 @@
 #include "../clock/clock.h"
 #include "../failures/failures.h"
 #include "../logging/logging.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 
 #define DEMANDS_MOST 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
 
@@ -91,8 +91,10 @@
 /* How many more tasks of the job may start now. */
 static int tasks_waiting(const struct job *j) {
     if (clock_seconds_since(j->retry_at) < 0) return 0;
-    if (j->spec.kind == JOB_GANG && allocations_count(j) > 0) return rounds_gang_open(j) ? rounds_missing(j) : 0;
-    return failures_suspect(j) && j->spec.kind != JOB_GANG ? MIN(rounds_missing(j), 1) : rounds_missing(j);
+    if (j->spec.kind == JOB_GANG && allocations_count(j) > 0)
+        return scheduler_open_gang_attempt(j) ? scheduler_missing_tasks(j) : 0;
+    return failures_suspect(j) && j->spec.kind != JOB_GANG ? MIN(scheduler_missing_tasks(j), 1)
+                                                           : scheduler_missing_tasks(j);
 }
 
 void quota_look(struct quota_team *t) {
@@ -101,9 +103,9 @@
     struct quota_amount lasting;
     int n = 0;
     count_used(t, &lasting);
-    GArray *order = rounds_rank_team(t->team);
+    GArray *order = scheduler_order_team_jobs(t->team);
     for (guint i = 0; i < order->len && n < DEMANDS_MOST; i++) {
-        const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
+        const struct job *j = g_array_index(order, struct ranked_job, i).j;
         int waiting = tasks_waiting(j);
         if (waiting <= 0 || part_at(&t->record, jobs_shard(j)) < 0) continue;
         if (quota_part_closing(&t->record, t->home, quota_settings->size, jobs_shard(j))) continue;
--- a/src/quota/parts_properties.cpp
+++ b/src/quota/parts_properties.cpp
@@ -142,7 +142,7 @@
         const auto targets =
             quota_targets(&team.record, used.data(), quota_amount{}, demands.data(), static_cast<int>(demands.size()));
         int changes = 0;
-        for (int round = 0; round < kRoundsToSettle; round++)
+        for (int scheduling_round = 0; scheduling_round < kRoundsToSettle; scheduling_round++)
             for (int i = 0; i < team.record.n_parts; i++) {
                 bool owned[QUOTA_SHARES_MOST] = {};
                 owned[i] = true;
--- a/src/renting/renting.c
+++ b/src/renting/renting.c
@@ -14,7 +14,7 @@
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../quota/quota.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "../transfer/transfer.h"
 #include "../watch/watch.h"
 
@@ -119,7 +119,7 @@
 static void rent_spares(int k, GArray *vms, const GArray *order, int steady, int most) {
     struct job *like = NULL;
     for (guint i = 0; i < order->len && !like; i++) {
-        struct job *j = g_array_index(order, struct rounds_ranked, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).j;
         if (j->spec.kind == JOB_GANG && !j->spec.allows_spot && clock_time_of_day() - j->ready < SPARE_S) like = j;
     }
     int whole = 0;
@@ -203,7 +203,7 @@
 static void count_transfers(struct shard_plan *p, const GArray *order) {
     double waited = 0;
     for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
+        const struct job *j = g_array_index(order, struct ranked_job, i).j;
         if (j->unplaced && !j->spec.allows_spot) waited = MAX(waited, clock_seconds_since(j->eligible_since));
     }
     for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
@@ -262,7 +262,8 @@
 #define TASKS_MOST 128 /* of a job that a plan looks at */
 
 static void rent_for_job(struct shard_plan *p, struct job *j, bool within) {
-    int left = j->spec.kind == JOB_GANG ? j->spec.tasks : (j->unplaced ? rounds_missing(j) : 0) + j->replicas_at_risk;
+    int left =
+        j->spec.kind == JOB_GANG ? j->spec.tasks : (j->unplaced ? scheduler_missing_tasks(j) : 0) + j->replicas_at_risk;
     char site[64] = "";
     if (placement_site(j))
         g_strlcpy(site, placement_site(j), sizeof site);
@@ -321,20 +322,20 @@
 }
 
 static void rent_for_shard(int k, struct rental_request *out, int most, int *n) {
-    struct shard_plan p = {.shard = k, .reception = rounds_reception(k)};
+    struct shard_plan p = {.shard = k, .reception = scheduler_reception(k)};
     p.vms = g_array_new(FALSE, FALSE, sizeof(struct renting_vm));
     count_machines(&p);
-    GArray *order = rounds_rank(k);
+    GArray *order = scheduler_order_jobs(k);
     int waiting = 0;
     for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        if (j->unplaced) waiting += rounds_missing(j);
+        const struct job *j = g_array_index(order, struct ranked_job, i).j;
+        if (j->unplaced) waiting += scheduler_missing_tasks(j);
     }
     zone_lot = CLAMP(waiting / 8, 1, 48);
     count_transfers(&p, order);
     p.first_new = p.vms->len;
     for (guint i = 0; i < order->len; i++) {
-        const struct rounds_ranked *r = &g_array_index(order, struct rounds_ranked, i);
+        const struct ranked_job *r = &g_array_index(order, struct ranked_job, i);
         if (r->j->unplaced || r->j->replicas_at_risk) rent_for_job(&p, r->j, r->within);
     }
     rent_for_pressure(&p);
--- a/src/rounds/write_jobs.c
+++ b/src/scheduler/commit_jobs.c
@@ -13,23 +13,23 @@
 #include "../membership/membership.h"
 #include "round.h"
 
-void round_txn_free(gpointer p) {
+void scheduling_round_txn_free(gpointer p) {
     store_txn_free(p);
     g_free(p);
 }
 
-struct store_txn *round_txn(struct round *r, int writes, int comparisons) {
-    struct store_txn *t = r->txns->len ? r->txns->pdata[r->txns->len - 1] : NULL;
-    if (!t || (r->apart && t->writes > 0) || t->writes + writes > round_settings->txn_ops ||
-        cJSON_GetArraySize(t->comparisons) + comparisons > round_settings->txn_ops * 4) {
+struct store_txn *scheduling_round_txn(struct scheduling_round *r, int writes, int comparisons) {
+    struct store_txn *t = r->transactions->len ? r->transactions->pdata[r->transactions->len - 1] : NULL;
+    if (!t || (r->isolated && t->writes > 0) || t->writes + writes > scheduler_settings->txn_ops ||
+        cJSON_GetArraySize(t->comparisons) + comparisons > scheduler_settings->txn_ops * 4) {
         t = g_new0(struct store_txn, 1);
         store_txn_init(t);
         char key[32];
         snprintf(key, sizeof key, "share/%d", r->shard);
         store_txn_compare(t, key, membership_shard(r->shard)->mod_revision);
-        g_ptr_array_add(r->txns, t);
+        g_ptr_array_add(r->transactions, t);
     }
-    r->left -= writes;
+    r->writes_left -= writes;
     return t;
 }
 
@@ -37,18 +37,18 @@
  * refused again, and what else is to be written must not wait for it. */
 static GHashTable *refused_until; /* key -> struct timespec; made with the first */
 
-bool round_refused_lately(const char *key) {
+bool scheduling_round_rejected_lately(const char *key) {
     const struct timespec *until = refused_until ? g_hash_table_lookup(refused_until, key) : NULL;
     return until && clock_seconds_since(*until) < 0;
 }
 
-void round_note_refused(const struct store_txn *t) {
+void scheduling_round_note_rejected(const struct store_txn *t) {
     const cJSON *op;
     if (!refused_until) refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cJSON_ArrayForEach(op, t->operations) {
         const char *key = json_get_string(op, "set") ? json_get_string(op, "set") : json_get_string(op, "remove");
         struct timespec *until = g_new0(struct timespec, 1);
-        *until = clock_instant_in(clock_from_seconds(ROUND_REFUSED_S));
+        *until = clock_instant_in(clock_from_seconds(REJECTED_KEY_PAUSE_S));
         g_hash_table_replace(refused_until, g_strdup(key), until);
     }
 }
@@ -71,9 +71,9 @@
 
 /* Writes all records of a job in a new chunk size, in one transaction: each names it, and one with nothing to keep
  * stands as well, so that what the old records said of its tasks is replaced. */
-static void write_new_stretch(struct round *r, struct job *j, int chunk_size) {
+static void write_new_stretch(struct scheduling_round *r, struct job *j, int chunk_size) {
     int chunks = allocations_chunks_of_size(j, chunk_size);
-    struct store_txn *t = round_txn(r, chunks, chunks + 1);
+    struct store_txn *t = scheduling_round_txn(r, chunks, chunks + 1);
     for (int c = 0; c < chunks; c++) {
         cJSON *value = allocations_value(j, c, chunk_size, r->plans, false);
         if (!value) {
@@ -85,7 +85,7 @@
 }
 
 /* Whether anything of the job is to be kept on record. */
-static bool keeps_allocations(const struct round *r, const struct job *j) {
+static bool keeps_allocations(const struct scheduling_round *r, const struct job *j) {
     if (allocations_count(j) > 0 || (j->state == JOB_QUEUED && j->n_reported_done > 0)) return true;
     for (guint i = 0; i < r->plans->len; i++)
         if (g_array_index(r->plans, struct placement_plan, i).j == j) return true;
@@ -93,11 +93,11 @@
 }
 
 /* Writes what is known of a job: completions, allocations that came and went, done tasks. */
-void round_write_job(struct round *r, struct job *j) {
+void scheduling_round_commit_job(struct scheduling_round *r, struct job *j) {
     bool final = jobs_complete(j);
     char key[128];
     snprintf(key, sizeof key, "run/%s/0", j->spec.job_id);
-    if (round_refused_lately(key)) return;
+    if (scheduling_round_rejected_lately(key)) return;
     int chunk_size = allocations_next_chunk_size(j);
     if (j->n_recorded_chunks == 0) jobs_set_chunk_size(j, chunk_size);
     if (chunk_size != allocations_chunk_size(j) && !final && keeps_allocations(r, j)) {
@@ -114,13 +114,13 @@
         if (p->j == j) need[p->task / chunk_size] = 2;
     }
     snprintf(key, sizeof key, "job/%s", j->spec.job_id);
-    if (final && !round_refused_lately(key)) {
-        struct store_txn *t = round_txn(r, 2, 1);
+    if (final && !scheduling_round_rejected_lately(key)) {
+        struct store_txn *t = scheduling_round_txn(r, 2, 1);
         store_txn_compare(t, key, store_key_revision(key));
         store_txn_put(t, key, jobs_final_value(j, JOB_DONE), 0);
-        r->left++; /* the second was room for a chunk's record beside it */
+        r->writes_left++; /* the second was room for a chunk's record beside it */
     }
-    for (int c = 0; c < chunks && (r->left > 0 || c == 0); c++) {
+    for (int c = 0; c < chunks && (r->writes_left > 0 || c == 0); c++) {
         if (!need[c]) continue;
         cJSON *v = allocations_value(j, c, chunk_size, r->plans, final);
         bool there = j->chunk_flags && (j->chunk_flags[c] & 1),
@@ -130,7 +130,7 @@
             jobs_set_chunk_recorded(j, c, there);
             continue;
         }
-        add_run(round_txn(r, 1, 2), j, c, v);
+        add_run(scheduling_round_txn(r, 1, 2), j, c, v);
     }
     g_free(need);
 }
--- a/src/rounds/write_pages.c
+++ b/src/scheduler/commit_pages.c
@@ -50,7 +50,7 @@
     bool pass = transfer_allowed(m);
     if (pass || m->needs_token_raise) {
         int writes = pass + ((p->need[page] & PAGE_RAISE) == 0);
-        if (p->raise_writes + writes <= round_settings->txn_ops) {
+        if (p->raise_writes + writes <= scheduler_settings->txn_ops) {
             p->raise_writes += writes;
             m->next_token = p->fencing_token;
             m->leaves_page = pass;
@@ -72,7 +72,7 @@
             plan_machine(m, p);
             continue;
         }
-        if (incoming++ < round_settings->txn_ops / 2 && (m->next_page = machines_page_fills_add(fills, m->id)) >= 0)
+        if (incoming++ < scheduler_settings->txn_ops / 2 && (m->next_page = machines_page_fills_add(fills, m->id)) >= 0)
             p->need[m->next_page] |= PAGE_NOW;
     }
 }
@@ -99,11 +99,11 @@
 }
 
 /* Raises and passings move the fence in the same transaction, which is one of their own. */
-static void write_raises(struct round *r, int k, struct page_plan *p) {
+static void write_raises(struct scheduling_round *r, int k, struct page_plan *p) {
     char key[96];
     int n;
-    struct store_txn *t = round_txn(r, round_settings->txn_ops, 3);
-    r->left += round_settings->txn_ops - p->raise_writes;
+    struct store_txn *t = scheduling_round_txn(r, scheduler_settings->txn_ops, 3);
+    r->writes_left += scheduler_settings->txn_ops - p->raise_writes;
     store_txn_compare(t, "fence", store_key_revision("fence"));
     store_txn_put(t, "fence", cJSON_CreateNumber((double)p->fencing_token), 0);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
@@ -125,13 +125,13 @@
 /* Comes from another shard, to this page: its own record goes with the write. */
 static bool arrives_at(const struct machine *m, int page) { return m->page < 0 && m->next_page == page; }
 
-static void write_page(struct round *r, int k, int page) {
+static void write_page(struct scheduling_round *r, int k, int page) {
     char key[96];
     int incoming = 0, n;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) incoming += arrives_at(machines_of_shard(k)->pdata[i], page);
     snprintf(key, sizeof key, "fleet/%d/%d", k, page);
-    if (1 + incoming > round_settings->txn_ops || round_refused_lately(key)) return;
-    struct store_txn *t = round_txn(r, 1 + incoming, 2 + incoming);
+    if (1 + incoming > scheduler_settings->txn_ops || scheduling_round_rejected_lately(key)) return;
+    struct store_txn *t = scheduling_round_txn(r, 1 + incoming, 2 + incoming);
     store_txn_compare(t, key, store_key_revision(key));
     cJSON *value = machines_page_value(k, page, &n);
     if (n > 0) {
@@ -152,7 +152,7 @@
 #define TIDY_S 2 /* between writes of what can wait */
 
 /* The pages of the shard's machines. */
-void round_write_pages(struct round *r, int k) {
+void scheduling_round_commit_pages(struct scheduling_round *r, int k) {
     struct page_plan p = {.fencing_token = membership_fencing_token() + 1, .raise_writes = 1};
     bool tidy = clock_seconds_since(shard_states[k].compacted_at) > TIDY_S;
     if (tidy) shard_states[k].compacted_at = clock_now();
@@ -166,7 +166,7 @@
     for (int page = 0; page < MACHINE_PAGES_MAX; page++)
         if (machines_page_stale(k, page)) p.need[page] |= PAGE_LATER;
     if (p.raised) write_raises(r, k, &p);
-    for (int page = 0; page < MACHINE_PAGES_MAX && r->left > 0; page++) {
+    for (int page = 0; page < MACHINE_PAGES_MAX && r->writes_left > 0; page++) {
         bool due = p.need[page] & PAGE_NOW || (p.need[page] & PAGE_LATER && tidy);
         if (due && !p.large[page]) write_page(r, k, page);
     }
--- a/src/rounds/rounds.c
+++ b/src/scheduler/loop.c
@@ -26,7 +26,7 @@
 #include "../workers/workers.h"
 #include "round.h"
 
-const struct settings *round_settings;
+const struct settings *scheduler_settings;
 
 #define LEAST_CHANGES 2 /* with less budget a round decides nothing */
 /* With less budget than this, what a job's record lacks waits a while: the ends of more of its tasks go with the same
@@ -36,9 +36,9 @@
 
 static struct sync_wakeup wakeup;
 
-void rounds_kick(void) { sync_wakeup_signal(&wakeup); }
+void scheduler_wake(void) { sync_wakeup_signal(&wakeup); }
 
-struct machine *rounds_reception(int k) {
+struct machine *scheduler_reception(int k) {
     struct machine *best = NULL;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
@@ -50,8 +50,8 @@
     return best;
 }
 
-void rounds_scratch(int k) {
-    double quiet = clock_to_seconds(round_settings->report) * 2 + 1;
+void scheduler_prepare_machines(int k) {
+    double quiet = clock_to_seconds(scheduler_settings->report) * 2 + 1;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
         if (!machines_owned(m)) continue;
@@ -59,7 +59,7 @@
         m->dirty = m->leaves_page = false;
         m->next_token = 0;
         m->next_page = -1;
-        m->occupancy = placement_occupancy(m, (int)round_settings->tuning.window);
+        m->occupancy = placement_occupancy(m, (int)scheduler_settings->tuning.window);
         m->used_cpu = m->used_gpu = m->used_mem = 0;
         m->used_tasks = 0;
         for (guint b = 0; b < m->allocations->len; b++) {
@@ -88,19 +88,19 @@
 }
 
 /* Completions of jobs that others wait for, or of the rest. */
-static void write_completions(struct round *r, int k, bool needed, GHashTable *written) {
+static void write_completions(struct scheduling_round *r, int k, bool needed, GHashTable *written) {
     GPtrArray *jobs = jobs_active_of(k);
-    for (guint i = 0; i < jobs->len && r->left > 1; i++) {
+    for (guint i = 0; i < jobs->len && r->writes_left > 1; i++) {
         struct job *j = jobs->pdata[i];
         if (!jobs_complete(j) || (j->dependents != NULL) != needed) continue;
-        round_write_job(r, j);
+        scheduling_round_commit_job(r, j);
         g_hash_table_add(written, j);
     }
 }
 
-static void plan_round(struct round *r) {
+static void plan_round(struct scheduling_round *r) {
     int k = r->shard;
-    rounds_scratch(k);
+    scheduler_prepare_machines(k);
     r->first = shard_states[k].fencing_token * 1048576 + shard_states[k].next;
     /* Completions are what users wait for, those first that other jobs wait for; then starts; then what else is known,
      * longest first. */
@@ -113,64 +113,65 @@
             if (j->n_dirty_chunks && !g_hash_table_contains(written, j)) g_ptr_array_add(late, j);
         }
     g_hash_table_destroy(written);
-    if (r->left > 0) round_plan_jobs(r, k);
+    if (r->writes_left > 0) scheduling_round_plan_jobs(r, k);
     transfer_plan(k);
-    if (r->left > 0) round_write_pages(r, k);
+    if (r->writes_left > 0) scheduling_round_commit_pages(r, k);
     for (guint i = 0; i < r->plans->len; i++) {
         struct job *j = g_array_index(r->plans, struct placement_plan, i).j;
         if (i > 0 && j == g_array_index(r->plans, struct placement_plan, i - 1).j) continue;
-        round_write_job(r, j);
+        scheduling_round_commit_job(r, j);
         g_ptr_array_remove(late, j);
     }
     g_ptr_array_sort(late, longest_touched);
-    for (guint i = 0; i < late->len && r->left > 0; i++) {
+    for (guint i = 0; i < late->len && r->writes_left > 0; i++) {
         const struct job *j = late->pdata[i];
-        if (r->left < AMPLE_CHANGES && clock_seconds_since(j->dirty_since) < GATHER_PROGRESS_S)
+        if (r->writes_left < AMPLE_CHANGES && clock_seconds_since(j->dirty_since) < GATHER_PROGRESS_S)
             break; /* the rest is younger */
-        round_write_job(r, late->pdata[i]);
+        scheduling_round_commit_job(r, late->pdata[i]);
     }
-    r->more |= late->len > 0 && r->left <= 0;
+    r->more |= late->len > 0 && r->writes_left <= 0;
     g_ptr_array_free(late, TRUE);
 }
 
-struct round *rounds_decide(int k, int left) {
-    struct round *r = g_new0(struct round, 1);
+struct scheduling_round *scheduler_decide(int k, int left) {
+    struct scheduling_round *r = g_new0(struct scheduling_round, 1);
     r->shard = k;
     r->plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
-    r->txns = g_ptr_array_new_with_free_func(round_txn_free);
-    r->left = left;
-    r->apart = clock_seconds_since(shard_states[k].isolated_until) < 0;
+    r->transactions = g_ptr_array_new_with_free_func(scheduling_round_txn_free);
+    r->writes_left = left;
+    r->isolated = clock_seconds_since(shard_states[k].isolated_until) < 0;
     /* With nothing left of the budget there is nothing to decide: the more has gathered, the more the next carries. */
     if (left >= LEAST_CHANGES) plan_round(r);
     return r;
 }
 
-int rounds_planned(const struct round *r, const char *job_id) {
+int scheduler_planned_tasks(const struct scheduling_round *r, const char *job_id) {
     int n = 0;
     for (guint i = 0; i < r->plans->len; i++)
         n += !job_id || strcmp(g_array_index(r->plans, struct placement_plan, i).j->spec.job_id, job_id) == 0;
     return n;
 }
-int rounds_changes(const struct round *r) {
+int scheduler_round_writes(const struct scheduling_round *r) {
     int n = 0;
-    for (guint i = 0; i < r->txns->len; i++) n += ((struct store_txn *)r->txns->pdata[i])->writes;
+    for (guint i = 0; i < r->transactions->len; i++) n += ((struct store_txn *)r->transactions->pdata[i])->writes;
     return n;
 }
-const GPtrArray *rounds_transactions(const struct round *r) { return r->txns; }
+const GPtrArray *scheduler_round_transactions(const struct scheduling_round *r) { return r->transactions; }
 
-int rounds_largest(const struct round *r) {
+int scheduler_largest_transaction(const struct scheduling_round *r) {
     int n = 0;
-    for (guint i = 0; i < r->txns->len; i++) n = MAX(n, ((struct store_txn *)r->txns->pdata[i])->writes);
+    for (guint i = 0; i < r->transactions->len; i++)
+        n = MAX(n, ((struct store_txn *)r->transactions->pdata[i])->writes);
     return n;
 }
 
-void rounds_round_free(struct round *r) {
+void scheduler_round_free(struct scheduling_round *r) {
     g_array_free(r->plans, TRUE);
-    g_ptr_array_free(r->txns, TRUE);
+    g_ptr_array_free(r->transactions, TRUE);
     g_free(r);
 }
 
-void rounds_apply(const struct round *r, const struct store_txn *t, int64_t revision) {
+void scheduler_apply(const struct scheduling_round *r, const struct store_txn *t, int64_t revision) {
     const cJSON *x;
     store_apply_committed(t, revision);
     cJSON_ArrayForEach(x, t->operations) {
@@ -234,7 +235,7 @@
 }
 
 static bool run_round(struct http_client *c, int k) {
-    struct round *r = NULL;
+    struct scheduling_round *r = NULL;
     int left = store_budget_available(STORE_PRIORITY_PROGRESS);
     bool again = false;
     store_lock();
@@ -251,20 +252,20 @@
     }
     if (mine && left < LEAST_CHANGES && needed_end(k)) left = store_budget_available(STORE_PRIORITY_ALLOCATE);
     bool blocked = shard_states[k].barrier_pending;
-    if (mine && !blocked) r = rounds_decide(k, left);
+    if (mine && !blocked) r = scheduler_decide(k, left);
     store_unlock();
     if (mine && blocked) {
         if (barrier(c, k)) shard_states[k].barrier_pending = false;
         again = true;
     }
-    for (guint i = 0; r && i < r->txns->len; i++) {
-        struct store_txn *t = r->txns->pdata[i];
+    for (guint i = 0; r && i < r->transactions->len; i++) {
+        struct store_txn *t = r->transactions->pdata[i];
         struct store_response a;
         if (!t->writes) continue;
         enum store_result rc = store_commit(c, STORE_PRIORITY_ALLOCATE, t, &a);
         if (rc == STORE_OK) {
             store_lock();
-            rounds_apply(r, t, a.revision);
+            scheduler_apply(r, t, a.revision);
             store_unlock();
             again = true;
         } else if (rc == STORE_CONFLICT) {
@@ -279,8 +280,8 @@
             again = true;
         } else if (rc == STORE_INVALID) {
             /* Surely not executed. What it held is written apart from other work from now on, and not at once again. */
-            if (r->apart || t->writes == 1) round_note_refused(t);
-            shard_states[k].isolated_until = clock_instant_in(clock_from_seconds(2 * ROUND_REFUSED_S));
+            if (r->isolated || t->writes == 1) scheduling_round_note_rejected(t);
+            shard_states[k].isolated_until = clock_instant_in(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
             again = true;
         } else if (rc == STORE_UNKNOWN) {
             shard_states[k].barrier_pending = true;
@@ -292,7 +293,7 @@
     }
     workers_kick();
     again |= (r && r->more) || (mine && left < LEAST_CHANGES);
-    if (r) rounds_round_free(r);
+    if (r) scheduler_round_free(r);
     return again;
 }
 
@@ -302,28 +303,28 @@
  * any way, after a report interval where most don't report. */
 static void give_up_when_deaf(const struct watch_hearing *h, struct timespec *hearing) {
     bool store_seen = clock_seconds_since(store_last_read()) <= STORE_SEEN_S;
-    double report = clock_to_seconds(round_settings->report);
+    double report = clock_to_seconds(scheduler_settings->report);
     if (h->up < 4 || h->reported * 10 >= h->up * 3 || !store_seen) *hearing = clock_now();
     bool deaf = store_seen && watch_deaf(h->up, h->newest_s, report);
     if ((deaf || clock_seconds_since(*hearing) > report) && !membership_workers_unreachable())
         membership_set_workers_unreachable(true);
 }
 
-static void *rounds_main(void *arg) {
+static void *scheduler_main(void *arg) {
     (void)arg;
     struct http_client *c = http_client_new();
     struct timespec watched = {0, 0}, told = {0, 0}, hearing = clock_now();
     for (;;) {
         sync_wakeup_wait(&wakeup, clock_from_seconds(0.5));
         bool again = false;
-        for (int k = 0; k < round_settings->size; k++) again |= run_round(c, k);
+        for (int k = 0; k < scheduler_settings->size; k++) again |= run_round(c, k);
         quota_run(c);
         if (clock_seconds_since(watched) > 0.5) {
             watched = clock_now();
             store_lock();
             struct watch_hearing h = watch_hearing();
             give_up_when_deaf(&h, &hearing);
-            for (int k = 0; k < round_settings->size; k++)
+            for (int k = 0; k < scheduler_settings->size; k++)
                 if (membership_owns(k) && membership_may_answer()) {
                     watch_machines(k, &h);
                     ledger_run(k, false);
@@ -331,21 +332,21 @@
                 }
             if (clock_seconds_since(told) > 10) {
                 told = clock_now();
-                for (int k = 0; k < round_settings->size; k++)
+                for (int k = 0; k < scheduler_settings->size; k++)
                     if (membership_owns(k)) ledger_tell(k);
             }
             store_unlock();
             workers_kick();
         }
         clock_sleep(clock_from_seconds(0.03));
-        if (again) rounds_kick();
+        if (again) scheduler_wake();
     }
     return NULL;
 }
 
-void rounds_init(const struct settings *s) {
-    round_settings = s;
+void scheduler_init(const struct settings *s) {
+    scheduler_settings = s;
     sync_wakeup_init(&wakeup);
 }
 
-void rounds_start(void) { sync_start_thread(rounds_main, NULL); }
+void scheduler_start(void) { sync_start_thread(scheduler_main, NULL); }
--- a/src/rounds/plan.c
+++ b/src/scheduler/plan.c
@@ -17,7 +17,7 @@
 
 static int64_t next_attempt(int k) { return shard_states[k].fencing_token * 1048576 + ++shard_states[k].next; }
 
-static void plan_task(struct round *r, struct machine *m, struct job *j, int task, int64_t attempt,
+static void plan_task(struct scheduling_round *r, struct machine *m, struct job *j, int task, int64_t attempt,
                       struct preempt_usage *u) {
     struct placement_plan p = {m, j, task, attempt};
     g_array_append_val(r->plans, p);
@@ -27,11 +27,11 @@
 }
 
 /* A gang: all of it or nothing, in one zone if it asks for that. */
-static bool plan_gang(struct round *r, struct job *j, GPtrArray *mine, const struct placement_rules *rules,
+static bool plan_gang(struct scheduling_round *r, struct job *j, GPtrArray *mine, const struct placement_rules *rules,
                       struct preempt_usage *u) {
     if (!preempt_quota_left(&u[j->spec.team], j, j->spec.tasks)) return true;
-    for (int z = 0; z < (j->spec.single_zone ? round_settings->n_zones : 1); z++) {
-        const char *zone = j->spec.single_zone ? round_settings->zones[z] : NULL;
+    for (int z = 0; z < (j->spec.single_zone ? scheduler_settings->n_zones : 1); z++) {
+        const char *zone = j->spec.single_zone ? scheduler_settings->zones[z] : NULL;
         guint from = r->plans->len;
         struct preempt_usage before = u[j->spec.team];
         int64_t attempt = next_attempt(r->shard);
@@ -54,7 +54,7 @@
 
 /* The attempt of a gang that has not started and whose remaining tasks were all just reported as fetching or waiting;
  * 0 otherwise. Such a gang can be completed under the same attempt. */
-int64_t rounds_gang_open(const struct job *j) {
+int64_t scheduler_open_gang_attempt(const struct job *j) {
     int64_t attempt = 0;
     for (guint b = 0; b < j->allocations->len; b++) {
         const struct allocation *x = j->allocations->pdata[b];
@@ -62,7 +62,8 @@
         if (attempt && x->attempt != attempt) return 0;
         attempt = x->attempt;
         if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
-        if (clock_seconds_since(x->m->last_heartbeat) > clock_to_seconds(round_settings->report) * 1.25 + 1) return 0;
+        if (clock_seconds_since(x->m->last_heartbeat) > clock_to_seconds(scheduler_settings->report) * 1.25 + 1)
+            return 0;
     }
     return attempt;
 }
@@ -78,9 +79,9 @@
 }
 
 /* Replaces what a gang lost before its start, so that the others need not fetch and wait again. */
-static bool replace_gang_tasks(struct round *r, struct job *j, GPtrArray *mine, const struct placement_rules *rules,
-                               struct preempt_usage *u) {
-    int64_t attempt = rounds_gang_open(j);
+static bool replace_gang_tasks(struct scheduling_round *r, struct job *j, GPtrArray *mine,
+                               const struct placement_rules *rules, struct preempt_usage *u) {
+    int64_t attempt = scheduler_open_gang_attempt(j);
     int missing = j->spec.tasks - allocations_count(j);
     if (!attempt || !preempt_quota_left(&u[j->spec.team], j, missing)) return false;
     guint from = r->plans->len;
@@ -165,8 +166,8 @@
 }
 
 /* Arrays and services, task by task. True if a task found no place. */
-static bool plan_tasks(struct round *r, struct job *j, bool within, int missing, GPtrArray *mine, GPtrArray *room,
-                       const struct placement_rules *rules, struct preempt_usage *u) {
+static bool plan_tasks(struct scheduling_round *r, struct job *j, bool within, int missing, GPtrArray *mine,
+                       GPtrArray *room, const struct placement_rules *rules, struct preempt_usage *u) {
     int chunk_size = allocations_next_chunk_size(j), chunk = -1, in_chunk = 0;
     bool unplaced = false;
     struct machine *last = NULL;
@@ -203,7 +204,7 @@
     return unplaced;
 }
 
-static bool plan_group(struct round *r, struct job *j, bool within, GPtrArray *mine, GPtrArray *room,
+static bool plan_group(struct scheduling_round *r, struct job *j, bool within, GPtrArray *mine, GPtrArray *room,
                        const struct placement_rules *rules, struct preempt_usage *u) {
     int booked = allocations_count(j);
     if (booked == 0) {
@@ -254,7 +255,7 @@
     GPtrArray *room = g_ptr_array_new();
     struct job_spec smallest = {.vcpus = INFINITY, .gpus = INFINITY, .memory_gb = INFINITY};
     for (guint i = 0; i < order->len; i++) {
-        const struct job_spec *spec = &g_array_index(order, struct rounds_ranked, i).j->spec;
+        const struct job_spec *spec = &g_array_index(order, struct ranked_job, i).j->spec;
         if (missing[i] <= 0) continue;
         smallest.vcpus = MIN(smallest.vcpus, spec->vcpus);
         smallest.gpus = MIN(smallest.gpus, spec->gpus);
@@ -293,7 +294,7 @@
  * from nothing they were once asked for half a minute late. */
 static void mark_unplaced(int k, const GArray *order, guint from, const int *missing, struct free_room free) {
     for (guint i = from; i < order->len; i++) {
-        struct job *j = g_array_index(order, struct rounds_ranked, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).j;
         if (missing[i] <= 0 || waits_to_retry(j) || failures_suspect(j)) continue;
         take_free(&free, j, missing[i]);
         j->unplaced = free.cpu < 0 || free.gpu < 0;
@@ -303,25 +304,25 @@
 
 /* Of a job that fails wherever it runs one task at a time is tried, or the gang that it is. */
 static int tasks_to_place(const struct job *j) {
-    int missing = rounds_missing(j);
+    int missing = scheduler_missing_tasks(j);
     if (!failures_suspect(j) || j->spec.kind == JOB_GANG) return missing;
     return allocations_count(j) > 0 ? 0 : MIN(missing, 1);
 }
 
-void round_plan_jobs(struct round *r, int k) {
-    GArray *order = rounds_rank(k);
+void scheduling_round_plan_jobs(struct scheduling_round *r, int k) {
+    GArray *order = scheduler_order_jobs(k);
     GPtrArray *mine = machines_of_shard(k);
     struct preempt_usage u[SETTINGS_TEAMS];
     memset(u, 0, sizeof u);
-    struct placement_rules rules = {round_settings->tuning.reception, round_settings->tuning.admission,
-                                    rounds_reception(k)};
+    struct placement_rules rules = {scheduler_settings->tuning.reception, scheduler_settings->tuning.admission,
+                                    scheduler_reception(k)};
     count_usage(k, u);
     quota_refresh();
     preempt_refresh();
     bool held_back[SETTINGS_TEAMS] = {false};
     int *missing = g_new0(int, order->len + 1);
     for (guint i = 0; i < order->len; i++) {
-        struct job *j = g_array_index(order, struct rounds_ranked, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).j;
         missing[i] = tasks_to_place(j);
         if (missing[i] <= 0) j->unplaced = false;
     }
@@ -331,11 +332,11 @@
     int jobs_planned = 0;
     struct no_room none = {.n = 0};
     for (guint i = 0; i < order->len; i++) {
-        struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        bool within = g_array_index(order, struct rounds_ranked, i).within;
+        struct job *j = g_array_index(order, struct ranked_job, i).j;
+        bool within = g_array_index(order, struct ranked_job, i).within;
         if (missing[i] <= 0 || waits_to_retry(j)) continue;
         if (held_back[j->spec.team] && quota_counts_scarce(j)) continue;
-        if (jobs_planned >= r->left || r->plans->len >= PLANS_MOST) {
+        if (jobs_planned >= r->writes_left || r->plans->len >= PLANS_MOST) {
             r->more = true;
             mark_unplaced(k, order, i, missing, free);
             break;
--- a/src/rounds/rank.c
+++ b/src/scheduler/priority.c
@@ -14,9 +14,9 @@
 
 #define NO_AIM_S 300.0 /* where no class has an aim */
 
-bool rounds_has_aim(const struct job *j) {
+bool scheduler_has_objective(const struct job *j) {
     for (int kind = AIM_WAIT; kind <= AIM_DEADLINE; kind++)
-        if (kind != AIM_GUARANTEE && settings_has_aim(round_settings, (enum settings_aim)kind, j->spec.job_class))
+        if (kind != AIM_GUARANTEE && settings_has_aim(scheduler_settings, (enum settings_aim)kind, j->spec.job_class))
             return true;
     return false;
 }
@@ -24,9 +24,9 @@
 /* The longest time by which anything is expected to be done. */
 static double longest_aim(void) {
     double longest = 0;
-    for (int i = 0; i < round_settings->n_objectives; i++)
-        if (round_settings->objectives[i].kind == AIM_FINISHED)
-            longest = MAX(longest, round_settings->objectives[i].within_s);
+    for (int i = 0; i < scheduler_settings->n_objectives; i++)
+        if (scheduler_settings->objectives[i].kind == AIM_FINISHED)
+            longest = MAX(longest, scheduler_settings->objectives[i].within_s);
     return longest > 0 ? longest : NO_AIM_S;
 }
 
@@ -40,8 +40,8 @@
     if (age > WAIT_BOUND && j->allocations->len == 0 && j->n_reported_done == 0) return j->ready;
     for (double after = 0;;) {
         double next = -1;
-        for (int i = 0; i < round_settings->n_objectives; i++) {
-            const struct settings_objective *o = &round_settings->objectives[i];
+        for (int i = 0; i < scheduler_settings->n_objectives; i++) {
+            const struct settings_objective *o = &scheduler_settings->objectives[i];
             if (o->kind == AIM_FINISHED && strcmp(o->job_class, j->spec.job_class) == 0 && o->within_s > after &&
                 (next < 0 || o->within_s < next))
                 next = o->within_s;
@@ -50,8 +50,8 @@
         if (age + j->spec.runtime_s <= next) return j->ready + next;
         after = last = next;
     }
-    if (last <= 0 && rounds_has_aim(j))
-        return j->ready + settings_within(round_settings, AIM_WAIT, j->spec.job_class, 0);
+    if (last <= 0 && scheduler_has_objective(j))
+        return j->ready + settings_within(scheduler_settings, AIM_WAIT, j->spec.job_class, 0);
     /* Nobody expects it by a time: it takes turns with what is late for the last of all times. Due at once, a guest's
      * arrays without an aim once kept those with one waiting for 400 s. */
     if (last <= 0) last = longest_aim();
@@ -61,7 +61,7 @@
 }
 
 static int rank_order(gconstpointer a, gconstpointer b) {
-    const struct rounds_ranked *x = a, *y = b;
+    const struct ranked_job *x = a, *y = b;
     /* What fails wherever it runs delays nobody. */
     bool x_suspect = failures_suspect(x->j), y_suspect = failures_suspect(y->j);
     if (x_suspect != y_suspect) return y_suspect ? -1 : 1;
@@ -71,7 +71,7 @@
     return strcmp(x->j->spec.job_id, y->j->spec.job_id);
 }
 
-bool rounds_has_guarantee(const struct settings_team *t) { return t->cpus > 0 || t->gpus > 0; }
+bool scheduler_has_guarantee(const struct settings_team *t) { return t->cpus > 0 || t->gpus > 0; }
 
 /* Which jobs are asked for. */
 struct rank_filter {
@@ -85,37 +85,37 @@
 /* Of the jobs, oldest first, those that are asked for: within a guarantee first, then by rank, then by when they are
  * due. The others count towards their teams' guarantees. */
 static GArray *rank_jobs(const GPtrArray *jobs, const struct rank_filter *filter) {
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(struct rounds_ranked));
+    GArray *out = g_array_new(FALSE, FALSE, sizeof(struct ranked_job));
     double cpu[SETTINGS_TEAMS] = {0}, gpu[SETTINGS_TEAMS] = {0};
     double now = clock_time_of_day();
     for (guint i = 0; i < jobs->len; i++) {
         struct job *j = jobs->pdata[i];
         if (j->spec.team < 0 || chains_waits(j)) continue;
         if (filter->team >= 0 && j->spec.team != filter->team) continue;
-        const struct settings_team *t = &round_settings->teams[j->spec.team];
+        const struct settings_team *t = &scheduler_settings->teams[j->spec.team];
         int left = failures_suspect(j) ? allocations_count(j) : j->spec.tasks - j->n_reported_done;
         cpu[j->spec.team] += left * j->spec.vcpus;
         gpu[j->spec.team] += left * j->spec.gpus;
         if (!asked_for(filter, j)) continue;
-        struct rounds_ranked r = {j,
-                                  rounds_has_guarantee(t) && !failures_suspect(j) &&
-                                      (t->cpus <= 0 || cpu[j->spec.team] <= t->cpus + 1e-6) &&
-                                      (t->gpus <= 0 || gpu[j->spec.team] <= t->gpus + 1e-6),
-                                  MIN(due_of(j, now), j->deadline)};
+        struct ranked_job r = {j,
+                               scheduler_has_guarantee(t) && !failures_suspect(j) &&
+                                   (t->cpus <= 0 || cpu[j->spec.team] <= t->cpus + 1e-6) &&
+                                   (t->gpus <= 0 || gpu[j->spec.team] <= t->gpus + 1e-6),
+                               MIN(due_of(j, now), j->deadline)};
         g_array_append_val(out, r);
     }
     g_array_sort(out, rank_order);
     return out;
 }
 
-GArray *rounds_rank(int k) {
+GArray *scheduler_order_jobs(int k) {
     /* What is within a divided team's guarantee is decided over all its shards. */
     return rank_jobs(quota_any_divided() ? jobs_active() : jobs_active_of(k), &(struct rank_filter){k, -1});
 }
 
-GArray *rounds_rank_team(int team) { return rank_jobs(jobs_active(), &(struct rank_filter){-1, team}); }
+GArray *scheduler_order_team_jobs(int team) { return rank_jobs(jobs_active(), &(struct rank_filter){-1, team}); }
 
-int rounds_missing(const struct job *j) {
+int scheduler_missing_tasks(const struct job *j) {
     int n = j->spec.tasks - j->n_reported_done;
     for (guint b = 0; b < j->allocations->len; b++) {
         const struct allocation *x = j->allocations->pdata[b];
--- a/src/rounds/rounds_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -1,5 +1,5 @@
 /* The owner's decisions, with no store, cloud or worker beside them but the one that gives us a shard. */
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -56,9 +56,9 @@
         if (n) owned_book(array, filled, n);
         g_snprintf(job_id, sizeof job_id, "req-3%zu02", r);
         struct job *gang = owned_job(job_id, "group", "high", rows[r].tasks, 14, 2, rows[r].single_zone, false, 5);
-        struct round *round = rounds_decide(0, 20);
-        if (rounds_planned(round, job_id) != rows[r].booked)
-            fail_msg("%s: %d booked", rows[r].what, rounds_planned(round, job_id));
+        struct scheduling_round *scheduling_round = scheduler_decide(0, 20);
+        if (scheduler_planned_tasks(scheduling_round, job_id) != rows[r].booked)
+            fail_msg("%s: %d booked", rows[r].what, scheduler_planned_tasks(scheduling_round, job_id));
         int stopped = 0;
         for (guint i = 0; i < array->allocations->len; i++)
             stopped += ((struct allocation *)array->allocations->pdata[i])->stop_requested;
@@ -71,11 +71,12 @@
                 others += rows[r].free[z];
                 most = MAX(most, rows[r].free[z]);
             }
-            if (rounds_planned(round, job_id) > (others - most) * 2 + n)
-                fail_msg("%s: %d of the array on the gang's machines", rows[r].what, rounds_planned(round, job_id));
+            if (scheduler_planned_tasks(scheduling_round, job_id) > (others - most) * 2 + n)
+                fail_msg("%s: %d of the array on the gang's machines", rows[r].what,
+                         scheduler_planned_tasks(scheduling_round, job_id));
             assert_true(gang->unplaced);
         }
-        rounds_round_free(round);
+        scheduler_round_free(scheduling_round);
         owned_clear();
     }
     store_unlock();
@@ -89,10 +90,10 @@
     struct job *late = owned_job("req-40001", "batch", "normal", 1, 16, 2, false, false, 120);
     owned_job("req-40002", "batch", "normal", 1, 16, 2, false, false, 1);
     late->spec.runtime_s = 5000; /* reaches none of its times */
-    struct round *round = rounds_decide(0, 20);
-    assert_int_equal(rounds_planned(round, "req-40001"), 1);
-    assert_int_equal(rounds_planned(round, "req-40002"), 0);
-    rounds_round_free(round);
+    struct scheduling_round *scheduling_round = scheduler_decide(0, 20);
+    assert_int_equal(scheduler_planned_tasks(scheduling_round, "req-40001"), 1);
+    assert_int_equal(scheduler_planned_tasks(scheduling_round, "req-40002"), 0);
+    scheduler_round_free(scheduling_round);
     owned_clear();
     store_unlock();
 }
@@ -109,11 +110,12 @@
     }
     static const struct { int left, most; } rows[] = {{0, 0}, {1, 0}, {2, 2}, {20, 20}};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct round *round = rounds_decide(0, rows[i].left);
-        if (rounds_changes(round) > rows[i].most) fail_msg("%d changes", rounds_changes(round));
-        assert_true(rounds_planned(round, NULL) <= 2);
-        assert_true(rounds_largest(round) <= cfg.txn_ops);
-        rounds_round_free(round);
+        struct scheduling_round *scheduling_round = scheduler_decide(0, rows[i].left);
+        if (scheduler_round_writes(scheduling_round) > rows[i].most)
+            fail_msg("%d changes", scheduler_round_writes(scheduling_round));
+        assert_true(scheduler_planned_tasks(scheduling_round, NULL) <= 2);
+        assert_true(scheduler_largest_transaction(scheduling_round) <= cfg.txn_ops);
+        scheduler_round_free(scheduling_round);
     }
     assert_true(jobs_find("req-50009")->unplaced);
     owned_clear();
@@ -127,7 +129,7 @@
     store_lock();
     shard_states[0].since = (struct timespec){0, 0};
     struct job *j = owned_job("req-60001", "batch", "normal", 300, 8, 1, false, false, 10);
-    rounds_round_free(rounds_decide(0, 20));
+    scheduler_round_free(scheduler_decide(0, 20));
     assert_true(j->unplaced);
     int n = renting_plan(out, 16), machines = 0;
     for (int i = 0; i < n; i++) {
@@ -177,7 +179,7 @@
         struct job *rest = owned_job(two, "standing", "high", rows[i].busy - 1, 14, 2, false, false, 600);
         owned_book(gang, all, 1);
         owned_book(rest, all + 1, rows[i].busy - 1);
-        rounds_round_free(rounds_decide(0, 20));
+        scheduler_round_free(scheduler_decide(0, 20));
         struct rental_request out[16];
         int n = renting_plan(out, 16);
         for (int o = 0; o < n; o++) machines += out[o].spot ? 1000 : out[o].count;
@@ -278,21 +280,21 @@
     /* 4,275 machines are full; 225 have room, and there are 40 new tasks. */
     owned_job("req-790001", "batch", "normal", 40, 8, 1, false, true, 1);
     unsigned long before = placement_looks();
-    struct round *round = rounds_decide(0, 20);
-    assert_int_equal(rounds_planned(round, "req-790001"), 40);
-    assert_int_equal(rounds_planned(round, NULL), 40);
+    struct scheduling_round *scheduling_round = scheduler_decide(0, 20);
+    assert_int_equal(scheduler_planned_tasks(scheduling_round, "req-790001"), 40);
+    assert_int_equal(scheduler_planned_tasks(scheduling_round, NULL), 40);
     if (placement_looks() - before > 40 * 230) fail_msg("%lu looks", placement_looks() - before);
-    assert_int_equal(rounds_changes(round), 1); /* however many machines it touches */
-    rounds_round_free(round);
+    assert_int_equal(scheduler_round_writes(scheduling_round), 1); /* however many machines it touches */
+    scheduler_round_free(scheduling_round);
     /* With nothing waiting, nothing is looked at. */
     owned_put("run/req-790001/0", NULL);
     struct job *j = jobs_find("req-790001");
     owned_book(j, all + 4275, 40);
     before = placement_looks();
-    round = rounds_decide(0, 20);
-    assert_int_equal(rounds_planned(round, NULL), 0);
+    scheduling_round = scheduler_decide(0, 20);
+    assert_int_equal(scheduler_planned_tasks(scheduling_round, NULL), 0);
     assert_int_equal(placement_looks() - before, 0);
-    rounds_round_free(round);
+    scheduler_round_free(scheduling_round);
     owned_clear();
     store_unlock();
 }
@@ -321,11 +323,12 @@
         struct job *j = owned_job(job_id, "batch", "idle", rows[r].tasks, rows[r].cpus, 0, false, true, 1);
         j->spec.memory_gb = 0.1;
         unsigned long before = placement_looks();
-        struct round *round = rounds_decide(0, 20);
-        int planned = rounds_planned(round, job_id), changes = rounds_changes(round), most = 0;
+        struct scheduling_round *scheduling_round = scheduler_decide(0, 20);
+        int planned = scheduler_planned_tasks(scheduling_round, job_id),
+            changes = scheduler_round_writes(scheduling_round), most = 0;
         unsigned long looks = placement_looks() - before;
         for (int i = 0; i < FLEET; i++) most = MAX(most, all[i]->used_tasks);
-        rounds_round_free(round);
+        scheduler_round_free(scheduling_round);
         owned_clear();
         store_unlock();
         if (planned < 400) fail_msg("%s: %d planned", rows[r].what, planned);
@@ -362,8 +365,8 @@
         expected->spec.job_class = g_strdup("expected");
         plain->n_reported_done = 1; /* it has begun */
         (void)m;
-        GArray *order = rounds_rank(0);
-        bool first = g_array_index(order, struct rounds_ranked, 0).j == expected;
+        GArray *order = scheduler_order_jobs(0);
+        bool first = g_array_index(order, struct ranked_job, 0).j == expected;
         g_array_free(order, TRUE);
         owned_clear();
         store_unlock();
@@ -409,7 +412,7 @@
         if (!rows[r].up) full->retry_at = clock_instant_in(clock_from_seconds(60));
         owned_job(job_id, "batch", "high", rows[r].booting, 16, 2, false, false, 10);
         full->retry_at = clock_instant_in(clock_from_seconds(60));
-        rounds_round_free(rounds_decide(0, 20));
+        scheduler_round_free(scheduler_decide(0, 20));
         int n = renting_plan(out, 16), machines = 0;
         for (int i = 0; i < n; i++) machines += out[i].count;
         owned_clear();
--- a/src/rounds/rounds_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -13,7 +13,7 @@
 #include "clock/clock.h"
 #include "json/json.h"
 #include "placement/placement.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 
 #define NEXT_OPS 4
@@ -40,16 +40,16 @@
 static void settle(const char *what) {
     for (int i = 0; i < ROUNDS; i++) {
         shard_states[0].compacted_at.tv_sec = 0;
-        struct round *round = rounds_decide(0, 12);
-        const GPtrArray *txns = rounds_transactions(round);
+        struct scheduling_round *scheduling_round = scheduler_decide(0, 12);
+        const GPtrArray *txns = scheduler_round_transactions(scheduling_round);
         bool wrote = false;
         for (guint t = 0; t < txns->len; t++) {
             const struct store_txn *txn = txns->pdata[t];
             check_limits(what, txn);
             wrote |= txn->writes > 0;
-            rounds_apply(round, txn, owned_next_stamp());
+            scheduler_apply(scheduling_round, txn, owned_next_stamp());
         }
-        rounds_round_free(round);
+        scheduler_round_free(scheduling_round);
         if (!wrote) return;
     }
     fail_msg("%s: does not settle", what);
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -20,7 +20,7 @@
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
 #include "../renting/renting.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "../schema_version/schema_version.h"
 #include "../stall/stall.h"
 #include "../store/store.h"
@@ -63,7 +63,7 @@
     cloud_init(s);
     machines_init(s);
     allocations_init(s);
-    rounds_init(s);
+    scheduler_init(s);
     preempt_init(s);
     transfer_init(s);
     renting_init(s);
@@ -88,7 +88,7 @@
     if (!http_server_start(s->bind, (unsigned)s->sockets * 3 / 4, on_request, NULL) || !peers_start()) return false;
     store_mirror_start();
     membership_start();
-    rounds_start();
+    scheduler_start();
     workers_start();
     cloud_start();
     stall_start();
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -18,7 +18,7 @@
 #include "machines/machines.h"
 #include "membership/membership.h"
 #include "peers/peers.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "transfer/transfer.h"
 #include "workers/workers.h"
 
@@ -272,7 +272,7 @@
         j.allocations = g_ptr_array_new();
         g_ptr_array_add(j.allocations, &a);
         g_ptr_array_add(j.allocations, &b);
-        assert_int_equal(rounds_gang_open(&j), rows[i].want);
+        assert_int_equal(scheduler_open_gang_attempt(&j), rows[i].want);
         g_ptr_array_free(j.allocations, TRUE);
     }
 }
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -14,7 +14,7 @@
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
 #include "../renting/renting.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
 
@@ -91,21 +91,21 @@
         }
     }
     struct job *found = NULL;
-    GArray *order = rounds_rank(s);
+    GArray *order = scheduler_order_jobs(s);
     for (guint i = 0; i < order->len && !found; i++) {
-        struct job *j = g_array_index(order, struct rounds_ranked, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).j;
         if (j->spec.allows_spot != reclaimable || failures_suspect(j) || clock_seconds_since(j->eligible_since) < 0.4)
             continue;
         /* A dear machine that nobody needs is given back rather than kept for work that nobody expects by a time. */
-        if (reclaimable && !rounds_has_aim(j)) continue;
+        if (reclaimable && !scheduler_has_objective(j)) continue;
         const struct settings_team *t = &cfg->teams[j->spec.team];
-        int left = rounds_missing(j), tasks = j->spec.kind == JOB_ARRAY ? 1 : left;
+        int left = scheduler_missing_tasks(j), tasks = j->spec.kind == JOB_ARRAY ? 1 : left;
         if (left <= 0 || !quota_waits_for_machines(j, tasks) ||
             (t->gpus_max > 0 && preempt_beyond(j->spec.team) + t->gpus + tasks * j->spec.gpus > t->gpus_max))
             continue;
         if (!takes_all(vms, j, left)) {
             found = j;
-            *within = g_array_index(order, struct rounds_ranked, i).within;
+            *within = g_array_index(order, struct ranked_job, i).within;
         }
     }
     g_array_free(order, TRUE);
@@ -127,10 +127,10 @@
  * in a shard that has few machines: it waited there for ever, though within its guarantee, while the shard that had
  * them all had work beyond its guarantees waiting. */
 static bool own_guarantee_first(int k, const struct job *j) {
-    GArray *order = rounds_rank(k);
+    GArray *order = scheduler_order_jobs(k);
     bool first = false;
     for (guint i = 0; i < order->len && !first; i++) {
-        const struct rounds_ranked *o = &g_array_index(order, struct rounds_ranked, i);
+        const struct ranked_job *o = &g_array_index(order, struct ranked_job, i);
         first = o->within && o->j->unplaced && o->j->priority >= j->priority;
     }
     g_array_free(order, TRUE);
@@ -140,7 +140,7 @@
 /* The machine of shard K that is easiest to spare for the job: an empty one, else one whose tasks may all be stopped
  * for it. */
 static struct machine *donation(int k, const struct job *j, bool within) {
-    struct machine *best = NULL, *reception = rounds_reception(k);
+    struct machine *best = NULL, *reception = scheduler_reception(k);
     double best_cost = 0;
     const char *site = placement_site(j);
     bool claims = within && quota_divided(j->spec.team);
--- a/src/workers/checkin.c
+++ b/src/workers/checkin.c
@@ -9,7 +9,7 @@
 #include "../json/json.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "internal.h"
 
 static void go_elsewhere(struct http_request *r, const char *master) {
@@ -98,7 +98,7 @@
     if (m->outcome_unknown && !workers_start_on_its_way(m) && machines_fencing_token(m) <= m->unknown_token) {
         /* A command may still be on its way: this machine's lease is renewed under a higher token only. */
         m->needs_token_raise = true;
-        rounds_kick();
+        scheduler_wake();
         http_reply(r, 503, NULL, 1);
         return;
     }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -13,7 +13,7 @@
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 #include "internal.h"
 
--- a/src/workers/reports.c
+++ b/src/workers/reports.c
@@ -11,7 +11,7 @@
 #include "../failures/failures.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
-#include "../rounds/rounds.h"
+#include "../scheduler/scheduler.h"
 #include "internal.h"
 
 #define BOOKINGS_MOST 256 /* of a machine */
@@ -253,6 +253,6 @@
      * knows what runs as soon as it has asked; waiting for reports took 20 s after a cut. */
     bool proves = checkin || m->start_incarnation < incarnation;
     if (proves) change |= release_absent(m, listed);
-    if (change) rounds_kick();
+    if (change) scheduler_wake();
     return true;
 }
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -15,7 +15,7 @@
 #include "json/json.h"
 #include "membership/membership.h"
 #include "peers/peers.h"
-#include "rounds/rounds.h"
+#include "scheduler/scheduler.h"
 #include "watch/watch.h"
 
 static struct settings cfg;
