--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "../../tests/standin/site.h"
-#include "chains/chains.h"
+#include "dependencies/dependencies.h"
 #include "json/json.h"
 #include "membership/membership.h"
 #include "scheduler/scheduler.h"
@@ -224,7 +224,7 @@
     store_init(&cfg);
     membership_init(&cfg);
     jobs_init(&cfg);
-    chains_init(&cfg);
+    dependencies_init(&cfg);
     schema_version_init(&cfg);
     machines_init(&cfg);
     allocations_init(&cfg);
--- a/src/chains/chains.c
+++ b/src/dependencies/dependencies.c
@@ -1,4 +1,4 @@
-#include "chains.h"
+#include "dependencies.h"
 
 #include <glib.h>
 #include <math.h>
@@ -18,10 +18,10 @@
 static GPtrArray *to_cancel; /* prerequisites before their dependents; those over meanwhile go with the next look */
 static struct sync_wakeup wakeup;
 
-void chains_wake(void) { sync_wakeup_signal(&wakeup); }
+void dependencies_wake(void) { sync_wakeup_signal(&wakeup); }
 
-bool chains_waits(const struct job *j) { return j->unmet > 0; }
-bool chains_to_cancel(const struct job *j) { return j->prerequisite_cancelled && j->state == JOB_QUEUED; }
+bool dependencies_unmet(const struct job *j) { return j->unmet > 0; }
+bool dependencies_must_cancel(const struct job *j) { return j->prerequisite_cancelled && j->state == JOB_QUEUED; }
 
 static bool unfinished(const struct job *j) { return j->known && j->state == JOB_QUEUED; }
 static bool cancelled_or_to_be(const struct job *j) { return j->state == JOB_CANCELLED || j->prerequisite_cancelled; }
@@ -119,7 +119,7 @@
             g_queue_push_tail(queue, j->dependents->pdata[i]);
     }
     g_queue_free(queue);
-    chains_wake();
+    dependencies_wake();
 }
 
 static void check_cancelled(struct job *j) {
@@ -130,7 +130,7 @@
         }
 }
 
-void chains_job_read(struct job *j) {
+void dependencies_job_added(struct job *j) {
     link_prerequisites(j);
     reset_urgency(j);
     update_waiting(j);
@@ -144,7 +144,7 @@
     check_cancelled(j);
 }
 
-void chains_job_ended(struct job *j) {
+void dependencies_job_ended(struct job *j) {
     for (guint i = 0; j->dependents && i < j->dependents->len; i++) {
         struct job *dependent = j->dependents->pdata[i];
         if (!dependent->known) continue;
@@ -155,7 +155,7 @@
     if (j->dependents) scheduler_wake();
 }
 
-bool chains_cancelled_among(char *const *prerequisites) {
+bool dependencies_any_cancelled(char *const *prerequisites) {
     for (; prerequisites && *prerequisites; prerequisites++) {
         const struct job *j = jobs_find(*prerequisites);
         if (j && j->known && cancelled_or_to_be(j)) return true;
@@ -205,7 +205,8 @@
     }
 }
 
-unsigned chains_check(struct http_client *c, const char *job_id, char *const *prerequisites, char *why, size_t n) {
+unsigned dependencies_check(struct http_client *c, const char *job_id, char *const *prerequisites, char *why,
+                            size_t n) {
     unsigned status = 0;
     for (; status == 0 && prerequisites && *prerequisites; prerequisites++) {
         if (strcmp(*prerequisites, job_id) == 0) {
@@ -237,7 +238,7 @@
     return j->cascade_owned || waited > ANYONE_AFTER_S || (waited > OWNER_AFTER_S && membership_owns(jobs_shard(j)));
 }
 
-int chains_next_cancels(struct job **out, int most) {
+int dependencies_next_cancellations(struct job **out, int most) {
     int n = 0;
     guint kept = 0;
     for (guint i = 0; i < to_cancel->len; i++) {
@@ -261,7 +262,7 @@
     struct store_response a;
     store_txn_init(&t);
     store_lock();
-    int n = store_unreachable() ? 0 : chains_next_cancels(jobs, MIN(CANCELS_MOST, cfg->txn_ops));
+    int n = store_unreachable() ? 0 : dependencies_next_cancellations(jobs, MIN(CANCELS_MOST, cfg->txn_ops));
     for (int i = 0; i < n; i++) {
         char key[96];
         snprintf(key, sizeof key, "job/%s", jobs[i]->spec.job_id);
@@ -284,7 +285,7 @@
     return result == STORE_OK || result == STORE_CONFLICT;
 }
 
-static void *chains_main(void *arg) {
+static void *dependencies_main(void *arg) {
     (void)arg;
     struct http_client *c = http_client_new();
     for (;;) {
@@ -294,10 +295,10 @@
     return NULL;
 }
 
-void chains_init(const struct settings *s) {
+void dependencies_init(const struct settings *s) {
     cfg = s;
     to_cancel = g_ptr_array_new();
     sync_wakeup_init(&wakeup);
 }
 
-void chains_start(void) { sync_start_thread(chains_main, NULL); }
+void dependencies_start(void) { sync_start_thread(dependencies_main, NULL); }
--- a/src/chains/chains_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -1,5 +1,5 @@
 /* Chains on records alone, read in any order: who waits, whose rank and deadline a job has, what is to be cancelled. */
-#include "chains/chains.h"
+#include "dependencies/dependencies.h"
 
 #include <glib.h>
 #include <math.h>
@@ -64,20 +64,20 @@
     (void)state;
     queued("req-10003", "[\"req-10001\",\"req-10002\"]"); /* read before what it needs */
     const struct job *j = jobs_find("req-10003");
-    assert_true(chains_waits(j));
+    assert_true(dependencies_unmet(j));
     assert_int_equal(ranked("req-10003"), 0);
     queued("req-10001", "[]");
     queued("req-10002", "[]");
     assert_int_equal(ranked("req-10001"), 1);
     ends("req-10001", "[]", "done", 1200);
-    assert_true(chains_waits(j));
+    assert_true(dependencies_unmet(j));
     jobs_mark_done(jobs_find("req-10002"), 0);
     jobs_mark_done(jobs_find("req-10002"), 1);
     assert_true(jobs_complete(jobs_find("req-10002")));
-    assert_true(chains_waits(j));
+    assert_true(dependencies_unmet(j));
     assert_int_equal(ranked("req-10003"), 0);
     ends("req-10002", "[]", "done", 1100);
-    assert_false(chains_waits(j));
+    assert_false(dependencies_unmet(j));
     assert_int_equal(ranked("req-10003"), 1);
     assert_float_equal(j->ready, 1200, 1e-6);
     /* Ends that the first version recorded are older than any job with prerequisites. */
@@ -179,19 +179,20 @@
     queued("req-30002", "[\"req-30001\"]");
     queued("req-30003", "[\"req-30002\"]");
     ends("req-30001", "[]", "done", 1100);
-    assert_false(chains_to_cancel(jobs_find("req-30002"))); /* a cancellation that ended in done cascades nothing */
+    assert_false(
+        dependencies_must_cancel(jobs_find("req-30002"))); /* a cancellation that ended in done cascades nothing */
     ends("req-30002", "[\"req-30001\"]", "cancelled", 0);
-    assert_true(chains_to_cancel(jobs_find("req-30003")));
-    assert_true(chains_waits(jobs_find("req-30003")));
+    assert_true(dependencies_must_cancel(jobs_find("req-30003")));
+    assert_true(dependencies_unmet(jobs_find("req-30003")));
     assert_int_equal(jobs_find("req-30003")->allocations->len, 0);
     char *names[] = {(char *)"req-30001", (char *)"req-30003", NULL};
-    assert_true(chains_cancelled_among(names)); /* what names it later */
-    assert_false(chains_cancelled_among(NULL));
+    assert_true(dependencies_any_cancelled(names)); /* what names it later */
+    assert_false(dependencies_any_cancelled(NULL));
     queued("req-30004", "[\"req-30003\"]");
-    assert_true(chains_to_cancel(jobs_find("req-30004")));
+    assert_true(dependencies_must_cancel(jobs_find("req-30004")));
     /* Its own record ends it. */
     ends("req-30003", "[\"req-30002\"]", "cancelled", 0);
-    assert_false(chains_to_cancel(jobs_find("req-30003")));
+    assert_false(dependencies_must_cancel(jobs_find("req-30003")));
     ends("req-30004", "[\"req-30003\"]", "cancelled", 0);
 }
 
@@ -212,17 +213,17 @@
         queued(job_id, "[\"req-400000\"]");
     }
     queued("req-400000", "[]");
-    assert_int_equal(chains_next_cancels(next, DEEP + WIDE), 0);
+    assert_int_equal(dependencies_next_cancellations(next, DEEP + WIDE), 0);
     ends("req-400000", "[]", "cancelled", 0);
     store_lock();
     /* Neither was the user told here, nor is the shard ours: others go first. */
-    assert_int_equal(chains_next_cancels(next, DEEP + WIDE), 0);
+    assert_int_equal(dependencies_next_cancellations(next, DEEP + WIDE), 0);
     jobs_find("req-400000")->cancel_acknowledged = true;
-    assert_int_equal(chains_next_cancels(next, 16), 16);
-    assert_int_equal(chains_next_cancels(next, DEEP + WIDE + 1), DEEP + WIDE);
+    assert_int_equal(dependencies_next_cancellations(next, 16), 16);
+    assert_int_equal(dependencies_next_cancellations(next, DEEP + WIDE + 1), DEEP + WIDE);
     for (int i = 1; i <= DEEP; i++) {
         g_snprintf(job_id, sizeof job_id, "req-4%05d", i);
-        assert_true(chains_to_cancel(jobs_find(job_id)));
+        assert_true(dependencies_must_cancel(jobs_find(job_id)));
     }
     store_unlock();
 }
@@ -240,7 +241,7 @@
     membership_init(&cfg);
     schema_version_init(&cfg);
     jobs_init(&cfg);
-    chains_init(&cfg);
+    dependencies_init(&cfg);
     allocations_init(&cfg);
     machines_init(&cfg);
     scheduler_init(&cfg);
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -9,8 +9,8 @@
 #include <string.h>
 
 #include "../allocations/allocations.h"
-#include "../chains/chains.h"
 #include "../clock/clock.h"
+#include "../dependencies/dependencies.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
@@ -235,8 +235,8 @@
         j->finished = state == JOB_DONE ? json_get_double(data, "end", 0) : 0;
         enter_final_state(j, state);
     }
-    if (first) chains_job_read(j);
-    if (ends) chains_job_ended(j);
+    if (first) dependencies_job_added(j);
+    if (ends) dependencies_job_ended(j);
     jobs_list(j);
     allocations_job_changed(j);
 }
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -8,8 +8,8 @@
 
 #include "../../tests/standin/site.h"
 #include "allocations/allocations.h"
-#include "chains/chains.h"
 #include "cloud/cloud.h"
+#include "dependencies/dependencies.h"
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
@@ -244,7 +244,7 @@
     store_init(&cfg);
     membership_init(&cfg);
     jobs_init(&cfg);
-    chains_init(&cfg);
+    dependencies_init(&cfg);
     schema_version_init(&cfg);
     cloud_init(&cfg);
     machines_init(&cfg);
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -7,9 +7,9 @@
 #include <time.h>
 
 #include "../allocations/allocations.h"
-#include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
+#include "../dependencies/dependencies.h"
 #include "../failures/failures.h"
 #include "../http/client.h"
 #include "../json/json.h"
--- a/src/scheduler/priority.c
+++ b/src/scheduler/priority.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #include "../allocations/allocations.h"
-#include "../chains/chains.h"
 #include "../clock/clock.h"
+#include "../dependencies/dependencies.h"
 #include "../failures/failures.h"
 #include "../quota/quota.h"
 #include "round.h"
@@ -90,7 +90,7 @@
     double now = clock_time_of_day();
     for (guint i = 0; i < jobs->len; i++) {
         struct job *j = jobs->pdata[i];
-        if (j->spec.team < 0 || chains_waits(j)) continue;
+        if (j->spec.team < 0 || dependencies_unmet(j)) continue;
         if (filter->team >= 0 && j->spec.team != filter->team) continue;
         const struct settings_team *t = &scheduler_settings->teams[j->spec.team];
         int left = failures_suspect(j) ? allocations_count(j) : j->spec.tasks - j->n_reported_done;
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -7,9 +7,9 @@
 #include <sys/resource.h>
 
 #include "../allocations/allocations.h"
-#include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
+#include "../dependencies/dependencies.h"
 #include "../http/server.h"
 #include "../jobs/jobs.h"
 #include "../ledger/ledger.h"
@@ -58,7 +58,7 @@
     quota_init(s);
     jobs_init(s);
     users_init(s);
-    chains_init(s);
+    dependencies_init(s);
     workers_init(s);
     cloud_init(s);
     machines_init(s);
@@ -84,7 +84,7 @@
 bool service_start(const struct settings *s) {
     raise_open_files(s->sockets);
     users_start();
-    chains_start();
+    dependencies_start();
     if (!http_server_start(s->bind, (unsigned)s->sockets * 3 / 4, on_request, NULL) || !peers_start()) return false;
     store_mirror_start();
     membership_start();
--- a/src/service/service_upgrade_test.c
+++ b/src/service/service_upgrade_test.c
@@ -129,7 +129,7 @@
 }
 
 /* Chains, once all controllers are new. */
-static void chains_work(void) {
+static void dependencies_work(void) {
     char s[32] = "";
     assert_int_equal(pair_submit_after("req-10040", "red", "batch", 2, "[]"), 201);
     assert_int_equal(pair_submit_after("req-10041", "blue", "batch", 2, "[\"req-10040\"]"), 201);
@@ -207,7 +207,7 @@
     standin_state_limits(NEXT_VALUE_KB, NEXT_OPS, NEXT_RPS);
     assert_true(pair_becomes("req-10001", "done", 30) && pair_becomes("req-10002", "done", 30));
     assert_true(pair_becomes("req-10060", "done", 20));
-    chains_work();
+    dependencies_work();
     bool cancelled = rows[row].trouble == CANCEL_AT_NEW || rows[row].trouble == CANCEL_AT_OLD;
     assert_int_equal(running("req-90007", 2) + running("req-90008", 2), cancelled ? 0 : 4);
     assert_true(all_running("req-90001", 2, 10) && all_running("req-90002", WIDE, 20) &&
--- a/src/users/users.c
+++ b/src/users/users.c
@@ -11,9 +11,9 @@
 #include <string.h>
 #include <time.h>
 
-#include "../chains/chains.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
+#include "../dependencies/dependencies.h"
 #include "../http/client.h"
 #include "../http/server.h"
 #include "../json/json.h"
@@ -102,7 +102,7 @@
  * needs nothing is told until that is written. */
 static void answer_known(struct user_request *a, const struct job *j) {
     int running;
-    if (chains_to_cancel(j)) {
+    if (dependencies_must_cancel(j)) {
         refuse(a->req, 503, "a job that it needs is cancelled", 1);
         return;
     }
@@ -231,7 +231,7 @@
     store_lock();
     struct job *j = jobs_find(job_id);
     bool terminal = j && j->known && j->state != JOB_QUEUED, ready = !store_unreachable();
-    bool to_write = cancel || (j && chains_to_cancel(j));
+    bool to_write = cancel || (j && dependencies_must_cancel(j));
     if (terminal) answer_known(a, j);
     store_unlock();
     if (terminal) {
@@ -360,9 +360,10 @@
         a->was_known = j && j->known;
         if (twice) continue;
         if (a->kind == REQUEST_SUBMIT && !(j && j->known) && !a->refusal) {
-            enum job_state state = chains_cancelled_among(a->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
+            enum job_state state = dependencies_any_cancelled(a->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
             store_txn_put(t, key, jobs_value(a->spec_text, state, clock_time_of_day(), shard_of_new(a)), 0);
-        } else if (j && j->known && j->state == JOB_QUEUED && (a->kind == REQUEST_CANCEL || chains_to_cancel(j))) {
+        } else if (j && j->known && j->state == JOB_QUEUED &&
+                   (a->kind == REQUEST_CANCEL || dependencies_must_cancel(j))) {
             store_txn_put(t, key, jobs_final_value(j, JOB_CANCELLED), 0);
         }
     }
@@ -410,7 +411,7 @@
             } else {
                 j->cancel_acknowledged = j->state == JOB_CANCELLED;
                 answer_known(a, j);
-                chains_wake();
+                dependencies_wake();
             }
         } else {
             refuse(a->req, 404, "no such job", 0);
@@ -429,7 +430,7 @@
         const struct job *j = jobs_find(a->job_id);
         bool known = j && j->known;
         store_unlock();
-        if (!known) a->refusal = chains_check(c, a->job_id, a->prerequisites, a->why, sizeof a->why);
+        if (!known) a->refusal = dependencies_check(c, a->job_id, a->prerequisites, a->why, sizeof a->why);
     }
 }
 
--- a/src/workers/orders.c
+++ b/src/workers/orders.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "../chains/chains.h"
+#include "../dependencies/dependencies.h"
 #include "../json/json.h"
 #include "../membership/membership.h"
 #include "internal.h"
@@ -22,7 +22,7 @@
 /* Booked by us and not yet shown by the worker. */
 bool workers_waits_for_start(const struct allocation *b) {
     return !b->released && !b->stop_requested && !b->seen && !b->inherited && b->job->state == JOB_QUEUED &&
-           !chains_waits(b->job) && !b->m->returning && !b->m->return_wanted;
+           !dependencies_unmet(b->job) && !b->m->returning && !b->m->return_wanted;
 }
 
 cJSON *workers_orders(struct machine *m, bool direct) {
