--- a/src/users/users.c
+++ b/src/api/api.c
@@ -1,4 +1,4 @@
-#include "users.h"
+#include "api.h"
 
 #include <glib.h>
 #include <gsl/gsl_histogram.h>
@@ -25,7 +25,7 @@
 static const struct settings *cfg;
 
 enum request_kind { REQUEST_SUBMIT, REQUEST_POLL, REQUEST_CANCEL };
-struct user_request {
+struct api_request {
     enum request_kind kind;
     struct http_request *req;
     char job_id[64];
@@ -68,7 +68,7 @@
     return 0;
 }
 
-void users_latency(int *answers, double *median_ms, double *p95_ms) {
+void api_latency(int *answers, double *median_ms, double *p95_ms) {
     pthread_mutex_lock(&latency_lock);
     *answers = (int)gsl_histogram_sum(latency);
     *median_ms = *answers ? quantile(0.5) : 0;
@@ -77,7 +77,7 @@
     pthread_mutex_unlock(&latency_lock);
 }
 
-static void request_free(struct user_request *a) {
+static void request_free(struct api_request *a) {
     note_latency(a->came);
     free(a->spec_text);
     g_strfreev(a->prerequisites);
@@ -100,7 +100,7 @@
 
 /* Answers from the record, which the caller has just seen confirmed. Of a job that is to be cancelled with one that it
  * needs nothing is told until that is written. */
-static void answer_known(struct user_request *a, const struct job *j) {
+static void answer_known(struct api_request *a, const struct job *j) {
     int running;
     if (dependencies_must_cancel(j)) {
         refuse(a->req, 503, "a job that it needs is cancelled", 1);
@@ -110,7 +110,7 @@
     reply_job(a->req, 200, a->job_id, s, j->n_done, running);
 }
 
-static void push(int lane, struct user_request *a) {
+static void push(int lane, struct api_request *a) {
     struct request_queue *l = &queues[lane];
     pthread_mutex_lock(&l->lock);
     bool full = l->q->length >= REQUESTS_MOST;
@@ -164,7 +164,7 @@
     }
     /* An accepted job is known whatever its repetition looks like: a refusal waits until the store has shown that the
      * id is nobody's. */
-    struct user_request *a = g_new0(struct user_request, 1);
+    struct api_request *a = g_new0(struct api_request, 1);
     a->kind = REQUEST_SUBMIT;
     a->req = r;
     a->came = clock_now();
@@ -197,7 +197,7 @@
     cJSON_Delete(o);
 }
 
-bool users_route(struct http_request *r) {
+bool api_route(struct http_request *r) {
     const char *p = http_path(r), *m = http_method(r);
     if (strcmp(p, "/work") == 0) {
         if (strcmp(m, "POST") == 0)
@@ -223,7 +223,7 @@
         refuse(r, 404, "no such job", 0);
         return true;
     }
-    struct user_request *a = g_new0(struct user_request, 1);
+    struct api_request *a = g_new0(struct api_request, 1);
     a->kind = cancel ? REQUEST_CANCEL : REQUEST_POLL;
     a->req = r;
     a->came = clock_now();
@@ -276,7 +276,7 @@
     return false;
 }
 
-static void poll_answer(struct user_request *a, enum store_result rc, const struct store_txn *t,
+static void poll_answer(struct api_request *a, enum store_result rc, const struct store_txn *t,
                         const struct store_response *answer) {
     if (rc != STORE_OK && rc != STORE_CONFLICT) {
         refuse(a->req, 503, "the state service is out of reach", 2);
@@ -304,7 +304,7 @@
     char key[96];
     store_lock();
     for (guint i = 0; i < batch->len; i++) {
-        const struct user_request *a = batch->pdata[i];
+        const struct api_request *a = batch->pdata[i];
         snprintf(key, sizeof key, "job/%s", a->job_id);
         store_txn_compare(t, key, store_key_revision(key));
     }
@@ -343,7 +343,7 @@
     return NULL;
 }
 
-static int shard_of_new(const struct user_request *a) {
+static int shard_of_new(const struct api_request *a) {
     return a->team < 0 ? -1 : quota_shard_of_new(a->team, a->job_id);
 }
 
@@ -351,11 +351,11 @@
 static void accept_fill(GPtrArray *batch, struct store_txn *t) {
     char key[96];
     for (guint i = 0; i < batch->len; i++) {
-        struct user_request *a = batch->pdata[i];
+        struct api_request *a = batch->pdata[i];
         snprintf(key, sizeof key, "job/%s", a->job_id);
         struct job *j = jobs_find(a->job_id);
         bool twice = false;
-        for (guint k = 0; k < i; k++) twice |= strcmp(((struct user_request *)batch->pdata[k])->job_id, a->job_id) == 0;
+        for (guint k = 0; k < i; k++) twice |= strcmp(((struct api_request *)batch->pdata[k])->job_id, a->job_id) == 0;
         store_txn_compare(t, key, store_key_revision(key));
         a->was_known = j && j->known;
         if (twice) continue;
@@ -376,7 +376,7 @@
      * for again. */
     if (rc == STORE_OK && clock_seconds_since(asked) > CONFIRMED_S) rc = STORE_UNKNOWN;
     for (guint i = 0; i < batch->len; i++) {
-        struct user_request *a = batch->pdata[i];
+        struct api_request *a = batch->pdata[i];
         char key[96];
         snprintf(key, sizeof key, "job/%s", a->job_id);
         if (rc != STORE_OK) {
@@ -424,7 +424,7 @@
 /* Asks the store about names that are not known here, before anything is decided. */
 static void check_prerequisites(struct http_client *c, GPtrArray *batch) {
     for (guint i = 0; i < batch->len; i++) {
-        struct user_request *a = batch->pdata[i];
+        struct api_request *a = batch->pdata[i];
         if (a->refusal || !a->prerequisites) continue;
         store_lock();
         const struct job *j = jobs_find(a->job_id);
@@ -441,7 +441,7 @@
 
 static bool any_cancels(const GPtrArray *batch) {
     for (guint i = 0; i < batch->len; i++)
-        if (((const struct user_request *)batch->pdata[i])->kind == REQUEST_CANCEL) return true;
+        if (((const struct api_request *)batch->pdata[i])->kind == REQUEST_CANCEL) return true;
     return false;
 }
 
@@ -519,9 +519,9 @@
     return NULL;
 }
 
-void users_init(const struct settings *s) { cfg = s; }
+void api_init(const struct settings *s) { cfg = s; }
 
-void users_start(void) {
+void api_start(void) {
     latency = gsl_histogram_alloc(60);
     gsl_histogram_set_ranges_uniform(latency, -1, 5);
     for (int i = 0; i < 2; i++) {
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -7,6 +7,7 @@
 #include <sys/resource.h>
 
 #include "../allocations/allocations.h"
+#include "../api/api.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../dependencies/dependencies.h"
@@ -25,7 +26,6 @@
 #include "../stall/stall.h"
 #include "../store/store.h"
 #include "../transfer/transfer.h"
-#include "../users/users.h"
 #include "../watch/watch.h"
 #include "../workers/workers.h"
 
@@ -46,7 +46,7 @@
         http_reply(r, up ? 200 : 503, NULL, up ? 0 : 1);
         return;
     }
-    if (workers_route(r) || users_route(r)) return;
+    if (workers_route(r) || api_route(r)) return;
     http_reply(r, 404, "{\"error\":\"no such path\"}", 0);
 }
 
@@ -57,7 +57,7 @@
     peers_init(s);
     quota_init(s);
     jobs_init(s);
-    users_init(s);
+    api_init(s);
     dependencies_init(s);
     workers_init(s);
     cloud_init(s);
@@ -83,7 +83,7 @@
 
 bool service_start(const struct settings *s) {
     raise_open_files(s->sockets);
-    users_start();
+    api_start();
     dependencies_start();
     if (!http_server_start(s->bind, (unsigned)s->sockets * 3 / 4, on_request, NULL) || !peers_start()) return false;
     store_mirror_start();
@@ -100,7 +100,7 @@
     unsigned now = store_budget_requests_sent();
     int answers;
     double median, p95;
-    users_latency(&answers, &median, &p95);
+    api_latency(&answers, &median, &p95);
     store_lock();
     log_info(
         "status: %u unfinished jobs, %u machines, store %.1f calls/s (pace %.1f, of changes %.1f), store seen %.1f s "
