--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -92,7 +92,7 @@
             b->m->wake = true;
         }
     scheduler_wake();
-    workers_kick();
+    workers_wake();
 }
 
 bool allocations_parse_entry(const char **text, int64_t base, int *task, char *machine, size_t n, int64_t *attempt) {
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -161,13 +161,13 @@
     static const char *const pieces[] = {"{\"n\":16,\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3\"}",
                                          "{\"n\":16,\"f\":54,\"b\":\"30@i-1+0\"}",
                                          "{\"n\":16,\"f\":55,\"b\":\"39@i-2+0\"}"};
-    static const int orders[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 0, 2}};
+    static const int directives[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 0, 2}};
     char key[64];
-    for (size_t o = 0; o < G_N_ELEMENTS(orders); o++) {
+    for (size_t o = 0; o < G_N_ELEMENTS(directives); o++) {
         put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
         for (int i = 0; i < 3; i++) {
-            g_snprintf(key, sizeof key, "run/req-20020/%d", orders[o][i]);
-            put(key, pieces[orders[o][i]]);
+            g_snprintf(key, sizeof key, "run/req-20020/%d", directives[o][i]);
+            put(key, pieces[directives[o][i]]);
             assert_int_equal(allocations_count(j), 4);
         }
         assert_int_equal(allocations_chunk_size(j), 16);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -300,7 +300,7 @@
         }
         if (!typed_once) continue;
         char ids[100][64];
-        struct rental_request orders[ORDERS_MOST];
+        struct rental_request directives[ORDERS_MOST];
         int busy, wants = 0;
         store_lock();
         int back = renting_return_plan(ids, 100, &busy);
@@ -312,7 +312,7 @@
         /* Returns are few calls for many machines; they must not wait for rentals without end, and tasks that can start
          * elsewhere only once their silent machine is returned wait for nothing. */
         bool back_first = busy || back >= 20 || (back && clock_seconds_since(returned) > 12);
-        if (!pending.open && !back_first && !list_first) wants = renting_plan(orders, ORDERS_MOST);
+        if (!pending.open && !back_first && !list_first) wants = renting_plan(directives, ORDERS_MOST);
         store_unlock();
         if (back && (back_first || !(pending.open || wants || list_first))) {
             give_back(c, ids, back);
@@ -320,7 +320,7 @@
         } else if (pending.open || wants) {
             if (!pending.open) {
                 pending.open = true;
-                pending.order = orders[0];
+                pending.order = directives[0];
                 g_snprintf(pending.claim, sizeof pending.claim, "%s-%s-%u", cfg->node, membership_incarnation(),
                            ++claims);
             }
--- a/src/renting/renting.c
+++ b/src/renting/renting.c
@@ -300,7 +300,7 @@
 #define ORDER_MOST 50 /* machines a call may ask for */
 
 /* Adds up what the plan orders by type, zone and kind. */
-static void collect_orders(const struct shard_plan *p, struct rental_request *out, int most, int *n) {
+static void collect_directives(const struct shard_plan *p, struct rental_request *out, int most, int *n) {
     for (guint y = p->first_new; y < p->vms->len; y++) {
         const struct rental_request *o = &g_array_index(p->vms, struct renting_vm, y).o;
         int i = 0;
@@ -340,7 +340,7 @@
     }
     rent_for_pressure(&p);
     rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.requested, 0));
-    collect_orders(&p, out, most, n);
+    collect_directives(&p, out, most, n);
     g_array_free(order, TRUE);
     g_array_free(p.vms, TRUE);
 }
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -51,7 +51,7 @@
 }
 
 void scheduler_prepare_machines(int k) {
-    double quiet = clock_to_seconds(scheduler_settings->report) * 2 + 1;
+    double quiet = clock_to_seconds(scheduler_settings->heartbeat_interval) * 2 + 1;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
         if (!machines_owned(m)) continue;
@@ -291,7 +291,7 @@
          * anything for minutes, because what stood behind the raise was dropped with it. */
         if (rc != STORE_OK && rc != STORE_CONFLICT && rc != STORE_INVALID) break;
     }
-    workers_kick();
+    workers_wake();
     again |= (r && r->more) || (mine && left < LEAST_CHANGES);
     if (r) scheduler_round_free(r);
     return again;
@@ -303,10 +303,10 @@
  * any way, after a report interval where most don't report. */
 static void give_up_when_deaf(const struct watch_hearing *h, struct timespec *hearing) {
     bool store_seen = clock_seconds_since(store_last_read()) <= STORE_SEEN_S;
-    double report = clock_to_seconds(scheduler_settings->report);
+    double heartbeat = clock_to_seconds(scheduler_settings->heartbeat_interval);
     if (h->up < 4 || h->reported * 10 >= h->up * 3 || !store_seen) *hearing = clock_now();
-    bool deaf = store_seen && watch_deaf(h->up, h->newest_s, report);
-    if ((deaf || clock_seconds_since(*hearing) > report) && !membership_workers_unreachable())
+    bool deaf = store_seen && watch_deaf(h->up, h->newest_s, heartbeat);
+    if ((deaf || clock_seconds_since(*hearing) > heartbeat) && !membership_workers_unreachable())
         membership_set_workers_unreachable(true);
 }
 
@@ -336,7 +336,7 @@
                     if (membership_owns(k)) ledger_tell(k);
             }
             store_unlock();
-            workers_kick();
+            workers_wake();
         }
         clock_sleep(clock_from_seconds(0.03));
         if (again) scheduler_wake();
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -62,7 +62,8 @@
         if (attempt && x->attempt != attempt) return 0;
         attempt = x->attempt;
         if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
-        if (clock_seconds_since(x->m->last_heartbeat) > clock_to_seconds(scheduler_settings->report) * 1.25 + 1)
+        if (clock_seconds_since(x->m->last_heartbeat) >
+            clock_to_seconds(scheduler_settings->heartbeat_interval) * 1.25 + 1)
             return 0;
     }
     return attempt;
--- a/src/service/service_pair_test.c
+++ b/src/service/service_pair_test.c
@@ -27,10 +27,10 @@
     struct timespec told = clock_now();
     assert_string_equal(s, "cancelled");
     pair_wait(cut, PAIR_CANCEL_S - PAIR_LEASE_S);
-    const char *report =
+    const char *heartbeat =
         "{\"host\":\"i-000000\",\"address\":\"127.0.0.1:18300\",\"flavour\":\"g4\",\"site\":\"za\","
         "\"tenure\":1,\"seq\":1,\"fence\":0,\"tasks\":[]}";
-    long status = pair_ask_one(0, "POST", "/checkin", report, NULL, 0);
+    long status = pair_ask_one(0, "POST", "/checkin", heartbeat, NULL, 0);
     assert_true(status == 421 || status == 503);
     pair_wait(told, PAIR_CANCEL_S);
     for (int t = 0; t < 2; t++) {
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -152,7 +152,7 @@
                                                 json_get_double(x, "within_s", 60), json_get_double(x, "share", 1)};
     }
     const cJSON *w = cJSON_GetObjectItemCaseSensitive(p, "workers");
-    s->report = clock_from_seconds(need_num(&r, w, "settings.workers.", "report_s", 0.01, 3600));
+    s->heartbeat_interval = clock_from_seconds(need_num(&r, w, "settings.workers.", "report_s", 0.01, 3600));
     s->lease = clock_from_seconds(need_num(&r, w, "settings.workers.", "lease_s", 0.1, 86400));
     s->gang_wait = clock_from_seconds(need_num(&r, w, "settings.workers.", "gang_wait_s", 0, 86400));
     s->gang_peer = clock_from_seconds(need_num(&r, w, "settings.workers.", "gang_peer_s", 0, 86400));
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -50,7 +50,7 @@
     int n_teams;
     struct settings_objective objectives[SETTINGS_OBJECTIVES];
     int n_objectives;
-    struct timespec report, lease, gang_wait, gang_peer, cancel;
+    struct timespec heartbeat_interval, lease, gang_wait, gang_peer, cancel;
     /* The state service's limits. The service may lower them once, without notice, to those of `state.next`: rates and
      * operations are the smaller of both, since they cost little from the start; a value may have the present size as
      * long as the layout of the records needs it. */
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -151,7 +151,7 @@
             !machines_owned(m) || !m->type)
             continue;
         if (machines_leaving(m) || m->preemption_notice_s >= 0 || !m->address[0]) continue;
-        if (clock_seconds_since(m->last_heard) > clock_to_seconds(cfg->report) * 2 + 1 ||
+        if (clock_seconds_since(m->last_heard) > clock_to_seconds(cfg->heartbeat_interval) * 2 + 1 ||
             !renting_may_use(&j->spec, m->type))
             continue;
         if (!placement_allowed(m, j, site, NULL)) continue;
--- a/src/watch/watch.c
+++ b/src/watch/watch.c
@@ -27,7 +27,7 @@
 /* Reports come up to a quarter late; then a machine is asked directly, a few times. Shorter than that, healthy machines
  * that report every 8 s were returned by the hundred. */
 static double silent_limit(void) {
-    return MAX(clock_to_seconds(cfg->tuning.silent_return), clock_to_seconds(cfg->report) * 1.25 + 4);
+    return MAX(clock_to_seconds(cfg->tuning.silent_return), clock_to_seconds(cfg->heartbeat_interval) * 1.25 + 4);
 }
 
 bool watch_try_workers(struct http_client *c) {
@@ -52,7 +52,9 @@
 /* Shorter than any silence that has a consequence: with the same time for both, a controller that lost all workers at
  * once found the first of them silent while it had "just" heard the others, and returned one healthy machine after the
  * other. */
-static double heard_lately(void) { return MIN(clock_to_seconds(cfg->report) * 1.25 + 1, silent_limit() * 0.6); }
+static double heard_lately(void) {
+    return MIN(clock_to_seconds(cfg->heartbeat_interval) * 1.25 + 1, silent_limit() * 0.6);
+}
 
 struct watch_hearing watch_hearing(void) {
     struct watch_hearing h = {0, 0, 0, HUGE_VAL};
@@ -116,7 +118,7 @@
         z[n].newest = MIN(z[n].newest, clock_seconds_since(m->last_heard));
     }
     for (int i = 0; i < cfg->n_zones; i++) {
-        bool cut = z[i].newest > watch_zone_silence(z[i].up, clock_to_seconds(cfg->report));
+        bool cut = z[i].newest > watch_zone_silence(z[i].up, clock_to_seconds(cfg->heartbeat_interval));
         if (zone_cut[k][i] != cut) log_info("share %d: zone %s is %s", k, cfg->zones[i], cut ? "silent" : "back");
         if (zone_cut[k][i] && !cut) zone_back[k][i] = clock_now();
         zone_cut[k][i] = cut;
@@ -197,7 +199,7 @@
         double again = cut ? MAX(1.5, zones[z].up / 4.0) : 1.5,
                quiet = clock_seconds_since(shard_states[k].suspicion_at) < ALARM_S
                            ? ALARM_S / 2
-                           : clock_to_seconds(cfg->report) * 1.1;
+                           : clock_to_seconds(cfg->heartbeat_interval) * 1.1;
         if (m->up && clock_seconds_since(m->last_heard) > quiet && clock_seconds_since(m->last_probe) > again) {
             /* Asked directly, so that silence is not just a report on its way round the controllers. */
             m->last_probe = clock_now();
@@ -208,7 +210,7 @@
         /* Two questions without an answer tell it sooner; only where a cut of the whole zone would have shown before.
          */
         if (m->unanswered_probes >= 2 && clock_seconds_since(m->last_heard) > UNANSWERED_S && z >= 0 &&
-            watch_zone_silence(zones[z].up, clock_to_seconds(cfg->report)) < UNANSWERED_S - 1)
+            watch_zone_silence(zones[z].up, clock_to_seconds(cfg->heartbeat_interval)) < UNANSWERED_S - 1)
             silent = true;
         if (m->up && m->unanswered_probes && !cut) replicas_at_risk(m);
         /* It reports, but nothing of what we answer reaches it: its lease runs out though it is not silent. */
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -26,7 +26,7 @@
 const struct settings *workers_settings;
 static struct sync_wakeup wakeup;
 
-void workers_kick(void) { sync_wakeup_signal(&wakeup); }
+void workers_wake(void) { sync_wakeup_signal(&wakeup); }
 
 struct job_queue {
     pthread_mutex_t lock;
@@ -47,11 +47,11 @@
 };
 
 /* The body of /commands; free it. */
-static char *command_body(int64_t fencing_token, int64_t incarnation, cJSON *orders) {
+static char *command_body(int64_t fencing_token, int64_t incarnation, cJSON *directives) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddNumberToObject(o, "fence", (double)fencing_token);
     cJSON_AddNumberToObject(o, "tenure", (double)incarnation);
-    cJSON_AddItemReferenceToObject(o, "orders", orders);
+    cJSON_AddItemReferenceToObject(o, "orders", directives);
     char *body = cJSON_PrintUnformatted(o);
     cJSON_Delete(o);
     return body;
@@ -59,7 +59,7 @@
 
 /* A controller that stood still between decision and sending, or whose queue is long, does not send what it decided
  * then: a start may have been given up meanwhile, or its job cancelled. */
-bool workers_still_good(bool has_run, double age_s, bool ours, bool may_start) {
+bool workers_directives_still_valid(bool has_run, double age_s, bool ours, bool may_start) {
     return !has_run || (age_s < ORDER_S && ours && may_start);
 }
 
@@ -67,8 +67,9 @@
     if (!l->has_run) return true; /* most letters only ask: no lock for them */
     store_lock();
     struct machine *m = machines_find(l->id);
-    bool good = workers_still_good(true, clock_seconds_since(l->decided),
-                                   m && machines_owned(m) && m->owned_token == l->owned, membership_may_start_tasks());
+    bool good = workers_directives_still_valid(true, clock_seconds_since(l->decided),
+                                               m && machines_owned(m) && m->owned_token == l->owned,
+                                               membership_may_start_tasks());
     store_unlock();
     return good;
 }
@@ -120,25 +121,25 @@
  * so orders the end, under the owner's token, as soon as the store is away. It is only quicker: the owner's own bound
  * holds without it. */
 static void end_cancelled_elsewhere(struct machine *m) {
-    cJSON *orders = NULL;
+    cJSON *directives = NULL;
     if (!m->address[0] || m->allocations->len == 0 || clock_seconds_since(m->stops_requested_at) < END_AGAIN_S) return;
     for (guint i = 0; i < m->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *b = m->allocations->pdata[i];
         char task[96];
         if (b->released || !b->job->cancel_acknowledged || b->stop_requests >= END_TRIES) continue;
         snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
-        if (!orders) orders = cJSON_CreateArray();
-        workers_add_order(orders, "stop", task, b->attempt, 0);
+        if (!directives) directives = cJSON_CreateArray();
+        workers_add_directive(directives, "stop", task, b->attempt, 0);
         b->stop_requests++;
     }
-    if (!orders) return;
+    if (!directives) return;
     m->stops_requested_at = clock_now();
     struct direct_command *l = g_new0(struct direct_command, 1);
     g_strlcpy(l->id, m->id, sizeof l->id);
     g_strlcpy(l->address, m->address, sizeof l->address);
     l->fencing_token = machines_fencing_token(m);
     l->incarnation = m->incarnation > 0 ? m->incarnation : 1;
-    l->ends = orders;
+    l->ends = directives;
     post(&outbox, l);
 }
 
@@ -182,14 +183,14 @@
             else if (m->unknown_token == l->fencing_token && m->unknown_incarnation == l->incarnation)
                 m->outcome_unknown = false;
         }
-        if (same && answered && answer) workers_report(m, answer, false);
+        if (same && answered && answer) workers_reconcile(m, answer, false);
         /* It has the token now: what waited for that need not wait for its next report. */
         if (same && (!good || (answered && !l->has_run))) m->wake = true;
     }
     store_unlock();
 }
 
-static void send_orders(struct http_client *c, const struct direct_command *l) {
+static void send_directives(struct http_client *c, const struct direct_command *l) {
     char url[160];
     long status = 0;
     cJSON *answer = NULL;
@@ -235,8 +236,8 @@
         else if (!l->body)
             inspect(c, l);
         else
-            send_orders(c, l);
-        if (l->body && q == &probes) workers_kick();
+            send_directives(c, l);
+        if (l->body && q == &probes) workers_wake();
         command_free(l);
     }
     return NULL;
@@ -259,25 +260,25 @@
         bool hello = m->needs_token_probe || m->unanswered_probes > 0;
         m->needs_token_probe = m->wake = false;
         if (!hello && m->seen_token < machines_fencing_token(m)) hello = true;
-        cJSON *orders = hello ? cJSON_CreateArray() : workers_orders(m, true);
+        cJSON *directives = hello ? cJSON_CreateArray() : workers_directives(m, true);
         /* What must wait for a look at the store goes as soon as there is one. */
         for (guint b = 0; !may_start && b < m->allocations->len; b++)
-            m->wake |= workers_waits_for_start(m->allocations->pdata[b]);
-        if (!hello && cJSON_GetArraySize(orders) == 0) {
-            cJSON_Delete(orders);
+            m->wake |= workers_awaits_start(m->allocations->pdata[b]);
+        if (!hello && cJSON_GetArraySize(directives) == 0) {
+            cJSON_Delete(directives);
             continue;
         }
         struct direct_command *l = g_new0(struct direct_command, 1);
         const cJSON *x;
-        cJSON_ArrayForEach(x, orders) l->has_run |= strcmp(json_get_string(x, "verb"), "run") == 0;
+        cJSON_ArrayForEach(x, directives) l->has_run |= strcmp(json_get_string(x, "verb"), "run") == 0;
         g_strlcpy(l->id, m->id, sizeof l->id);
         g_strlcpy(l->address, m->address, sizeof l->address);
         l->fencing_token = machines_fencing_token(m);
         l->incarnation = m->incarnation > 0 ? m->incarnation : 1;
         l->owned = m->owned_token;
         l->decided = clock_now();
-        l->body = command_body(l->fencing_token, l->incarnation, orders);
-        cJSON_Delete(orders);
+        l->body = command_body(l->fencing_token, l->incarnation, directives);
+        cJSON_Delete(directives);
         m->command_in_flight = true;
         m->probe_in_flight = hello;
         if (l->has_run) {
@@ -290,7 +291,7 @@
     store_unlock();
 }
 
-static void *post_main(void *arg) {
+static void *dispatcher_main(void *arg) {
     (void)arg;
     for (;;) {
         sync_wakeup_wait(&wakeup, clock_from_seconds(1));
@@ -312,6 +313,6 @@
 }
 
 void workers_start(void) {
-    sync_start_thread(post_main, NULL);
+    sync_start_thread(dispatcher_main, NULL);
     for (int i = 0; i < SENDERS; i++) sync_start_thread(sender_main, i < PROBERS ? &probes : &outbox);
 }
--- a/src/workers/orders.c
+++ b/src/workers/directives.c
@@ -10,7 +10,7 @@
 #include "../membership/membership.h"
 #include "internal.h"
 
-void workers_add_order(cJSON *list, const char *verb, const char *task, int64_t attempt, double grace) {
+void workers_add_directive(cJSON *list, const char *verb, const char *task, int64_t attempt, double grace) {
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "verb", verb);
     cJSON_AddStringToObject(o, "task", task);
@@ -20,12 +20,12 @@
 }
 
 /* Booked by us and not yet shown by the worker. */
-bool workers_waits_for_start(const struct allocation *b) {
+bool workers_awaits_start(const struct allocation *b) {
     return !b->released && !b->stop_requested && !b->seen && !b->inherited && b->job->state == JOB_QUEUED &&
            !dependencies_unmet(b->job) && !b->m->returning && !b->m->return_wanted;
 }
 
-cJSON *workers_orders(struct machine *m, bool direct) {
+cJSON *workers_directives(struct machine *m, bool direct) {
     cJSON *list = cJSON_CreateArray();
     bool ours =
         m->seen_token >= machines_fencing_token(m); /* first the token, then orders, but for stops that can't wait */
@@ -33,11 +33,11 @@
     for (guint i = 0; i < m->unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
         struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
         /* As long as the worker lists an attempt, a start of it that still comes does nothing. */
-        if (s->ended && (!ours || m->outcome_unknown || workers_start_on_its_way(m))) continue;
+        if (s->ended && (!ours || m->outcome_unknown || workers_start_in_flight(m))) continue;
         if (s->ended)
-            workers_add_order(list, "forget", s->task, s->attempt, -1);
+            workers_add_directive(list, "forget", s->task, s->attempt, -1);
         else
-            workers_add_order(list, "stop", s->task, s->attempt, 0);
+            workers_add_directive(list, "stop", s->task, s->attempt, 0);
     }
     for (guint i = 0; ours && i < m->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *b = m->allocations->pdata[i];
@@ -46,10 +46,10 @@
         snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
         if (b->stop_requested) {
             if (b->seen && (!direct || !b->stop_sent || b->grace_s <= 0))
-                workers_add_order(list, "stop", task, b->attempt, b->grace_s);
+                workers_add_directive(list, "stop", task, b->attempt, b->grace_s);
             b->stop_sent = true;
-        } else if (may_start && workers_waits_for_start(b)) {
-            workers_add_order(list, "run", task, b->attempt, -1);
+        } else if (may_start && workers_awaits_start(b)) {
+            workers_add_directive(list, "run", task, b->attempt, -1);
             if (!direct) {
                 b->starts_sent++;
                 m->start_incarnation = m->incarnation;
--- a/src/workers/checkin.c
+++ b/src/workers/heartbeat.c
@@ -33,13 +33,13 @@
 
 /* A start that the owner sent before it learned of the cancellation may be held up on its way into the zone. Our own
  * look may be later than the cancellation: kept alive, the incarnation would take that start after cancel_s. */
-bool workers_start_in_doubt(const struct machine *m, const cJSON *report) {
+bool workers_start_in_doubt(const struct machine *m, const cJSON *heartbeat) {
     const cJSON *x;
     int cancelled = 0, listed = 0;
     for (guint i = 0; i < m->allocations->len; i++)
         cancelled += ((const struct allocation *)m->allocations->pdata[i])->job->state == JOB_CANCELLED;
     GHashTable *seen = g_hash_table_new(g_direct_hash, g_direct_equal); /* a report may name a task twice */
-    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
+    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks")) {
         int64_t attempt = 0;
         const char *task = json_get_string(x, "task");
         struct allocation *b =
@@ -50,15 +50,15 @@
     return listed < cancelled;
 }
 
-cJSON *workers_proxy_answer(struct machine *m, const cJSON *report) {
-    cJSON *a = cJSON_CreateObject(), *orders = cJSON_CreateArray();
-    workers_list_cancelled(m, report);
+cJSON *workers_proxy_answer(struct machine *m, const cJSON *heartbeat) {
+    cJSON *a = cJSON_CreateObject(), *directives = cJSON_CreateArray();
+    workers_list_cancelled(m, heartbeat);
     for (guint i = 0; i < m->unknown_tasks->len; i++) {
         const struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
-        workers_add_order(orders, "stop", s->task, s->attempt, 0);
+        workers_add_directive(directives, "stop", s->task, s->attempt, 0);
     }
     cJSON_AddNumberToObject(a, "fence", (double)machines_fencing_token(m));
-    cJSON_AddItemToObject(a, "orders", orders);
+    cJSON_AddItemToObject(a, "orders", directives);
     return a;
 }
 
@@ -74,12 +74,12 @@
 }
 
 /* A machine of another's shard, or of one that we do not know to be ours yet. */
-static void on_anothers(struct http_request *r, struct machine *m, const cJSON *report) {
+static void on_anothers(struct http_request *r, struct machine *m, const cJSON *heartbeat) {
     const struct shard *s = membership_shard(m->shard);
     int64_t fencing_token = 0;
-    json_get_int64(report, "fence", &fencing_token);
-    if (fencing_token <= machines_fencing_token(m) && workers_may_proxy(m) && !workers_start_in_doubt(m, report))
-        http_reply_json(r, 200, workers_proxy_answer(m, report), 0);
+    json_get_int64(heartbeat, "fence", &fencing_token);
+    if (fencing_token <= machines_fencing_token(m) && workers_may_proxy(m) && !workers_start_in_doubt(m, heartbeat))
+        http_reply_json(r, 200, workers_proxy_answer(m, heartbeat), 0);
     else if (strcmp(s->owner, workers_settings->node) == 0)
         http_reply(r, 503, NULL, 1);
     else
@@ -92,10 +92,10 @@
     m->address_unrecorded = true;
 }
 
-static void answer_report(struct http_request *r, struct machine *m, const cJSON *report, int64_t fencing_token) {
-    bool newest = workers_report(m, report, true);
+static void answer_heartbeat(struct http_request *r, struct machine *m, const cJSON *heartbeat, int64_t fencing_token) {
+    bool newest = workers_reconcile(m, heartbeat, true);
     if (newest && fencing_token >= machines_fencing_token(m)) machines_add_occupancy_sample(m);
-    if (m->outcome_unknown && !workers_start_on_its_way(m) && machines_fencing_token(m) <= m->unknown_token) {
+    if (m->outcome_unknown && !workers_start_in_flight(m) && machines_fencing_token(m) <= m->unknown_token) {
         /* A command may still be on its way: this machine's lease is renewed under a higher token only. */
         m->needs_token_raise = true;
         scheduler_wake();
@@ -104,33 +104,33 @@
     }
     cJSON *a = cJSON_CreateObject();
     cJSON_AddNumberToObject(a, "fence", (double)machines_fencing_token(m));
-    cJSON_AddItemToObject(a, "orders", newest ? workers_orders(m, false) : cJSON_CreateArray());
+    cJSON_AddItemToObject(a, "orders", newest ? workers_directives(m, false) : cJSON_CreateArray());
     http_reply_json(r, 200, a, 0);
     m->heartbeat_acknowledged = true;
 }
 
-static void on_ours(struct http_request *r, struct machine *m, const cJSON *report, const char *address) {
+static void on_ours(struct http_request *r, struct machine *m, const cJSON *heartbeat, const char *address) {
     int64_t fencing_token = 0;
-    json_get_int64(report, "fence", &fencing_token);
+    json_get_int64(heartbeat, "fence", &fencing_token);
     learn_address(m, address);
     if (fencing_token > machines_fencing_token(m))
         go_elsewhere(r, NULL); /* someone newer commands it */
     else if (!membership_may_answer())
         http_reply(r, 503, NULL, 1);
     else
-        answer_report(r, m, report, fencing_token);
+        answer_heartbeat(r, m, heartbeat, fencing_token);
 }
 
 #define ID_MOST 60
 
-static void on_checkin(struct http_request *r) {
+static void on_heartbeat(struct http_request *r) {
     size_t len;
     const char *body = http_body(r, &len);
-    cJSON *report = cJSON_ParseWithLength(body, len);
-    const char *id = json_get_string(report, "host"), *address = json_get_string(report, "address");
-    if (!id || !json_get_string(report, "flavour") || !json_get_string(report, "site") || strlen(id) > ID_MOST) {
+    cJSON *heartbeat = cJSON_ParseWithLength(body, len);
+    const char *id = json_get_string(heartbeat, "host"), *address = json_get_string(heartbeat, "address");
+    if (!id || !json_get_string(heartbeat, "flavour") || !json_get_string(heartbeat, "site") || strlen(id) > ID_MOST) {
         http_reply(r, 400, "{\"error\":\"host, flavour or site is missing\"}", 0);
-        cJSON_Delete(report);
+        cJSON_Delete(heartbeat);
         return;
     }
     store_lock();
@@ -140,11 +140,11 @@
     else if (!m)
         on_unrecorded(r, id, address);
     else if (!machines_owned(m))
-        on_anothers(r, m, report);
+        on_anothers(r, m, heartbeat);
     else
-        on_ours(r, m, report, address);
+        on_ours(r, m, heartbeat, address);
     store_unlock();
-    cJSON_Delete(report);
+    cJSON_Delete(heartbeat);
 }
 
 bool workers_route(struct http_request *r) {
@@ -153,6 +153,6 @@
     if (strcmp(http_method(r), "POST") != 0)
         http_reply(r, 405, NULL, 0);
     else
-        on_checkin(r);
+        on_heartbeat(r);
     return true;
 }
--- a/src/workers/internal.h
+++ b/src/workers/internal.h
@@ -10,13 +10,13 @@
 extern const struct settings *workers_settings;
 
 /* A command that may carry starts is on its way to the machine. */
-bool workers_start_on_its_way(const struct machine *m);
+bool workers_start_in_flight(const struct machine *m);
 /* The allocation of that attempt, which a report lists; NULL: none on record. */
 struct allocation *workers_listed_allocation(const struct machine *m, const char *task, int64_t attempt);
 /* What a report under an older token lists of cancelled jobs goes to the machine's unknown tasks, to be stopped. */
-void workers_list_cancelled(struct machine *m, const cJSON *report);
-void workers_add_order(cJSON *list, const char *verb, const char *task, int64_t attempt, double grace_s);
-bool workers_waits_for_start(const struct allocation *b);
+void workers_list_cancelled(struct machine *m, const cJSON *heartbeat);
+void workers_add_directive(cJSON *list, const char *verb, const char *task, int64_t attempt, double grace_s);
+bool workers_awaits_start(const struct allocation *b);
 /* Asks a machine that nobody has recorded, once it has been left to who rented it for a while. */
 void workers_ask_unregistered(const char *id, const char *address);
 #endif
--- a/src/workers/reports.c
+++ b/src/workers/reconciliation.c
@@ -21,7 +21,7 @@
 
 /* A command that may carry starts is on its way. One that only asks does not count: a machine whose last start is in
  * doubt is asked all the same, else those that hang with a start in doubt were found 5 s later than the others. */
-bool workers_start_on_its_way(const struct machine *m) { return m->command_in_flight && !m->probe_in_flight; }
+bool workers_start_in_flight(const struct machine *m) { return m->command_in_flight && !m->probe_in_flight; }
 
 static enum task_state state_of(const char *s) {
     static const char *const names[] = {"", "fetching", "gathering", "running", "flushing", "ended"};
@@ -70,10 +70,10 @@
 /* What a report under an older token lists of cancelled jobs. A stop harms nobody, whoever's token it was started
  * under, and it must not wait until the worker has shown ours: controllers that end every few seconds renewed its lease
  * again and again, each for the first time, and a cancelled task ran on beyond cancel_s. */
-void workers_list_cancelled(struct machine *m, const cJSON *report) {
+void workers_list_cancelled(struct machine *m, const cJSON *heartbeat) {
     const cJSON *x;
     g_array_set_size(m->unknown_tasks, 0);
-    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
+    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks")) {
         const char *task = json_get_string(x, "task"), *slash = task ? strrchr(task, '/') : NULL;
         struct unknown_task st = {"", 0, false};
         char job_id[64];
@@ -88,10 +88,10 @@
 
 /* One that names another machine, or whose tasks can't be read, proves nothing: taken for an empty list it would
  * release all that runs there. An address may have passed to another machine since it was recorded. */
-static bool readable(const struct machine *m, const cJSON *report) {
-    const char *id = json_get_string(report, "host");
+static bool readable(const struct machine *m, const cJSON *heartbeat) {
+    const char *id = json_get_string(heartbeat, "host");
     if (id && strcmp(id, m->id) != 0) return false;
-    const cJSON *x, *tasks = cJSON_GetObjectItemCaseSensitive(report, "tasks");
+    const cJSON *x, *tasks = cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks");
     if (!cJSON_IsArray(tasks)) return false;
     int64_t attempt;
     cJSON_ArrayForEach(x, tasks) if (!json_get_string(x, "task") || !json_get_int64(x, "try", &attempt)) return false;
@@ -101,25 +101,25 @@
 /* Its token has not reached the machine, or this is a copy of a report from before it did, which may be minutes old and
  * proves nothing: no sign of life, no occupancy row, nothing about its tasks. Asked directly, a live one takes the
  * token up at once. One whose reports arrive but which never does is out of reach of our answers. */
-static void take_outdated(struct machine *m, const cJSON *report, bool checkin) {
-    if (checkin && m->heartbeat_acknowledged) m->ignored_responses++;
-    if (checkin && clock_seconds_since(m->last_probe) > PROBE_S) {
+static void take_outdated(struct machine *m, const cJSON *heartbeat, bool is_heartbeat) {
+    if (is_heartbeat && m->heartbeat_acknowledged) m->ignored_responses++;
+    if (is_heartbeat && clock_seconds_since(m->last_probe) > PROBE_S) {
         m->last_probe = clock_now();
         m->needs_token_probe = m->wake = true;
-        workers_kick();
+        workers_wake();
     }
-    workers_list_cancelled(m, report);
+    workers_list_cancelled(m, heartbeat);
 }
 
 /* Counts reports that show nothing of what we answered: its lease ended although each of its reports was answered, or
  * orders answered twice are not taken up. */
-static void count_ignored(struct machine *m, const cJSON *report, bool new_incarnation) {
+static void count_ignored(struct machine *m, const cJSON *heartbeat, bool new_incarnation) {
     int waiting = 0;
     for (guint i = 0; i < m->allocations->len; i++) {
         const struct allocation *b = m->allocations->pdata[i];
         waiting += !b->seen && !b->stop_requested && b->starts_sent >= 2;
     }
-    const cJSON *tasks = cJSON_GetObjectItemCaseSensitive(report, "tasks");
+    const cJSON *tasks = cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks");
     if (new_incarnation && m->heartbeat_acknowledged &&
         clock_seconds_since(m->last_heartbeat) < clock_to_seconds(workers_settings->lease) * 0.7)
         m->ignored_responses += 2;
@@ -129,13 +129,13 @@
         m->ignored_responses = 0;
 }
 
-static void take_sign_of_life(struct machine *m, int64_t fencing_token, bool checkin) {
+static void take_sign_of_life(struct machine *m, int64_t fencing_token, bool is_heartbeat) {
     m->seen_token = fencing_token;
     m->last_heard = clock_now();
     m->unanswered_probes = 0;
     /* The first answer may be to a question of ours, long after it was rented: its reports are due from now on. One in
      * sixteen machines was once returned the moment it came up, for not having reported. */
-    if (checkin || !m->up) m->last_heartbeat = m->last_heard;
+    if (is_heartbeat || !m->up) m->last_heartbeat = m->last_heard;
     if (!m->up) {
         log_info("machine %s: up", m->id);
         /* Only who owned it all the while knows that this is its first word. */
@@ -145,8 +145,8 @@
     m->up = true;
 }
 
-static void take_notice(struct machine *m, const cJSON *report) {
-    const cJSON *warning = cJSON_GetObjectItemCaseSensitive(report, "warning_s");
+static void take_notice(struct machine *m, const cJSON *heartbeat) {
+    const cJSON *warning = cJSON_GetObjectItemCaseSensitive(heartbeat, "warning_s");
     if (!cJSON_IsNumber(warning)) {
         m->preemption_notice_s = -1;
         return;
@@ -180,11 +180,11 @@
 }
 
 /* The tasks that the report lists; which of the allocations these are goes to listed. True if one has ended. */
-static bool take_listed(struct machine *m, const cJSON *report, bool *listed) {
+static bool take_listed(struct machine *m, const cJSON *heartbeat, bool *listed) {
     bool change = false;
     const cJSON *x;
     g_array_set_size(m->unknown_tasks, 0);
-    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
+    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks")) {
         const char *task = json_get_string(x, "task");
         int64_t attempt = 0;
         if (!task || !json_get_int64(x, "try", &attempt)) continue;
@@ -205,12 +205,13 @@
 /* allocations that the report does not list: gone, if nothing is under way that may still start them. */
 static bool release_absent(struct machine *m, const bool *listed) {
     bool change = false;
-    if (m->outcome_unknown || workers_start_on_its_way(m)) return false;
+    if (m->outcome_unknown || workers_start_in_flight(m)) return false;
     for (guint i = 0; i < m->allocations->len && i < BOOKINGS_MOST; i++) {
         struct allocation *b = m->allocations->pdata[i];
         if (listed[i] || b->released) continue;
-        bool gang_lost = b->job->spec.kind == JOB_GANG &&
-                         clock_seconds_since(b->allocated_at) > 2 * clock_to_seconds(workers_settings->report);
+        bool gang_lost =
+            b->job->spec.kind == JOB_GANG &&
+            clock_seconds_since(b->allocated_at) > 2 * clock_to_seconds(workers_settings->heartbeat_interval);
         if (!b->seen && !b->stop_requested && !b->inherited && !gang_lost) continue;
         log_info("task %s/%d try %lld is gone from machine %s", b->job->spec.job_id, b->task, (long long)b->attempt,
                  m->id);
@@ -221,37 +222,37 @@
     return change;
 }
 
-bool workers_report(struct machine *m, const cJSON *report, bool checkin) {
+bool workers_reconcile(struct machine *m, const cJSON *heartbeat, bool is_heartbeat) {
     int64_t incarnation = 0, sequence = 0, fencing_token = 0;
-    if (!json_get_int64(report, "tenure", &incarnation) || !json_get_int64(report, "seq", &sequence) ||
-        !readable(m, report)) {
+    if (!json_get_int64(heartbeat, "tenure", &incarnation) || !json_get_int64(heartbeat, "seq", &sequence) ||
+        !readable(m, heartbeat)) {
         log_debug("machine %s: a report that can't be read", m->id);
         return false;
     }
-    json_get_int64(report, "fence", &fencing_token);
+    json_get_int64(heartbeat, "fence", &fencing_token);
     /* A copy of what is known already, or of something older. */
     if (incarnation < m->incarnation || (incarnation == m->incarnation && sequence <= m->sequence)) return false;
     bool new_incarnation = m->incarnation > 0 && incarnation > m->incarnation;
     m->incarnation = incarnation;
     m->sequence = sequence;
     if (fencing_token < machines_fencing_token(m)) {
-        take_outdated(m, report, checkin);
+        take_outdated(m, heartbeat, is_heartbeat);
         return true;
     }
-    if (checkin) count_ignored(m, report, new_incarnation);
-    take_sign_of_life(m, fencing_token, checkin);
-    take_notice(m, report);
-    if (m->outcome_unknown && !workers_start_on_its_way(m) &&
+    if (is_heartbeat) count_ignored(m, heartbeat, new_incarnation);
+    take_sign_of_life(m, fencing_token, is_heartbeat);
+    take_notice(m, heartbeat);
+    if (m->outcome_unknown && !workers_start_in_flight(m) &&
         (fencing_token > m->unknown_token || incarnation > m->unknown_incarnation)) {
         m->outcome_unknown = false;
         m->needs_token_raise = false;
     }
     bool listed[BOOKINGS_MOST] = {false};
-    bool change = take_listed(m, report, listed);
+    bool change = take_listed(m, heartbeat, listed);
     /* A report follows every answer of ours. A direct answer does not, unless none of this incarnation carried a start:
      * others' and earlier ones' answers are ruled out by the token and the incarnation that it shows. So a takeover
      * knows what runs as soon as it has asked; waiting for reports took 20 s after a cut. */
-    bool proves = checkin || m->start_incarnation < incarnation;
+    bool proves = is_heartbeat || m->start_incarnation < incarnation;
     if (proves) change |= release_absent(m, listed);
     if (change) scheduler_wake();
     return true;
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -61,20 +61,20 @@
     store_apply("fleet/0/0", NULL, ++mod_revision);
 }
 
-static bool report(struct machine *m, int incarnation, int sequence, int64_t fencing_token, const char *tasks,
-                   bool checkin) {
+static bool heartbeat(struct machine *m, int incarnation, int sequence, int64_t fencing_token, const char *tasks,
+                      bool is_heartbeat) {
     char json[600];
     g_snprintf(json, sizeof json, "{\"tenure\":%d,\"seq\":%d,\"fence\":%lld,\"warning_s\":null,\"tasks\":[%s]}",
                incarnation, sequence, (long long)fencing_token, tasks);
     cJSON *o = cJSON_Parse(json);
     assert_non_null(o);
-    bool newest = workers_report(m, o, checkin);
+    bool newest = workers_reconcile(m, o, is_heartbeat);
     cJSON_Delete(o);
     return newest;
 }
 
-static int orders(struct machine *m, const char *verb) {
-    cJSON *l = workers_orders(m, false);
+static int directives(struct machine *m, const char *verb) {
+    cJSON *l = workers_directives(m, false);
     const cJSON *x;
     int n = 0;
     cJSON_ArrayForEach(x, l) n += strcmp(json_get_string(x, "verb"), verb) == 0;
@@ -92,7 +92,7 @@
     static const struct {
         const char *what, *first, *second;
         int incarnation, sequence, less; /* of the second report; less: fence below ours */
-        bool checkin, unknown, inherited, over;
+        bool is_heartbeat, unknown, inherited, over;
         int ordered; /* incarnation in which an answer to a report carried starts */
     } rows[] = {
         {"seen, then not listed", T("running"), "", 1, 3, 0, true, false, false, true, 0},
@@ -122,14 +122,14 @@
         g_snprintf(at, sizeof at, "0@%s+0", id);
         struct machine *m = fresh(id, 0, "req-10001", at, rows[i].inherited);
         struct allocation *b = m->allocations->pdata[0];
-        if (rows[i].first) assert_true(report(m, 1, 2, f, rows[i].first, true));
+        if (rows[i].first) assert_true(heartbeat(m, 1, 2, f, rows[i].first, true));
         m->start_incarnation = rows[i].ordered;
         if (rows[i].unknown) {
             m->outcome_unknown = true;
             m->unknown_token = f;
             m->unknown_incarnation = 1;
         }
-        report(m, rows[i].incarnation, rows[i].sequence, f - rows[i].less, rows[i].second, rows[i].checkin);
+        heartbeat(m, rows[i].incarnation, rows[i].sequence, f - rows[i].less, rows[i].second, rows[i].is_heartbeat);
         if (b->released != rows[i].over) fail_msg("%s: over is %d", rows[i].what, b->released);
         away("req-10001");
     }
@@ -143,17 +143,17 @@
     store_lock();
     struct machine *m = fresh("i-000900", 0, "req-10001", BOOKED("i-000900"), true);
     struct allocation *b = m->allocations->pdata[0];
-    report(m, 1, 1, f - 1, "", true);
+    heartbeat(m, 1, 1, f - 1, "", true);
     assert_false(b->released);
-    assert_int_equal(orders(m, "run"), 0);
-    report(m, 1, 2, f, T("fetching"), true); /* the former owner's command came before our token */
-    assert_int_equal(orders(m, "run"), 0);
+    assert_int_equal(directives(m, "run"), 0);
+    heartbeat(m, 1, 2, f, T("fetching"), true); /* the former owner's command came before our token */
+    assert_int_equal(directives(m, "run"), 0);
     assert_int_equal(b->state, TASK_FETCHING);
     /* Not allocated and running: stopped. Not allocated and ended: forgotten. */
-    report(m, 1, 3, f, T("running") ",{\"task\":\"req-10001/1\",\"try\":4,\"state\":\"running\"},"
+    heartbeat(m, 1, 3, f, T("running") ",{\"task\":\"req-10001/1\",\"try\":4,\"state\":\"running\"},"
                                     "{\"task\":\"req-10001/1\",\"try\":3,\"state\":\"ended\",\"cause\":\"done\"}", true);
-    assert_int_equal(orders(m, "stop"), 1);
-    assert_int_equal(orders(m, "forget"), 1);
+    assert_int_equal(directives(m, "stop"), 1);
+    assert_int_equal(directives(m, "forget"), 1);
     away("req-10001");
     store_unlock();
 }
@@ -165,12 +165,12 @@
     store_lock();
     struct machine *m = fresh("i-000901", 0, "req-10001", BOOKED("i-000901"), false);
     struct allocation *b = m->allocations->pdata[0];
-    report(m, 1, 1, f, "", true);
+    heartbeat(m, 1, 1, f, "", true);
     m->outcome_unknown = true;
     m->unknown_token = f;
     m->unknown_incarnation = 1;
     b->stop_requested = true;
-    report(m, 1, 2, f, "", true);
+    heartbeat(m, 1, 2, f, "", true);
     assert_true(m->outcome_unknown);
     assert_false(b->released);
     char json[300];
@@ -179,7 +179,7 @@
     put("fleet/0/0", json, ++mod_revision);
     assert_int_equal(machines_fencing_token(m), f + 7);
     assert_true(machines_find("i-000901")->allocations->pdata[0] == b); /* what is known of it stays */
-    report(m, 1, 3, f + 7, "", true);
+    heartbeat(m, 1, 3, f + 7, "", true);
     assert_false(m->outcome_unknown);
     assert_true(b->released);
     away("req-10001");
@@ -192,15 +192,15 @@
     store_lock();
     put("job/req-10002", SPEC("req-10002", "batch", "2"), ++mod_revision);
     struct machine *m = fresh("i-000902", 0, "req-10002", "0@i-000902+0 1@i-000902+1", false);
-    report(m, 1, 1, f, "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"running\"}", true);
-    assert_int_equal(orders(m, "run"), 1);
+    heartbeat(m, 1, 1, f, "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"running\"}", true);
+    assert_int_equal(directives(m, "run"), 1);
     char *text = site_with(SPEC("req-10002", "batch", "2"), "\"queued\"", "\"cancelled\"");
     put("job/req-10002", text, ++mod_revision);
     g_free(text);
-    assert_int_equal(orders(m, "run"), 0);
-    assert_int_equal(orders(m, "stop"), 1);
+    assert_int_equal(directives(m, "run"), 0);
+    assert_int_equal(directives(m, "stop"), 1);
     /* Completed after the cancellation: it stays cancelled. */
-    report(m, 1, 2, f, "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"ended\",\"cause\":\"done\"}", true);
+    heartbeat(m, 1, 2, f, "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"ended\",\"cause\":\"done\"}", true);
     assert_int_equal(jobs_find("req-10002")->state, JOB_CANCELLED);
     assert_true(((struct allocation *)m->allocations->pdata[1])->released);
     away("req-10002");
@@ -218,15 +218,15 @@
     static const char tasks[] =
         "{\"task\":\"req-10004/0\",\"try\":5,\"state\":\"running\"},"
         "{\"task\":\"req-10004/1\",\"try\":6,\"state\":\"ended\",\"cause\":\"done\"}";
-    report(m, 1, 1, f - 1, tasks, true);
-    assert_int_equal(orders(m, "stop"), 0);
+    heartbeat(m, 1, 1, f - 1, tasks, true);
+    assert_int_equal(directives(m, "stop"), 0);
     char *text = site_with(SPEC("req-10004", "batch", "2"), "\"queued\"", "\"cancelled\"");
     put("job/req-10004", text, ++mod_revision);
     g_free(text);
-    report(m, 1, 2, f - 1, tasks, true);
-    assert_int_equal(orders(m, "stop"), 1);
-    assert_int_equal(orders(m, "forget"), 0);
-    assert_int_equal(orders(m, "run"), 0);
+    heartbeat(m, 1, 2, f - 1, tasks, true);
+    assert_int_equal(directives(m, "stop"), 1);
+    assert_int_equal(directives(m, "forget"), 0);
+    assert_int_equal(directives(m, "run"), 0);
     away("req-10004");
     store_unlock();
 }
@@ -238,7 +238,7 @@
     store_lock();
     struct machine *m = fresh("i-000920", 0, "req-10001", BOOKED("i-000920"), false);
     struct allocation *b = m->allocations->pdata[0];
-    assert_true(report(m, 2, 8, f, T("running"), true));
+    assert_true(heartbeat(m, 2, 8, f, T("running"), true));
     m->last_heard.tv_sec -= 20;
     struct timespec heard = m->last_heard;
     static const struct {
@@ -246,7 +246,8 @@
         const char *tasks;
     } copies[] = {{2, 8, 0, ""}, {2, 7, 0, ""}, {1, 99, 0, ""}, {2, 5, 1, T("ended")}};
     for (size_t i = 0; i < G_N_ELEMENTS(copies); i++)
-        assert_false(report(m, copies[i].incarnation, copies[i].sequence, f - copies[i].less, copies[i].tasks, true));
+        assert_false(
+            heartbeat(m, copies[i].incarnation, copies[i].sequence, f - copies[i].less, copies[i].tasks, true));
     assert_false(b->released);
     assert_int_equal(m->incarnation, 2);
     assert_int_equal(m->sequence, 8);
@@ -257,12 +258,12 @@
     assert_true(machines_owned(m));
     heard = m->last_heard;
     m->up = false;
-    report(m, 2, 4, f - 1, "", true);
+    heartbeat(m, 2, 4, f - 1, "", true);
     assert_false(b->released);
     assert_false(m->up);
     assert_true(m->last_heard.tv_sec == heard.tv_sec && m->last_heard.tv_nsec == heard.tv_nsec);
     assert_true(m->needs_token_probe); /* it is asked */
-    report(m, 2, 9, f, T("running"), true);
+    heartbeat(m, 2, 9, f, T("running"), true);
     assert_true(m->up);
     assert_false(b->released);
     away("req-10001");
@@ -277,11 +278,11 @@
     struct machine *m = fresh("i-000950", 0, "req-10001", BOOKED("i-000950"), false);
     m->up = false;
     m->last_heartbeat.tv_sec -= 300;
-    report(m, 1, 1, f, "", false);
+    heartbeat(m, 1, 1, f, "", false);
     assert_true(m->up);
     assert_true(clock_seconds_since(m->last_heartbeat) < 5);
     m->last_heartbeat.tv_sec -= 300;
-    report(m, 1, 2, f, "", false); /* once up, only reports count */
+    heartbeat(m, 1, 2, f, "", false); /* once up, only reports count */
     assert_true(clock_seconds_since(m->last_heartbeat) > 200);
     away("req-10001");
     store_unlock();
@@ -306,13 +307,13 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine *m = fresh("i-000930", 0, "req-10001", BOOKED("i-000930"), false);
         struct allocation *b = m->allocations->pdata[0];
-        report(m, 1, 1, f, rows[i].ordered ? "" : T("running"), true);
+        heartbeat(m, 1, 1, f, rows[i].ordered ? "" : T("running"), true);
         m->heartbeat_acknowledged = true;
         b->starts_sent = rows[i].ordered;
         for (int n = 0; n < 4; n++) {
             m->last_heartbeat = clock_now();
-            report(m, 1 + rows[i].tenure_step * (n + 1), 2 + n, f - rows[i].less, rows[i].ordered ? "" : T("running"),
-                   true);
+            heartbeat(m, 1 + rows[i].tenure_step * (n + 1), 2 + n, f - rows[i].less,
+                      rows[i].ordered ? "" : T("running"), true);
         }
         if (m->ignored_responses != rows[i].ignored) fail_msg("%s: %d", rows[i].what, m->ignored_responses);
         away("req-10001");
@@ -351,11 +352,11 @@
     cJSON *o = cJSON_Parse(
         "{\"tasks\":[{\"task\":\"req-10005/0\",\"try\":4,\"state\":\"running\"},"
         "{\"task\":\"req-10001/0\",\"try\":4,\"state\":\"running\"}]}");
-    cJSON *a = workers_proxy_answer(here, o), *orders = cJSON_GetObjectItemCaseSensitive(a, "orders");
+    cJSON *a = workers_proxy_answer(here, o), *directives = cJSON_GetObjectItemCaseSensitive(a, "orders");
     assert_int_equal(json_get_double(a, "fence", 0), 70);
-    assert_int_equal(cJSON_GetArraySize(orders), 1); /* the cancelled one ends, nothing else is ordered */
-    assert_string_equal(json_get_string(cJSON_GetArrayItem(orders, 0), "verb"), "stop");
-    assert_string_equal(json_get_string(cJSON_GetArrayItem(orders, 0), "task"), "req-10005/0");
+    assert_int_equal(cJSON_GetArraySize(directives), 1); /* the cancelled one ends, nothing else is ordered */
+    assert_string_equal(json_get_string(cJSON_GetArrayItem(directives, 0), "verb"), "stop");
+    assert_string_equal(json_get_string(cJSON_GetArrayItem(directives, 0), "task"), "req-10005/0");
     cJSON_Delete(a);
     cJSON_Delete(o);
     struct settings short_of = cfg;
@@ -381,13 +382,13 @@
         store_lock();
         struct machine *m = fresh("i-000970", 0, "req-10001", BOOKED("i-000970"), false);
         struct allocation *b = m->allocations->pdata[0];
-        report(m, 1, 1, f, T("running"), true);
+        heartbeat(m, 1, 1, f, T("running"), true);
         m->command_in_flight = rows[i].sending;
         m->probe_in_flight = rows[i].asking;
         m->outcome_unknown = rows[i].unknown;
         m->unknown_token = f;
         m->unknown_incarnation = 1;
-        report(m, 1, 2, f, "", true);
+        heartbeat(m, 1, 2, f, "", true);
         bool over = b->released;
         away("req-10001");
         store_unlock();
@@ -400,7 +401,7 @@
     (void)state;
     int64_t f = membership_shard(0)->fencing_token;
     static const struct {
-        const char *what, *report;
+        const char *what, *heartbeat;
         bool news;
     } rows[] = {
         {"good", "{\"host\":\"i-000980\",\"tenure\":1,\"seq\":%d,\"fence\":%lld,\"tasks\":[]}", true},
@@ -418,16 +419,16 @@
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine *m = fresh("i-000980", 0, "req-10001", BOOKED("i-000980"), false);
         struct allocation *b = m->allocations->pdata[0];
-        assert_true(report(m, 1, 1, f, T("running"), true));
+        assert_true(heartbeat(m, 1, 1, f, T("running"), true));
         m->last_heard.tv_sec -= 20;
         char json[300];
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wformat-nonliteral"
-        g_snprintf(json, sizeof json, rows[i].report, 2, (long long)f);
+        g_snprintf(json, sizeof json, rows[i].heartbeat, 2, (long long)f);
 #pragma GCC diagnostic pop
         cJSON *o = cJSON_Parse(json);
         assert_non_null(o);
-        bool news = workers_report(m, o, true);
+        bool news = workers_reconcile(m, o, true);
         if (news != rows[i].news || b->released != rows[i].news ||
             (clock_seconds_since(m->last_heard) < 10) != rows[i].news)
             fail_msg("%s: news %d, over %d", rows[i].what, news, b->released);
@@ -443,8 +444,8 @@
     store_lock();
     int64_t f = membership_shard(0)->fencing_token;
     struct machine *m = fresh("i-000981", 0, "req-10001", BOOKED("i-000981"), false);
-    assert_true(report(m, 1, 1, f, "", true));
-    assert_int_equal(orders(m, "run"), 1);
+    assert_true(heartbeat(m, 1, 1, f, "", true));
+    assert_int_equal(directives(m, "run"), 1);
     store_unlock();
     standin_state_trouble(STANDIN_OUTAGE);
     struct timespec start = clock_now();
@@ -460,7 +461,7 @@
     assert_true(verified);
     assert_true(clock_seconds_since(start) < 4);
     store_lock();
-    assert_int_equal(orders(m, "run"), 0);
+    assert_int_equal(directives(m, "run"), 0);
     store_unlock();
     standin_state_trouble(STANDIN_NONE);
     start = clock_now();
@@ -471,7 +472,7 @@
         store_unlock();
     }
     store_lock();
-    assert_int_equal(orders(m, "run"), 1);
+    assert_int_equal(directives(m, "run"), 1);
     away("req-10001");
     store_unlock();
 }
@@ -531,7 +532,8 @@
         {true, 0.1, true, false, false}, {false, 40, false, false, true}, /* a stop or a token harms nobody */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        assert_int_equal(workers_still_good(rows[i].run, rows[i].age, rows[i].ours, rows[i].verified), rows[i].want);
+        assert_int_equal(workers_directives_still_valid(rows[i].run, rows[i].age, rows[i].ours, rows[i].verified),
+                         rows[i].want);
 }
 
 int main(void) {
--- a/tests/standin/fleet.c
+++ b/tests/standin/fleet.c
@@ -28,7 +28,7 @@
 };
 struct held {
     struct worker *w;
-    cJSON *orders;
+    cJSON *directives;
 };
 struct copy {
     char *text;
@@ -98,7 +98,7 @@
     return n;
 }
 
-static cJSON *report_of(struct worker *w) {
+static cJSON *heartbeat_of(struct worker *w) {
     cJSON *o = cJSON_CreateObject(), *list;
     cJSON_AddStringToObject(o, "host", w->id);
     cJSON_AddStringToObject(o, "address", w->address);
@@ -218,7 +218,7 @@
         if (w->alive && (w->reach == STANDIN_HELD || w->reach == STANDIN_HANGS)) {
             struct held *h = g_new0(struct held, 1);
             h->w = w;
-            h->orders = cJSON_Duplicate(o, true);
+            h->directives = cJSON_Duplicate(o, true);
             g_ptr_array_add(held, h);
         }
         pthread_mutex_unlock(&lock);
@@ -227,7 +227,7 @@
         return;
     }
     bool good = command(w, o);
-    cJSON *rep = report_of(w);
+    cJSON *rep = heartbeat_of(w);
     pthread_mutex_unlock(&lock);
     cJSON_Delete(o);
     http_reply_json(r, good ? 200 : 409, rep, 0);
@@ -261,7 +261,7 @@
         bool quiet = mute || w->muted || w->reach == STANDIN_MUTE || w->reach == STANDIN_HANGS, alive = w->alive;
         if (w->reach == STANDIN_ISLAND) w->at = 0;
         int at = w->at;
-        cJSON *rep = report_of(w);
+        cJSON *rep = heartbeat_of(w);
         int64_t incarnation = w->incarnation;
         g_snprintf(url, sizeof url, "http://%s/checkin", controllers[at]);
         char *text = cJSON_PrintUnformatted(rep);
@@ -482,8 +482,8 @@
     for (guint i = held->len; reach == STANDIN_WELL && i-- > 0;) {
         struct held *h = held->pdata[i];
         if (index >= 0 && h->w != &workers[index]) continue;
-        if (h->w->alive) command(h->w, h->orders);
-        cJSON_Delete(h->orders);
+        if (h->w->alive) command(h->w, h->directives);
+        cJSON_Delete(h->directives);
         g_free(h);
         g_ptr_array_remove_index(held, i);
     }
