--- a/src/ledger/ledger.c
+++ b/src/autoscaler/scale_in.c
@@ -1,4 +1,4 @@
-#include "ledger.h"
+#include "scale_in.h"
 
 #include <glib.h>
 #include <math.h>
@@ -61,14 +61,14 @@
     return d < 0 ? -1 : d > 0;
 }
 
-int ledger_drains(int n, double headroom, double margin, double admission, int draining) {
+int scale_in_drains(int n, double headroom, double margin, double admission, int draining) {
     /* Each drain takes its machine's part out of the capacity, and the next needs the margin anew. */
     int allowed = headroom > margin * admission ? (int)ceil((headroom - margin * admission) / admission - 1e-9) : 0;
     return CLAMP(MAX(n / 16, 1) - draining, 0, allowed);
 }
 
 /* One ledger for each kind: headroom on cheap machines is none for work that may not use them. */
-void ledger_run(int k, bool spot) {
+void scale_in_run(int k, bool spot) {
     struct machine *reception = scheduler_reception(k);
     GArray *order = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     double occupied = 0;
@@ -93,7 +93,7 @@
     }
     double h =
         placement_headroom(n, occupied, spot ? cfg->tuning.admission : cfg->tuning.reception, cfg->tuning.admission);
-    int drains = ledger_drains(n, h, cfg->tuning.margin, cfg->tuning.admission, draining);
+    int drains = scale_in_drains(n, h, cfg->tuning.margin, cfg->tuning.admission, draining);
     /* Nothing is returned before each machine shows its rows; in a large fleet some have always just booted, and while
      * they are few only they wait for their own. */
     if (unsteady * 16 <= n && drains > 0 && !shard_states[k].fit_nowhere) {
@@ -112,7 +112,7 @@
 }
 
 /* The periodic line of a shard: what waits, what there is, what is left. */
-void ledger_tell(int k) {
+void scale_in_log_status(int k) {
     int up[2] = {0, 0}, booting[2] = {0, 0}, draining = 0, waiting[4] = {0, 0, 0, 0};
     double gpus[2] = {0, 0}, used[2] = {0, 0}, filler = 0, occupied = 0;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
@@ -144,4 +144,4 @@
         placement_headroom(up[0] + up[1] - draining, occupied, cfg->tuning.reception, cfg->tuning.admission));
 }
 
-void ledger_init(const struct settings *s) { cfg = s; }
+void scale_in_init(const struct settings *s) { cfg = s; }
--- a/src/renting/renting.c
+++ b/src/autoscaler/scale_out.c
@@ -1,4 +1,4 @@
-#include "renting.h"
+#include "scale_out.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -20,12 +20,12 @@
 
 static const struct settings *cfg;
 
-bool renting_may_use(const struct job_spec *j, const struct machine_type *f) {
+bool scale_out_type_fits(const struct job_spec *j, const struct machine_type *f) {
     return (!j->machine_types || g_strv_contains((const char *const *)j->machine_types, f->type_name)) &&
            j->vcpus <= f->vcpus + 1e-6 && j->gpus <= f->gpus + 1e-6 && j->memory_gb <= f->memory_gb + 1e-6;
 }
 
-bool renting_vm_takes(struct renting_vm *v, const struct job *j, const char *site) {
+bool planned_machine_take(struct planned_machine *v, const struct job *j, const char *site) {
     const struct job_spec *s = &j->spec;
     if ((v->o.spot && !s->allows_spot) || (v->foreign && s->allows_spot) || (v->kept && s->kind != JOB_GANG))
         return false;
@@ -38,10 +38,10 @@
     return true;
 }
 
-void renting_vm_add(GArray *vms, const char *type_name, const char *site, bool spot) {
+void planned_machine_add(GArray *vms, const char *type_name, const char *site, bool spot) {
     const struct machine_type *f = cloud_flavour(type_name);
     if (!f) return;
-    struct renting_vm v = {{"", "", spot, 0, 0, 0}, f->vcpus, f->gpus, f->memory_gb, false, false};
+    struct planned_machine v = {{"", "", spot, 0, 0, 0}, f->vcpus, f->gpus, f->memory_gb, false, false};
     g_strlcpy(v.o.type_name, type_name, sizeof v.o.type_name);
     g_strlcpy(v.o.zone, site, sizeof v.o.zone);
     g_array_append_val(vms, v);
@@ -65,7 +65,7 @@
         bool found = false;
         for (int i = 0; i < cloud_flavours_count(); i++) {
             const struct machine_type *f = &cloud_flavours()[i];
-            if (!renting_may_use(&j->spec, f)) continue;
+            if (!scale_out_type_fits(&j->spec, f)) continue;
             double price = spot ? f->spot_price : f->hourly_price;
             for (int z = 0; z < f->n_zones; z++) {
                 const char *s = f->zones[z];
@@ -93,9 +93,9 @@
     for (int z = 0; z < cfg->n_zones; z++) {
         int fit = 0;
         for (guint y = 0; y < vms->len; y++) {
-            struct renting_vm v = g_array_index(vms, struct renting_vm, y);
+            struct planned_machine v = g_array_index(vms, struct planned_machine, y);
             if (v.foreign) continue;
-            while (fit < j->spec.tasks && renting_vm_takes(&v, j, cfg->zones[z])) fit++;
+            while (fit < j->spec.tasks && planned_machine_take(&v, j, cfg->zones[z])) fit++;
         }
         /* Pieces in a zone that the cloud adds nothing to are no beginning. */
         struct rental_request o;
@@ -107,8 +107,8 @@
 
 /* One more machine in the plan. */
 static void add_order(GArray *vms, const struct rental_request *o, int weight) {
-    renting_vm_add(vms, o->type_name, o->zone, o->spot);
-    g_array_index(vms, struct renting_vm, vms->len - 1).o.weight = weight;
+    planned_machine_add(vms, o->type_name, o->zone, o->spot);
+    g_array_index(vms, struct planned_machine, vms->len - 1).o.weight = weight;
     if (zone_of(o->zone)) ++*zone_of(o->zone);
 }
 
@@ -124,7 +124,7 @@
     }
     int whole = 0;
     for (guint y = 0; y < vms->len; y++) {
-        const struct renting_vm *v = &g_array_index(vms, struct renting_vm, y);
+        const struct planned_machine *v = &g_array_index(vms, struct planned_machine, y);
         const struct machine_type *f = cloud_flavour(v->o.type_name);
         whole += f && !v->foreign && !v->o.spot && v->cpu >= f->vcpus - 1e-6 && v->gpu >= f->gpus - 1e-6;
     }
@@ -139,7 +139,7 @@
 /* What a shard has, and what the plan makes of it. */
 struct shard_plan {
     int shard;
-    GArray *vms;     /* struct renting_vm: there with room, on their way, and requested */
+    GArray *vms;     /* struct planned_machine: there with room, on their way, and requested */
     guint first_new; /* those from here on are requested by this plan */
     int have, requested, steady, up;
     int overdue;           /* machines that should have come up by now */
@@ -164,7 +164,7 @@
         /* Nor when this one comes, if ever. More than a few at a time are not replaced: a spell of slow boots must not
          * multiply the bill. */
         if (boots_overdue(m) && p->overdue++ < boots_replaced_most(p->up)) return;
-        renting_vm_add(p->vms, m->type_name, m->zone, m->spot);
+        planned_machine_add(p->vms, m->type_name, m->zone, m->spot);
         p->booting = true;
         return;
     }
@@ -173,8 +173,8 @@
     /* Whole ones are kept for gangs that lack others. */
     if (allocations_on_machine(m) == 0 && m->schedulable) {
         guint before = p->vms->len;
-        renting_vm_add(p->vms, m->type_name, m->zone, false);
-        if (p->vms->len > before) g_array_index(p->vms, struct renting_vm, before).kept = true;
+        planned_machine_add(p->vms, m->type_name, m->zone, false);
+        if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).kept = true;
     }
     if (m != p->reception && placement_occupancy(m, (int)cfg->tuning.window) < cfg->tuning.admission) p->roomy = true;
 }
@@ -191,7 +191,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct unregistered_machine *u = v;
         if (u->shard != p->shard) continue;
-        renting_vm_add(p->vms, u->type_name, u->zone, u->spot);
+        planned_machine_add(p->vms, u->type_name, u->zone, u->spot);
         p->have++;
         p->booting = true;
     }
@@ -210,8 +210,8 @@
         const struct machine *m = machines_all()->pdata[i];
         if (m->shard == p->shard || m->shard < 0 || !transfer_possible(m) || m->rebalance_to >= 0) continue;
         guint before = p->vms->len;
-        renting_vm_add(p->vms, m->type_name, m->zone, false);
-        if (p->vms->len > before) g_array_index(p->vms, struct renting_vm, before).foreign = true;
+        planned_machine_add(p->vms, m->type_name, m->zone, false);
+        if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).foreign = true;
     }
 }
 
@@ -244,8 +244,8 @@
     const char *want = site[0] ? site : spread_zone(j);
     bool dear = may_be_dear(p, j, within);
     for (; *from < p->vms->len; ++*from) {
-        struct renting_vm *vm = &g_array_index(p->vms, struct renting_vm, *from);
-        if (!renting_vm_takes(vm, j, want)) continue;
+        struct planned_machine *vm = &g_array_index(p->vms, struct planned_machine, *from);
+        if (!planned_machine_take(vm, j, want)) continue;
         if (j->spec.single_zone && !site[0]) g_strlcpy(site, vm->o.zone, n);
         return;
     }
@@ -255,7 +255,7 @@
     add_order(p->vms, &o, weights[j->priority]);
     p->requested++;
     if (j->spec.allows_spot && cloud_flavour(o.type_name)) p->slots += cloud_flavour(o.type_name)->gpus;
-    renting_vm_takes(&g_array_index(p->vms, struct renting_vm, p->vms->len - 1), j, want);
+    planned_machine_take(&g_array_index(p->vms, struct planned_machine, p->vms->len - 1), j, want);
     if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.zone, n);
 }
 
@@ -294,7 +294,7 @@
     memset(&o, 0, sizeof o);
     if (!like || (p->steady == 1 && occupancy <= cfg->tuning.reception) || !choose(p->shard, like, NULL, true, &o))
         return;
-    renting_vm_add(p->vms, o.type_name, o.zone, o.spot);
+    planned_machine_add(p->vms, o.type_name, o.zone, o.spot);
 }
 
 #define ORDER_MOST 50 /* machines a call may ask for */
@@ -302,7 +302,7 @@
 /* Adds up what the plan orders by type, zone and kind. */
 static void collect_directives(const struct shard_plan *p, struct rental_request *out, int most, int *n) {
     for (guint y = p->first_new; y < p->vms->len; y++) {
-        const struct rental_request *o = &g_array_index(p->vms, struct renting_vm, y).o;
+        const struct rental_request *o = &g_array_index(p->vms, struct planned_machine, y).o;
         int i = 0;
         while (i < *n && !(out[i].shard == p->shard && out[i].spot == o->spot &&
                            !strcmp(out[i].type_name, o->type_name) && !strcmp(out[i].zone, o->zone)))
@@ -323,7 +323,7 @@
 
 static void rent_for_shard(int k, struct rental_request *out, int most, int *n) {
     struct shard_plan p = {.shard = k, .reception = scheduler_reception(k)};
-    p.vms = g_array_new(FALSE, FALSE, sizeof(struct renting_vm));
+    p.vms = g_array_new(FALSE, FALSE, sizeof(struct planned_machine));
     count_machines(&p);
     GArray *order = scheduler_order_jobs(k);
     int waiting = 0;
@@ -351,7 +351,7 @@
 
 /* Calls are scarce: first the order that helps most, by how many machines and for whom. A few machines for services go
  * before as many for arrays, but not before fifty. */
-int renting_plan(struct rental_request *out, int most) {
+int scale_out_plan(struct rental_request *out, int most) {
     int n = 0;
     for (int k = 0; k < cfg->size; k++)
         if (membership_owns(k) && membership_may_answer() && clock_seconds_since(shard_states[k].since) > 4)
@@ -378,7 +378,7 @@
 }
 
 /* Those with tasks first: until the cloud has answered, these can't start elsewhere. */
-int renting_return_plan(char ids[][64], int most, int *busy) {
+int scale_in_plan_returns(char ids[][64], int most, int *busy) {
     int n = 0;
     *busy = 0;
     for (int with_tasks = 1; with_tasks >= 0; with_tasks--)
@@ -394,4 +394,4 @@
     return n + unrecorded_machines(ids + n, most - n, busy);
 }
 
-void renting_init(const struct settings *s) { cfg = s; }
+void scale_out_init(const struct settings *s) { cfg = s; }
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -9,6 +9,7 @@
 #include <string.h>
 #include <time.h>
 
+#include "../autoscaler/scale_out.h"
 #include "../clock/clock.h"
 #include "../http/client.h"
 #include "../json/json.h"
@@ -16,7 +17,6 @@
 #include "../machines/machines.h"
 #include "../membership/membership.h"
 #include "../quota/quota.h"
-#include "../renting/renting.h"
 #include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 
@@ -303,7 +303,7 @@
         struct rental_request directives[ORDERS_MOST];
         int busy, wants = 0;
         store_lock();
-        int back = renting_return_plan(ids, 100, &busy);
+        int back = scale_in_plan_returns(ids, 100, &busy);
         store_unlock();
         /* A plan for a whole shard is worth its time only when a call can be made. */
         if (!may_call(busy > 0)) continue;
@@ -312,7 +312,7 @@
         /* Returns are few calls for many machines; they must not wait for rentals without end, and tasks that can start
          * elsewhere only once their silent machine is returned wait for nothing. */
         bool back_first = busy || back >= 20 || (back && clock_seconds_since(returned) > 12);
-        if (!pending.open && !back_first && !list_first) wants = renting_plan(directives, ORDERS_MOST);
+        if (!pending.open && !back_first && !list_first) wants = scale_out_plan(directives, ORDERS_MOST);
         store_unlock();
         if (back && (back_first || !(pending.open || wants || list_first))) {
             give_back(c, ids, back);
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -7,19 +7,19 @@
 #include <time.h>
 
 #include "../allocations/allocations.h"
+#include "../autoscaler/scale_in.h"
+#include "../autoscaler/scale_out.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../dependencies/dependencies.h"
 #include "../failures/failures.h"
 #include "../http/client.h"
 #include "../json/json.h"
-#include "../ledger/ledger.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
-#include "../renting/renting.h"
 #include "../sync/sync.h"
 #include "../transfer/transfer.h"
 #include "../watch/watch.h"
@@ -327,13 +327,13 @@
             for (int k = 0; k < scheduler_settings->size; k++)
                 if (membership_owns(k) && membership_may_answer()) {
                     watch_machines(k, &h);
-                    ledger_run(k, false);
-                    ledger_run(k, true);
+                    scale_in_run(k, false);
+                    scale_in_run(k, true);
                 }
             if (clock_seconds_since(told) > 10) {
                 told = clock_now();
                 for (int k = 0; k < scheduler_settings->size; k++)
-                    if (membership_owns(k)) ledger_tell(k);
+                    if (membership_owns(k)) scale_in_log_status(k);
             }
             store_unlock();
             workers_wake();
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -10,12 +10,12 @@
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
 #include "allocations/allocations.h"
+#include "autoscaler/scale_out.h"
 #include "clock/clock.h"
 #include "cloud/cloud.h"
 #include "membership/membership.h"
 #include "placement/placement.h"
 #include "preempt/preempt.h"
-#include "renting/renting.h"
 #include "transfer/transfer.h"
 #include "watch/watch.h"
 #include "workers/workers.h"
@@ -131,7 +131,7 @@
     struct job *j = owned_job("req-60001", "batch", "normal", 300, 8, 1, false, false, 10);
     scheduler_round_free(scheduler_decide(0, 20));
     assert_true(j->unplaced);
-    int n = renting_plan(out, 16), machines = 0;
+    int n = scale_out_plan(out, 16), machines = 0;
     for (int i = 0; i < n; i++) {
         assert_in_range(out[i].count, 1, 50);
         assert_false(out[i].spot);
@@ -144,7 +144,7 @@
         g_snprintf(id, sizeof id, "i-9%03d", i);
         machines_rented(0, id, "g16", "za", false);
     }
-    assert_int_equal(renting_plan(out, 16), 0);
+    assert_int_equal(scale_out_plan(out, 16), 0);
     g_hash_table_remove_all(machines_unregistered());
     owned_clear();
     store_unlock();
@@ -181,7 +181,7 @@
         owned_book(rest, all + 1, rows[i].busy - 1);
         scheduler_round_free(scheduler_decide(0, 20));
         struct rental_request out[16];
-        int n = renting_plan(out, 16);
+        int n = scale_out_plan(out, 16);
         for (int o = 0; o < n; o++) machines += out[o].spot ? 1000 : out[o].count;
         owned_clear();
         if (machines != rows[i].want) {
@@ -413,7 +413,7 @@
         owned_job(job_id, "batch", "high", rows[r].booting, 16, 2, false, false, 10);
         full->retry_at = clock_instant_in(clock_from_seconds(60));
         scheduler_round_free(scheduler_decide(0, 20));
-        int n = renting_plan(out, 16), machines = 0;
+        int n = scale_out_plan(out, 16), machines = 0;
         for (int i = 0; i < n; i++) machines += out[i].count;
         owned_clear();
         store_unlock();
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -8,19 +8,19 @@
 
 #include "../allocations/allocations.h"
 #include "../api/api.h"
+#include "../autoscaler/scale_in.h"
+#include "../autoscaler/scale_out.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../dependencies/dependencies.h"
 #include "../http/server.h"
 #include "../jobs/jobs.h"
-#include "../ledger/ledger.h"
 #include "../logging/logging.h"
 #include "../machines/machines.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
-#include "../renting/renting.h"
 #include "../scheduler/scheduler.h"
 #include "../schema_version/schema_version.h"
 #include "../stall/stall.h"
@@ -66,8 +66,8 @@
     scheduler_init(s);
     preempt_init(s);
     transfer_init(s);
-    renting_init(s);
-    ledger_init(s);
+    scale_out_init(s);
+    scale_in_init(s);
     watch_init(s);
 }
 
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -5,6 +5,7 @@
 #include <string.h>
 
 #include "../allocations/allocations.h"
+#include "../autoscaler/scale_out.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../failures/failures.h"
@@ -13,7 +14,6 @@
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
-#include "../renting/renting.h"
 #include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
@@ -62,9 +62,9 @@
 static bool takes_all(GArray *vms, const struct job *j, int tasks) {
     const char *site = placement_site(j);
     for (guint y = 0; y < vms->len && tasks > 0; y++) {
-        struct renting_vm *v = &g_array_index(vms, struct renting_vm, y);
+        struct planned_machine *v = &g_array_index(vms, struct planned_machine, y);
         if (zone_full(j, v->o.zone)) continue;
-        while (tasks > 0 && renting_vm_takes(v, j, site)) tasks--;
+        while (tasks > 0 && planned_machine_take(v, j, site)) tasks--;
     }
     return tasks <= 0;
 }
@@ -72,16 +72,16 @@
 /* The first job of another shard that waits for a machine none of its own can give: every controller mirrors all
  * records, so that the donor sees it without being asked. */
 static struct job *needy_job(int s, bool reclaimable, bool *within) {
-    GArray *vms = g_array_new(FALSE, FALSE, sizeof(struct renting_vm));
+    GArray *vms = g_array_new(FALSE, FALSE, sizeof(struct planned_machine));
     for (guint i = 0; i < machines_all()->len; i++) {
         struct machine *m = machines_all()->pdata[i];
         if ((m->shard != s && m->rebalance_to != s) || m->returning || (m->spot && !reclaimable) ||
             (m->shard == s && full(m)))
             continue;
         guint before = vms->len;
-        renting_vm_add(vms, m->type_name, m->zone, m->spot);
+        planned_machine_add(vms, m->type_name, m->zone, m->spot);
         if (vms->len == before) continue;
-        struct renting_vm *v = &g_array_index(vms, struct renting_vm, before);
+        struct planned_machine *v = &g_array_index(vms, struct planned_machine, before);
         for (guint b = 0; b < m->allocations->len && m->shard == s; b++) {
             if (((struct allocation *)m->allocations->pdata[b])->released) continue;
             const struct job_spec *x = &((struct allocation *)m->allocations->pdata[b])->job->spec;
@@ -152,7 +152,7 @@
             continue;
         if (machines_leaving(m) || m->preemption_notice_s >= 0 || !m->address[0]) continue;
         if (clock_seconds_since(m->last_heard) > clock_to_seconds(cfg->heartbeat_interval) * 2 + 1 ||
-            !renting_may_use(&j->spec, m->type))
+            !scale_out_type_fits(&j->spec, m->type))
             continue;
         if (!placement_allowed(m, j, site, NULL)) continue;
         /* For work that could use cheap machines a dear one goes only if it is surplus here. */
