--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -6,12 +6,12 @@
 #include <string.h>
 
 #include "../allocations/allocations.h"
-#include "../boots/boots.h"
 #include "../clock/clock.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
+#include "../provisioning/provisioning.h"
 #include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
@@ -87,7 +87,7 @@
         unsteady += short_of;
         /* One rented for waiting tasks stays until it has had its first. */
         if (m == reception || short_of || m->preemption_notice_s >= 0 ||
-            (!m->had_task && clock_time_of_day() - m->created_at < boots_limit(m)))
+            (!m->had_task && clock_time_of_day() - m->created_at < provisioning_give_up_s(m)))
             continue;
         g_array_append_val(order, c);
     }
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -7,12 +7,12 @@
 #include <string.h>
 
 #include "../allocations/allocations.h"
-#include "../boots/boots.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
+#include "../provisioning/provisioning.h"
 #include "../quota/quota.h"
 #include "../scheduler/scheduler.h"
 #include "../transfer/transfer.h"
@@ -163,7 +163,7 @@
         if (watch_zone_cut(p->shard, m->zone)) return; /* nobody knows when it is heard */
         /* Nor when this one comes, if ever. More than a few at a time are not replaced: a spell of slow boots must not
          * multiply the bill. */
-        if (boots_overdue(m) && p->overdue++ < boots_replaced_most(p->up)) return;
+        if (provisioning_overdue(m) && p->overdue++ < provisioning_replacements_max(p->up)) return;
         planned_machine_add(p->vms, m->type_name, m->zone, m->spot);
         p->booting = true;
         return;
--- a/src/boots/boots.c
+++ b/src/provisioning/provisioning.c
@@ -1,4 +1,4 @@
-#include "boots.h"
+#include "provisioning.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -22,7 +22,7 @@
 
 /* The latest boots of a type. */
 struct boot_times {
-    double took_s[BOOTS_REMEMBERED];
+    double took_s[PROVISIONING_SAMPLES_MAX];
     int n, next;
 };
 
@@ -32,7 +32,7 @@
     return by_type ? g_hash_table_lookup(by_type, type_name) : NULL;
 }
 
-void boots_note(const char *type_name, double took_s) {
+void provisioning_record_boot(const char *type_name, double took_s) {
     if (took_s < 0) return;
     if (!by_type) by_type = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     struct boot_times *t = times_of(type_name);
@@ -41,8 +41,8 @@
         g_hash_table_insert(by_type, g_strdup(type_name), t);
     }
     t->took_s[t->next] = took_s;
-    t->next = (t->next + 1) % BOOTS_REMEMBERED;
-    t->n = MIN(t->n + 1, BOOTS_REMEMBERED);
+    t->next = (t->next + 1) % PROVISIONING_SAMPLES_MAX;
+    t->n = MIN(t->n + 1, PROVISIONING_SAMPLES_MAX);
 }
 
 static int shorter(const void *a, const void *b) {
@@ -50,10 +50,10 @@
     return d < 0 ? -1 : d > 0;
 }
 
-double boots_expected_of(const double *took_s, int n, double startup_s) {
+double provisioning_expected_of(const double *took_s, int n, double startup_s) {
     if (n < SEEN_LEAST) return startup_s * PROMISED_TIMES;
-    double sorted[BOOTS_REMEMBERED];
-    n = MIN(n, BOOTS_REMEMBERED);
+    double sorted[PROVISIONING_SAMPLES_MAX];
+    n = MIN(n, PROVISIONING_SAMPLES_MAX);
     memcpy(sorted, took_s, sizeof *sorted * (size_t)n);
     qsort(sorted, (size_t)n, sizeof *sorted, shorter);
     double usual = sorted[(int)((n - 1) * SEEN_PART)];
@@ -64,17 +64,17 @@
     return f && f->startup_s > 0 ? f->startup_s : STARTUP_UNKNOWN_S;
 }
 
-double boots_expected(const struct machine_type *f) {
+double provisioning_expected_s(const struct machine_type *f) {
     const struct boot_times *t = f ? times_of(f->type_name) : NULL;
-    return t ? boots_expected_of(t->took_s, t->n, startup_of(f)) : startup_of(f) * PROMISED_TIMES;
+    return t ? provisioning_expected_of(t->took_s, t->n, startup_of(f)) : startup_of(f) * PROMISED_TIMES;
 }
 
-bool boots_overdue(const struct machine *m) {
-    return !m->up && clock_time_of_day() - m->created_at > boots_expected(cloud_flavour(m->type_name));
+bool provisioning_overdue(const struct machine *m) {
+    return !m->up && clock_time_of_day() - m->created_at > provisioning_expected_s(cloud_flavour(m->type_name));
 }
 
-double boots_limit(const struct machine *m) {
+double provisioning_give_up_s(const struct machine *m) {
     return LIMIT_TIMES * startup_of(cloud_flavour(m->type_name)) + LIMIT_MORE_S;
 }
 
-int boots_replaced_most(int up) { return MAX(REPLACED_LEAST, up / REPLACED_PART); }
+int provisioning_replacements_max(int up) { return MAX(REPLACED_LEAST, up / REPLACED_PART); }
--- a/src/boots/boots_test.c
+++ b/src/provisioning/provisioning_test.c
@@ -1,5 +1,5 @@
 /* After how long a machine that boots is overdue, and how many of these are replaced. */
-#include "boots/boots.h"
+#include "provisioning/provisioning.h"
 
 #include <glib.h>
 
@@ -22,7 +22,7 @@
         {"one straggler in ten is no rule", {20, 20, 21, 22, 23, 24, 24, 25, 25, 300}, 10, 25, 25, 40},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        double s = boots_expected_of(rows[i].took_s, rows[i].n, rows[i].startup_s);
+        double s = provisioning_expected_of(rows[i].took_s, rows[i].n, rows[i].startup_s);
         if (s < rows[i].least || s > rows[i].most) fail_msg("%s: %.1f s", rows[i].what, s);
     }
 }
@@ -31,7 +31,7 @@
     (void)state;
     static const struct { int up, least, most; } rows[] = {{0, 1, 4}, {8, 1, 4}, {400, 20, 60}, {4000, 200, 600}};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        assert_in_range(boots_replaced_most(rows[i].up), rows[i].least, rows[i].most);
+        assert_in_range(provisioning_replacements_max(rows[i].up), rows[i].least, rows[i].most);
 }
 
 int main(void) {
--- a/src/watch/watch.c
+++ b/src/watch/watch.c
@@ -9,7 +9,6 @@
 #include <time.h>
 
 #include "../allocations/allocations.h"
-#include "../boots/boots.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../failures/failures.h"
@@ -17,6 +16,7 @@
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
+#include "../provisioning/provisioning.h"
 #include "../workers/workers.h"
 
 static const struct settings *cfg;
@@ -230,7 +230,7 @@
             log_info("machine %s: different jobs fail on it, returning it", m->id);
             m->return_wanted = true;
         }
-        if (!m->up && clock_time_of_day() - m->created_at > boots_limit(m) &&
+        if (!m->up && clock_time_of_day() - m->created_at > provisioning_give_up_s(m) &&
             clock_seconds_since(m->owned_since) > 20) {
             log_info("machine %s: never came up, returning it", m->id);
             m->return_wanted = true;
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../boots/boots.h"
 #include "../clock/clock.h"
 #include "../failures/failures.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
+#include "../provisioning/provisioning.h"
 #include "../scheduler/scheduler.h"
 #include "internal.h"
 
@@ -140,7 +140,7 @@
         log_info("machine %s: up", m->id);
         /* Only who owned it all the while knows that this is its first word. */
         if (!m->had_task && clock_time_of_day() - m->created_at < clock_seconds_since(m->owned_since) + RENTAL_S)
-            boots_note(m->type_name, clock_time_of_day() - m->created_at);
+            provisioning_record_boot(m->type_name, clock_time_of_day() - m->created_at);
     }
     m->up = true;
 }
