--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -9,6 +9,7 @@
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
+#include "../liveness/liveness.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
@@ -16,7 +17,6 @@
 #include "../quota/quota.h"
 #include "../scheduler/scheduler.h"
 #include "../transfer/transfer.h"
-#include "../watch/watch.h"
 
 static const struct settings *cfg;
 
@@ -70,7 +70,7 @@
             for (int z = 0; z < f->n_zones; z++) {
                 const char *s = f->zones[z];
                 if ((site && strcmp(site, s) != 0) || (j->spec.zone && strcmp(j->spec.zone, s) != 0)) continue;
-                if (!cloud_open(f->type_name, s, spot == 1) || watch_zone_cut(k, s)) continue;
+                if (!cloud_open(f->type_name, s, spot == 1) || liveness_zone_unreachable(k, s)) continue;
                 /* Among equal prices, the zone where this shard has least; a whole order goes to one, calls are scarce.
                  */
                 double cost = price * (1 + 0.001 * (here_in(s) / zone_lot));
@@ -160,7 +160,7 @@
         if (s->allows_spot) p->slots += s->gpus;
     }
     if (!m->up) {
-        if (watch_zone_cut(p->shard, m->zone)) return; /* nobody knows when it is heard */
+        if (liveness_zone_unreachable(p->shard, m->zone)) return; /* nobody knows when it is heard */
         /* Nor when this one comes, if ever. More than a few at a time are not replaced: a spell of slow boots must not
          * multiply the bill. */
         if (provisioning_overdue(m) && p->overdue++ < provisioning_replacements_max(p->up)) return;
--- a/src/failures/failures_test.c
+++ b/src/failures/failures_test.c
@@ -12,8 +12,8 @@
 #include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "json/json.h"
+#include "liveness/liveness.h"
 #include "scheduler/scheduler.h"
-#include "watch/watch.h"
 
 enum { MACHINES = 4, JOBS = 3 };
 
@@ -161,17 +161,17 @@
         {"for a while", false, 10, false, true},
         {"its jobs fail elsewhere as well", true, 10, true, false},
     };
-    const struct watch_hearing all_heard = {.up = MACHINES, .heard = MACHINES};
+    const struct liveness_summary all_heard = {.up = MACHINES, .heard = MACHINES};
     for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
         store_lock();
         begin("batch", 5);
         for (int i = 0; i < 2; i++) failures_note(jobs[i], machines[0]);
-        watch_machines(0, &all_heard);
+        liveness_check_machines(0, &all_heard);
         for (int i = 0; rows[r].elsewhere && i < 2; i++) failures_note(jobs[i], machines[1]);
         if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[r].s;
         scheduler_prepare_machines(0);
         bool open = machines[0]->schedulable;
-        watch_machines(0, &all_heard);
+        liveness_check_machines(0, &all_heard);
         bool back = machines[0]->return_wanted;
         owned_clear();
         store_unlock();
--- a/src/watch/watch.c
+++ b/src/liveness/liveness.c
@@ -1,4 +1,4 @@
-#include "watch.h"
+#include "liveness.h"
 
 #include <glib.h>
 #include <math.h>
@@ -30,7 +30,7 @@
     return MAX(clock_to_seconds(cfg->tuning.silent_return), clock_to_seconds(cfg->heartbeat_interval) * 1.25 + 4);
 }
 
-bool watch_try_workers(struct http_client *c) {
+bool liveness_probe_workers(struct http_client *c) {
     char urls[3][128];
     int n = 0;
     store_lock();
@@ -56,8 +56,8 @@
     return MIN(clock_to_seconds(cfg->heartbeat_interval) * 1.25 + 1, silent_limit() * 0.6);
 }
 
-struct watch_hearing watch_hearing(void) {
-    struct watch_hearing h = {0, 0, 0, HUGE_VAL};
+struct liveness_summary liveness_summary(void) {
+    struct liveness_summary h = {0, 0, 0, HUGE_VAL};
     double lately = heard_lately();
     for (int k = 0; k < cfg->size; k++)
         for (guint i = 0; membership_owns(k) && i < machines_of_shard(k)->len; i++) {
@@ -74,11 +74,11 @@
 #define DEAF_MACHINES 20 /* fewer may fall silent by themselves */
 #define DEAF_MORE_S 2.0  /* beyond the silence that shows a cut zone */
 
-bool watch_deaf(int up, double newest_s, double report_s) {
-    return up >= DEAF_MACHINES && newest_s > watch_zone_silence(up, report_s) + DEAF_MORE_S;
+bool liveness_controller_isolated(int up, double newest_s, double report_s) {
+    return up >= DEAF_MACHINES && newest_s > liveness_zone_silence_s(up, report_s) + DEAF_MORE_S;
 }
 
-double watch_zone_silence(int machines, double report_s) {
+double liveness_zone_silence_s(int machines, double report_s) {
     /* So many machines are heard that often between them; five times that, and something is cut. */
     return machines < 4 ? 1e9 : MIN(report_s * 1.25 + 1, 1.5 + report_s * 5 / machines);
 }
@@ -91,14 +91,14 @@
 static bool zone_cut[SHARDS_MAX][SETTINGS_ZONES]; /* as of the last look */
 static struct timespec zone_back[SHARDS_MAX][SETTINGS_ZONES];
 
-bool watch_zone_cut(int k, const char *site) {
+bool liveness_zone_unreachable(int k, const char *site) {
     int z = settings_zone(cfg, site);
     return z >= 0 && membership_owns(k) && zone_cut[k][z];
 }
 
 /* How long the tasks of a machine in a cut zone may live on after it was last heard: a controller in there, if there is
  * one, answers it for as long as its last look at the store is good, and then its lease runs out. */
-double watch_zone_keeps(const char *site) {
+double liveness_zone_grace_s(const char *site) {
     bool inside = strcmp(cfg->area, site) == 0;
     for (int i = 0; i < cfg->n_seeds; i++) inside |= strcmp(cfg->seeds[i].area, site) == 0;
     return clock_to_seconds(cfg->lease) + (inside ? membership_read_validity_s() + 1 : 0);
@@ -118,7 +118,7 @@
         z[n].newest = MIN(z[n].newest, clock_seconds_since(m->last_heard));
     }
     for (int i = 0; i < cfg->n_zones; i++) {
-        bool cut = z[i].newest > watch_zone_silence(z[i].up, clock_to_seconds(cfg->heartbeat_interval));
+        bool cut = z[i].newest > liveness_zone_silence_s(z[i].up, clock_to_seconds(cfg->heartbeat_interval));
         if (zone_cut[k][i] != cut) log_info("share %d: zone %s is %s", k, cfg->zones[i], cut ? "silent" : "back");
         if (zone_cut[k][i] && !cut) zone_back[k][i] = clock_now();
         zone_cut[k][i] = cut;
@@ -136,7 +136,7 @@
 /* A machine of a cut zone. It may be back before its tasks' end; until then they run on. If it is not, their replicas
  * should find machines that have booted meanwhile. True: nothing is to be done about it yet. */
 static bool wait_for_zone(struct machine *m, const struct zone_watch *z) {
-    double keeps = watch_zone_keeps(m->zone), boot = m->type ? m->type->startup_s : 60;
+    double keeps = liveness_zone_grace_s(m->zone), boot = m->type ? m->type->startup_s : 60;
     if (z->newest >= keeps) return false;
     if (z->newest > MAX(5, keeps - 1.5 * boot - 5)) replicas_at_risk(m);
     bool runs = false;
@@ -148,7 +148,7 @@
     return runs || m->allocations->len == 0 || z->newest < 5;
 }
 
-bool watch_end_overdue(double ended_s, double reported_s, double lease_s, double cancel_s) {
+bool liveness_stop_overdue(double ended_s, double reported_s, double lease_s, double cancel_s) {
     /* Time for the record, the call and a few that go before it. One that has not reported for a lease has killed it.
      */
     double lead = MIN(MAX(4, (cancel_s - lease_s) / 4), (cancel_s - lease_s) / 2);
@@ -161,8 +161,8 @@
     for (guint i = 0; i < m->allocations->len; i++) {
         const struct allocation *b = m->allocations->pdata[i];
         if (!b->released && b->seen && b->job->state == JOB_CANCELLED &&
-            watch_end_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->last_heartbeat),
-                              clock_to_seconds(cfg->lease), clock_to_seconds(cfg->cancel)))
+            liveness_stop_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->last_heartbeat),
+                                  clock_to_seconds(cfg->lease), clock_to_seconds(cfg->cancel)))
             return true;
     }
     return false;
@@ -181,7 +181,7 @@
     return clock_seconds_since(m->faulty_since) > FAULTY_S;
 }
 
-void watch_machines(int k, const struct watch_hearing *hearing) {
+void liveness_check_machines(int k, const struct liveness_summary *hearing) {
     for (guint i = 0; i < jobs_active_of(k)->len; i++)
         ((struct job *)jobs_active_of(k)->pdata[i])->replicas_at_risk = 0;
     struct zone_watch zones[SETTINGS_ZONES];
@@ -210,7 +210,7 @@
         /* Two questions without an answer tell it sooner; only where a cut of the whole zone would have shown before.
          */
         if (m->unanswered_probes >= 2 && clock_seconds_since(m->last_heard) > UNANSWERED_S && z >= 0 &&
-            watch_zone_silence(zones[z].up, clock_to_seconds(cfg->heartbeat_interval)) < UNANSWERED_S - 1)
+            liveness_zone_silence_s(zones[z].up, clock_to_seconds(cfg->heartbeat_interval)) < UNANSWERED_S - 1)
             silent = true;
         if (m->up && m->unanswered_probes && !cut) replicas_at_risk(m);
         /* It reports, but nothing of what we answer reaches it: its lease runs out though it is not silent. */
@@ -271,7 +271,7 @@
 
 /* A controller that came back after a minute once took the silence of all its machines for theirs: the first that were
  * heard again made the others look silent alone. */
-void watch_forgive(void) {
+void liveness_reset_silence(void) {
     for (guint i = 0; i < machines_all()->len; i++) {
         struct machine *m = machines_all()->pdata[i];
         count_anew(&m->last_heard);
@@ -281,7 +281,7 @@
     }
 }
 
-void watch_init(const struct settings *s) {
+void liveness_init(const struct settings *s) {
     cfg = s;
     memset(zone_cut, 0, sizeof zone_cut);
     memset(zone_back, 0, sizeof zone_back);
--- a/src/watch/watch_test.c
+++ b/src/liveness/liveness_test.c
@@ -1,4 +1,4 @@
-#include "watch/watch.h"
+#include "liveness/liveness.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -16,7 +16,7 @@
         {4, 8, 10, 11.5},  {40, 8, 2, 3},     {400, 8, 1.5, 2}, {40, 3, 1.5, 2},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        double s = watch_zone_silence(rows[i].machines, rows[i].report_s);
+        double s = liveness_zone_silence_s(rows[i].machines, rows[i].report_s);
         if (s < rows[i].least || s > rows[i].most) fail_msg("row %zu: %.2f", i, s);
     }
 }
@@ -34,7 +34,8 @@
         {5.5, 0.1, 4, 8, false},     {6.5, 0.1, 4, 8, true}, /* short times leave half of the room at most */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        if (watch_end_overdue(rows[i].ended_s, rows[i].reported_s, rows[i].lease_s, rows[i].cancel_s) != rows[i].want)
+        if (liveness_stop_overdue(rows[i].ended_s, rows[i].reported_s, rows[i].lease_s, rows[i].cancel_s) !=
+            rows[i].want)
             fail_msg("row %zu", i);
 }
 
@@ -51,7 +52,8 @@
         {300, 4, 4, true},  {300, 2.5, 4, false}, {0, 1e9, 8, false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        if (watch_deaf(rows[i].up, rows[i].newest_s, rows[i].report_s) != rows[i].want) fail_msg("row %zu", i);
+        if (liveness_controller_isolated(rows[i].up, rows[i].newest_s, rows[i].report_s) != rows[i].want)
+            fail_msg("row %zu", i);
 }
 
 int main(void) {
--- a/src/stall/stall_test.c
+++ b/src/liveness/process_pause_test.c
@@ -1,5 +1,5 @@
 /* Which late ticks are a stop of the whole process. */
-#include "stall/stall.h"
+#include "liveness/process_pause.h"
 
 #include <glib.h>
 
@@ -18,7 +18,7 @@
         {"a clock that went back", -3, 0.25, 0, 0},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        double s = stall_length(rows[i].waited_s, rows[i].tick_s);
+        double s = process_pause_length(rows[i].waited_s, rows[i].tick_s);
         if (s < rows[i].least || s > rows[i].most) fail_msg("%s: %.2f s", rows[i].what, s);
     }
 }
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -11,12 +11,12 @@
 #include "../clock/clock.h"
 #include "../http/client.h"
 #include "../json/json.h"
+#include "../liveness/liveness.h"
 #include "../logging/logging.h"
 #include "../machines/machines.h"
 #include "../quota/quota.h"
 #include "../schema_version/schema_version.h"
 #include "../sync/sync.h"
-#include "../watch/watch.h"
 
 #define NODES_MOST 64
 
@@ -347,7 +347,7 @@
         bool try_again = my_workers_unreachable &&
                          clock_seconds_since(workers_unreachable_since) > membership_workers_retry_s(times_unreachable);
         store_unlock();
-        if (try_again && watch_try_workers(c)) {
+        if (try_again && liveness_probe_workers(c)) {
             store_lock();
             membership_set_workers_unreachable(false);
             store_unlock();
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -15,6 +15,7 @@
 #include "../failures/failures.h"
 #include "../http/client.h"
 #include "../json/json.h"
+#include "../liveness/liveness.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
@@ -22,7 +23,6 @@
 #include "../quota/quota.h"
 #include "../sync/sync.h"
 #include "../transfer/transfer.h"
-#include "../watch/watch.h"
 #include "../workers/workers.h"
 #include "round.h"
 
@@ -77,7 +77,7 @@
                          m->rebalance_to < 0 && m->preemption_notice_s < 0 && !m->needs_token_raise &&
                          !m->outcome_unknown && m->ignored_responses == 0 && !failures_machine_faulty(m) &&
                          m->seen_token >= machines_fencing_token(m) && clock_seconds_since(m->last_heartbeat) < quiet &&
-                         m->allocations->len < MACHINE_TASKS_MAX && !watch_zone_cut(k, m->zone);
+                         m->allocations->len < MACHINE_TASKS_MAX && !liveness_zone_unreachable(k, m->zone);
     }
 }
 
@@ -301,11 +301,11 @@
 
 /* A controller that hears none of its workers leaves its shards to others: at once where not one of many is heard in
  * any way, after a report interval where most don't report. */
-static void give_up_when_deaf(const struct watch_hearing *h, struct timespec *hearing) {
+static void give_up_when_deaf(const struct liveness_summary *h, struct timespec *hearing) {
     bool store_seen = clock_seconds_since(store_last_read()) <= STORE_SEEN_S;
     double heartbeat = clock_to_seconds(scheduler_settings->heartbeat_interval);
     if (h->up < 4 || h->reported * 10 >= h->up * 3 || !store_seen) *hearing = clock_now();
-    bool deaf = store_seen && watch_deaf(h->up, h->newest_s, heartbeat);
+    bool deaf = store_seen && liveness_controller_isolated(h->up, h->newest_s, heartbeat);
     if ((deaf || clock_seconds_since(*hearing) > heartbeat) && !membership_workers_unreachable())
         membership_set_workers_unreachable(true);
 }
@@ -322,11 +322,11 @@
         if (clock_seconds_since(watched) > 0.5) {
             watched = clock_now();
             store_lock();
-            struct watch_hearing h = watch_hearing();
+            struct liveness_summary h = liveness_summary();
             give_up_when_deaf(&h, &hearing);
             for (int k = 0; k < scheduler_settings->size; k++)
                 if (membership_owns(k) && membership_may_answer()) {
-                    watch_machines(k, &h);
+                    liveness_check_machines(k, &h);
                     scale_in_run(k, false);
                     scale_in_run(k, true);
                 }
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -13,11 +13,11 @@
 #include "autoscaler/scale_out.h"
 #include "clock/clock.h"
 #include "cloud/cloud.h"
+#include "liveness/liveness.h"
 #include "membership/membership.h"
 #include "placement/placement.h"
 #include "preempt/preempt.h"
 #include "transfer/transfer.h"
-#include "watch/watch.h"
 #include "workers/workers.h"
 
 static struct settings cfg;
@@ -241,14 +241,14 @@
             for (guint b = 0; b < all[n]->allocations->len; b++)
                 ((struct allocation *)all[n]->allocations->pdata[b])->seen = rows[i].seen;
         }
-        struct watch_hearing h = watch_hearing();
-        watch_machines(0, &h);
+        struct liveness_summary h = liveness_summary();
+        liveness_check_machines(0, &h);
         for (int n = 0; n < total; n++) back += all[n]->return_wanted;
         /* The zone's first machine is heard again: the others get the time to be. */
         bool grace = true;
         if (rows[i].silent == rows[i].here && rows[i].there && rows[i].seen && rows[i].want == 0) {
             all[0]->last_heard = all[0]->last_heartbeat = clock_now();
-            watch_machines(0, &h);
+            liveness_check_machines(0, &h);
             for (int n = 0; n < total; n++) grace &= !all[n]->return_wanted;
         }
         for (int n = 0; n < total; n++) all[n]->return_wanted = false;
@@ -257,7 +257,7 @@
         if (back != rows[i].want) fail_msg("%s: %d", rows[i].what, back);
         if (!grace) fail_msg("%s: returned when the zone was back", rows[i].what);
         /* What the watch remembers of zones must not reach into the next row. */
-        watch_init(&cfg);
+        liveness_init(&cfg);
     }
 }
 
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -15,6 +15,8 @@
 #include "../dependencies/dependencies.h"
 #include "../http/server.h"
 #include "../jobs/jobs.h"
+#include "../liveness/liveness.h"
+#include "../liveness/process_pause.h"
 #include "../logging/logging.h"
 #include "../machines/machines.h"
 #include "../membership/membership.h"
@@ -23,10 +25,8 @@
 #include "../quota/quota.h"
 #include "../scheduler/scheduler.h"
 #include "../schema_version/schema_version.h"
-#include "../stall/stall.h"
 #include "../store/store.h"
 #include "../transfer/transfer.h"
-#include "../watch/watch.h"
 #include "../workers/workers.h"
 
 static void on_request(struct http_request *r, void *ctx) {
@@ -68,7 +68,7 @@
     transfer_init(s);
     scale_out_init(s);
     scale_in_init(s);
-    watch_init(s);
+    liveness_init(s);
 }
 
 /* The platform's limit is the one to keep to: the process's own may be far lower by default. */
@@ -91,7 +91,7 @@
     scheduler_start();
     workers_start();
     cloud_start();
-    stall_start();
+    process_pause_start();
     return true;
 }
 
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -13,10 +13,10 @@
 #include "clock/clock.h"
 #include "cloud/cloud.h"
 #include "json/json.h"
+#include "liveness/liveness.h"
 #include "membership/membership.h"
 #include "peers/peers.h"
 #include "scheduler/scheduler.h"
-#include "watch/watch.h"
 
 static struct settings cfg;
 
