--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -8,9 +8,9 @@
 #include <string.h>
 
 #include "../clock/clock.h"
-#include "../failures/failures.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
+#include "../quarantine/quarantine.h"
 #include "../scheduler/scheduler.h"
 #include "../schema_version/schema_version.h"
 #include "../workers/workers.h"
@@ -125,7 +125,7 @@
     }
     char *done = j->reported_done && !final ? jobs_bits_text(j->reported_done, from, n) : NULL;
     bool any = done && strspn(done, "0") < strlen(done);
-    int failed_tries = chunk == 0 && !final ? failures_to_record(j) : 0;
+    int failed_tries = chunk == 0 && !final ? quarantine_recorded_tries(j) : 0;
     if (base == INT64_MAX && !any && !failed_tries) {
         g_free(done);
         return NULL;
@@ -186,7 +186,7 @@
         if (b->released) return true;
         live = true;
     }
-    if (chunk == 0 && j->failed_tries_recorded != failures_to_record(j)) return true;
+    if (chunk == 0 && j->failed_tries_recorded != quarantine_recorded_tries(j)) return true;
     if (j->reported_done && n > 0 && memcmp(j->done + from / 8, j->reported_done + from / 8, (size_t)(n + 7) / 8) != 0)
         return true;
     return j->state != JOB_QUEUED && !live && j->chunk_flags && (j->chunk_flags[chunk] & 1);
@@ -223,7 +223,7 @@
     if (done) jobs_done_bits(j, done, from, size);
     int64_t failed_tries = 0;
     json_get_int64(data, "e", &failed_tries);
-    if (chunk == 0) failures_read(j, (int)CLAMP(failed_tries, 0, INT32_MAX));
+    if (chunk == 0) quarantine_restore(j, (int)CLAMP(failed_tries, 0, INT32_MAX));
     int64_t base = 0, attempt;
     json_get_int64(data, "f", &base);
     struct allocation **at = g_new0(struct allocation *, (gsize)size);
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -11,12 +11,12 @@
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
-#include "../failures/failures.h"
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../provisioning/provisioning.h"
+#include "../quarantine/quarantine.h"
 #include "../workers/workers.h"
 
 static const struct settings *cfg;
@@ -173,7 +173,7 @@
 /* A machine on which different jobs fail has got no work since it showed; it goes unless the jobs prove to be at fault.
  */
 static bool faulty_for_long(struct machine *m) {
-    if (!failures_machine_faulty(m)) {
+    if (!quarantine_machine_faulty(m)) {
         m->faulty_since = (struct timespec){0, 0};
         return false;
     }
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -9,10 +9,10 @@
 
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
-#include "../failures/failures.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
+#include "../quarantine/quarantine.h"
 #include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
@@ -89,7 +89,7 @@
     g_ptr_array_free(m->allocations, TRUE);
     g_array_free(m->unknown_tasks, TRUE);
     g_hash_table_destroy(m->images);
-    failures_forget_machine(m);
+    quarantine_forget_machine(m);
     g_free(m);
 }
 
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-#include "../failures/failures.h"
+#include "../quarantine/quarantine.h"
 
 bool placement_fits(const struct machine *m, const struct job_spec *j) {
     const struct machine_type *f = m->type;
@@ -92,7 +92,7 @@
         if (j->spec.allows_spot) score += m->spot ? 40 : 0;
         if (g_hash_table_contains(m->images, j->spec.image)) score += 10;
         /* Where others have failed last, and where this job has, after these. */
-        score -= 60.0 * failures_of_machine(m) + (failures_known_on(j, m) ? 120.0 : 0);
+        score -= 60.0 * quarantine_machine_failures(m) + (quarantine_failed_on(j, m) ? 120.0 : 0);
         if (!best || score > best_score) {
             best = m;
             best_score = score;
--- a/src/failures/failures.c
+++ b/src/quarantine/quarantine.c
@@ -1,4 +1,4 @@
-#include "failures.h"
+#include "quarantine.h"
 
 #include <glib.h>
 #include <math.h>
@@ -15,11 +15,11 @@
 #define SOUND_RETRY_S 1.0  /* a job that is not suspect starts elsewhere after that, for each machine it failed on */
 #define TRIES_MOST 16      /* enough for the longest pause */
 
-double failures_retry_s(int tries) { return MIN(FAILURES_RETRY_MOST_S, exp2(CLAMP(tries, 1, TRIES_MOST))); }
+double quarantine_retry_s(int tries) { return MIN(QUARANTINE_RETRY_MAX_S, exp2(CLAMP(tries, 1, TRIES_MOST))); }
 
-bool failures_suspect(const struct job *j) { return j->failed_tries > 0; }
+bool quarantine_job_suspect(const struct job *j) { return j->failed_tries > 0; }
 
-bool failures_known_on(const struct job *j, const struct machine *m) {
+bool quarantine_failed_on(const struct job *j, const struct machine *m) {
     for (guint i = 0; j->failed_on && i < j->failed_on->len; i++)
         if (strcmp(j->failed_on->pdata[i], m->id) == 0) return true;
     return false;
@@ -27,7 +27,8 @@
 
 static void remember(struct job *j, struct machine *m) {
     if (!j->failed_on) j->failed_on = g_ptr_array_new_with_free_func(g_free);
-    if (!failures_known_on(j, m) && j->failed_on->len < EVIDENCE_MOST) g_ptr_array_add(j->failed_on, g_strdup(m->id));
+    if (!quarantine_failed_on(j, m) && j->failed_on->len < EVIDENCE_MOST)
+        g_ptr_array_add(j->failed_on, g_strdup(m->id));
     if (!m->failed_jobs) m->failed_jobs = g_ptr_array_new();
     if (!g_ptr_array_find(m->failed_jobs, j, NULL) && m->failed_jobs->len < EVIDENCE_MOST)
         g_ptr_array_add(m->failed_jobs, j);
@@ -36,24 +37,24 @@
 /* A try may be one task or a whole gang, and a job's first failures come by the dozen: those that come while the job
  * waits already are of the same try. */
 static void count_try(struct job *j) {
-    if (failures_suspect(j) && clock_seconds_since(j->retry_at) < 0) return;
+    if (quarantine_job_suspect(j) && clock_seconds_since(j->retry_at) < 0) return;
     j->failed_tries = MIN(j->failed_tries + 1, TRIES_MOST);
-    j->retry_at = clock_instant_in(clock_from_seconds(failures_retry_s(j->failed_tries)));
+    j->retry_at = clock_instant_in(clock_from_seconds(quarantine_retry_s(j->failed_tries)));
     jobs_mark_dirty(j, 0); /* the first record of its allocations says so */
     log_info("job %s: fails wherever it runs, trying it again in %.0f s", j->spec.job_id,
-             failures_retry_s(j->failed_tries));
+             quarantine_retry_s(j->failed_tries));
 }
 
-void failures_note(struct job *j, struct machine *m) {
+void quarantine_record_failure(struct job *j, struct machine *m) {
     remember(j, m);
     bool anything_done = j->n_reported_done > 0;
-    if (failures_suspect(j) || (j->failed_on->len >= SUSPECT_MACHINES && !anything_done))
+    if (quarantine_job_suspect(j) || (j->failed_on->len >= SUSPECT_MACHINES && !anything_done))
         count_try(j);
     else
         j->retry_at = clock_instant_in(clock_from_seconds(SOUND_RETRY_S * j->failed_on->len));
 }
 
-void failures_note_success(struct job *j) {
+void quarantine_record_success(struct job *j) {
     if (!j->failed_on && !j->failed_tries) return;
     if (j->failed_tries) {
         log_info("job %s: runs after all", j->spec.job_id);
@@ -64,23 +65,24 @@
     if (j->failed_on) g_ptr_array_set_size(j->failed_on, 0);
 }
 
-int failures_of_machine(const struct machine *m) {
+int quarantine_machine_failures(const struct machine *m) {
     int n = 0;
-    for (guint i = 0; m->failed_jobs && i < m->failed_jobs->len; i++) n += !failures_suspect(m->failed_jobs->pdata[i]);
+    for (guint i = 0; m->failed_jobs && i < m->failed_jobs->len; i++)
+        n += !quarantine_job_suspect(m->failed_jobs->pdata[i]);
     return n;
 }
 
-bool failures_machine_faulty(const struct machine *m) { return failures_of_machine(m) >= FAULTY_JOBS; }
+bool quarantine_machine_faulty(const struct machine *m) { return quarantine_machine_failures(m) >= FAULTY_JOBS; }
 
-int failures_to_record(const struct job *j) { return j->state == JOB_QUEUED ? j->failed_tries : 0; }
+int quarantine_recorded_tries(const struct job *j) { return j->state == JOB_QUEUED ? j->failed_tries : 0; }
 
-void failures_read(struct job *j, int recorded) {
+void quarantine_restore(struct job *j, int recorded) {
     j->failed_tries_recorded = CLAMP(recorded, 0, TRIES_MOST);
     /* What its owner knows may be newer than what is on record; all others know no more than the record. */
     if (!membership_owns(jobs_shard(j))) j->failed_tries = j->failed_tries_recorded;
 }
 
-void failures_forget_machine(struct machine *m) {
+void quarantine_forget_machine(struct machine *m) {
     if (m->failed_jobs) g_ptr_array_free(m->failed_jobs, TRUE);
     m->failed_jobs = NULL;
 }
--- a/src/failures/failures_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -1,5 +1,5 @@
 /* Who is at fault when tasks fail: the job, the machine, or neither yet. */
-#include "failures/failures.h"
+#include "quarantine/quarantine.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -60,12 +60,12 @@
         for (const char *p = rows[r].steps; *p; p += strcspn(p, " "), p += strspn(p, " ")) {
             struct job *j = jobs[p[0] - '0'];
             if (p[1] == '+')
-                failures_note_success(j);
+                quarantine_record_success(j);
             else
-                failures_note(j, machines[p[1] - 'a']);
+                quarantine_record_failure(j, machines[p[1] - 'a']);
         }
-        bool suspect = failures_suspect(jobs[0]), faulty = failures_machine_faulty(machines[0]);
-        int count = failures_of_machine(machines[0]);
+        bool suspect = quarantine_job_suspect(jobs[0]), faulty = quarantine_machine_faulty(machines[0]);
+        int count = quarantine_machine_failures(machines[0]);
         owned_clear();
         if (suspect != rows[r].suspect) fail_msg("%s: suspect is %d", rows[r].what, suspect);
         if (faulty != rows[r].faulty) fail_msg("%s: faulty is %d", rows[r].what, faulty);
@@ -78,12 +78,12 @@
     (void)state;
     double before = 0;
     for (int tries = 1; tries < 1000; tries++) {
-        double pause = failures_retry_s(tries);
-        assert_true(pause >= before && pause <= FAILURES_RETRY_MOST_S);
+        double pause = quarantine_retry_s(tries);
+        assert_true(pause >= before && pause <= QUARANTINE_RETRY_MAX_S);
         before = pause;
     }
-    assert_true(before >= FAILURES_RETRY_MOST_S);
-    assert_true(failures_retry_s(1) <= 2);
+    assert_true(before >= QUARANTINE_RETRY_MAX_S);
+    assert_true(quarantine_retry_s(1) <= 2);
 }
 
 /* A suspect job is tried with one task, after its pause, behind all others, and rents and stops nothing. */
@@ -91,7 +91,7 @@
     (void)state;
     store_lock();
     begin("batch", 30);
-    for (int i = 0; i < MACHINES; i++) failures_note(jobs[0], machines[i]);
+    for (int i = 0; i < MACHINES; i++) quarantine_record_failure(jobs[0], machines[i]);
     struct scheduling_round *waiting = scheduler_decide(0, 20);
     int planned_waiting = scheduler_planned_tasks(waiting, jobs[0]->spec.job_id);
     scheduler_round_free(waiting);
@@ -120,9 +120,9 @@
     store_lock();
     begin("batch", 30);
     struct job *j = jobs[0];
-    failures_note(j, machines[0]);
+    quarantine_record_failure(j, machines[0]);
     assert_null(allocations_value(j, 0, allocations_chunk_size(j), NULL, false));
-    failures_note(j, machines[1]);
+    quarantine_record_failure(j, machines[1]);
     assert_true(allocations_chunk_dirty(j, 0));
     cJSON *value = allocations_value(j, 0, allocations_chunk_size(j), NULL, false);
     int64_t tries = 0;
@@ -165,9 +165,9 @@
     for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
         store_lock();
         begin("batch", 5);
-        for (int i = 0; i < 2; i++) failures_note(jobs[i], machines[0]);
+        for (int i = 0; i < 2; i++) quarantine_record_failure(jobs[i], machines[0]);
         liveness_check_machines(0, &all_heard);
-        for (int i = 0; rows[r].elsewhere && i < 2; i++) failures_note(jobs[i], machines[1]);
+        for (int i = 0; rows[r].elsewhere && i < 2; i++) quarantine_record_failure(jobs[i], machines[1]);
         if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[r].s;
         scheduler_prepare_machines(0);
         bool open = machines[0]->schedulable;
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -7,8 +7,8 @@
 
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
-#include "../failures/failures.h"
 #include "../logging/logging.h"
+#include "../quarantine/quarantine.h"
 #include "../scheduler/scheduler.h"
 
 #define DEMANDS_MOST 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
@@ -93,8 +93,8 @@
     if (clock_seconds_since(j->retry_at) < 0) return 0;
     if (j->spec.kind == JOB_GANG && allocations_count(j) > 0)
         return scheduler_open_gang_attempt(j) ? scheduler_missing_tasks(j) : 0;
-    return failures_suspect(j) && j->spec.kind != JOB_GANG ? MIN(scheduler_missing_tasks(j), 1)
-                                                           : scheduler_missing_tasks(j);
+    return quarantine_job_suspect(j) && j->spec.kind != JOB_GANG ? MIN(scheduler_missing_tasks(j), 1)
+                                                                 : scheduler_missing_tasks(j);
 }
 
 void quota_look(struct quota_team *t) {
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -12,7 +12,6 @@
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../dependencies/dependencies.h"
-#include "../failures/failures.h"
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../liveness/liveness.h"
@@ -20,6 +19,7 @@
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
+#include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "../sync/sync.h"
 #include "../transfer/transfer.h"
@@ -75,7 +75,7 @@
         }
         m->schedulable = m->up && m->page >= 0 && m->type && !machines_leaving(m) && !m->draining &&
                          m->rebalance_to < 0 && m->preemption_notice_s < 0 && !m->needs_token_raise &&
-                         !m->outcome_unknown && m->ignored_responses == 0 && !failures_machine_faulty(m) &&
+                         !m->outcome_unknown && m->ignored_responses == 0 && !quarantine_machine_faulty(m) &&
                          m->seen_token >= machines_fencing_token(m) && clock_seconds_since(m->last_heartbeat) < quiet &&
                          m->allocations->len < MACHINE_TASKS_MAX && !liveness_zone_unreachable(k, m->zone);
     }
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -9,9 +9,9 @@
 
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
-#include "../failures/failures.h"
 #include "../logging/logging.h"
 #include "../preempt/preempt.h"
+#include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "round.h"
 
@@ -119,7 +119,7 @@
 #define PREEMPT_AGAIN_S 3 /* time for what was stopped to make way */
 
 static bool may_preempt(const struct job *j, bool within) {
-    return (within || j->priority > PRIORITY_IDLE) && !failures_suspect(j) &&
+    return (within || j->priority > PRIORITY_IDLE) && !quarantine_job_suspect(j) &&
            clock_seconds_since(j->preempted_at) > PREEMPT_AGAIN_S;
 }
 
@@ -210,7 +210,7 @@
     int booked = allocations_count(j);
     if (booked == 0) {
         if (j->n_reported_done == j->spec.tasks || plan_gang(r, j, room, rules, u)) return false;
-        if (failures_suspect(j)) return true;
+        if (quarantine_job_suspect(j)) return true;
         int now, with;
         const char *zone = preempt_gang_zone(j, within, mine, &now, &with);
         if (with < j->spec.tasks && j->zone) zone = j->zone;
@@ -296,7 +296,7 @@
 static void mark_unplaced(int k, const GArray *order, guint from, const int *missing, struct free_room free) {
     for (guint i = from; i < order->len; i++) {
         struct job *j = g_array_index(order, struct ranked_job, i).j;
-        if (missing[i] <= 0 || waits_to_retry(j) || failures_suspect(j)) continue;
+        if (missing[i] <= 0 || waits_to_retry(j) || quarantine_job_suspect(j)) continue;
         take_free(&free, j, missing[i]);
         j->unplaced = free.cpu < 0 || free.gpu < 0;
         shard_states[k].fit_nowhere |= j->unplaced;
@@ -306,7 +306,7 @@
 /* Of a job that fails wherever it runs one task at a time is tried, or the gang that it is. */
 static int tasks_to_place(const struct job *j) {
     int missing = scheduler_missing_tasks(j);
-    if (!failures_suspect(j) || j->spec.kind == JOB_GANG) return missing;
+    if (!quarantine_job_suspect(j) || j->spec.kind == JOB_GANG) return missing;
     return allocations_count(j) > 0 ? 0 : MIN(missing, 1);
 }
 
@@ -345,7 +345,7 @@
         take_free(&free, j, missing[i]);
         guint before = r->plans->len;
         if (!may_preempt(j, within) && surely_no_room(&none, &j->spec)) {
-            j->unplaced = !failures_suspect(j);
+            j->unplaced = !quarantine_job_suspect(j);
             shard_states[k].fit_nowhere |= j->unplaced;
             continue;
         }
@@ -354,7 +354,7 @@
         jobs_planned += r->plans->len > before;
         held_back[j->spec.team] |= quota_gathers(j);
         if (j->unplaced) note_no_room(&none, &j->spec);
-        if (failures_suspect(j)) j->unplaced = false; /* it waits for room, and has none rented */
+        if (quarantine_job_suspect(j)) j->unplaced = false; /* it waits for room, and has none rented */
         if (j->unplaced) shard_states[k].fit_nowhere = true;
     }
     /* Only what stays planned is written: a gang's tries that came to nothing are not. */
--- a/src/scheduler/priority.c
+++ b/src/scheduler/priority.c
@@ -6,7 +6,7 @@
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../dependencies/dependencies.h"
-#include "../failures/failures.h"
+#include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "round.h"
 
@@ -63,7 +63,7 @@
 static int rank_order(gconstpointer a, gconstpointer b) {
     const struct ranked_job *x = a, *y = b;
     /* What fails wherever it runs delays nobody. */
-    bool x_suspect = failures_suspect(x->j), y_suspect = failures_suspect(y->j);
+    bool x_suspect = quarantine_job_suspect(x->j), y_suspect = quarantine_job_suspect(y->j);
     if (x_suspect != y_suspect) return y_suspect ? -1 : 1;
     if (x->within != y->within) return x->within ? -1 : 1;
     if (x->j->priority != y->j->priority) return x->j->priority > y->j->priority ? -1 : 1;
@@ -93,12 +93,12 @@
         if (j->spec.team < 0 || dependencies_unmet(j)) continue;
         if (filter->team >= 0 && j->spec.team != filter->team) continue;
         const struct settings_team *t = &scheduler_settings->teams[j->spec.team];
-        int left = failures_suspect(j) ? allocations_count(j) : j->spec.tasks - j->n_reported_done;
+        int left = quarantine_job_suspect(j) ? allocations_count(j) : j->spec.tasks - j->n_reported_done;
         cpu[j->spec.team] += left * j->spec.vcpus;
         gpu[j->spec.team] += left * j->spec.gpus;
         if (!asked_for(filter, j)) continue;
         struct ranked_job r = {j,
-                               scheduler_has_guarantee(t) && !failures_suspect(j) &&
+                               scheduler_has_guarantee(t) && !quarantine_job_suspect(j) &&
                                    (t->cpus <= 0 || cpu[j->spec.team] <= t->cpus + 1e-6) &&
                                    (t->gpus <= 0 || gpu[j->spec.team] <= t->gpus + 1e-6),
                                MIN(due_of(j, now), j->deadline)};
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -8,11 +8,11 @@
 #include "../autoscaler/scale_out.h"
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
-#include "../failures/failures.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
+#include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "../scheduler/scheduler.h"
 
@@ -94,7 +94,8 @@
     GArray *order = scheduler_order_jobs(s);
     for (guint i = 0; i < order->len && !found; i++) {
         struct job *j = g_array_index(order, struct ranked_job, i).j;
-        if (j->spec.allows_spot != reclaimable || failures_suspect(j) || clock_seconds_since(j->eligible_since) < 0.4)
+        if (j->spec.allows_spot != reclaimable || quarantine_job_suspect(j) ||
+            clock_seconds_since(j->eligible_since) < 0.4)
             continue;
         /* A dear machine that nobody needs is given back rather than kept for work that nobody expects by a time. */
         if (reclaimable && !scheduler_has_objective(j)) continue;
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -7,10 +7,10 @@
 #include <string.h>
 
 #include "../clock/clock.h"
-#include "../failures/failures.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../provisioning/provisioning.h"
+#include "../quarantine/quarantine.h"
 #include "../scheduler/scheduler.h"
 #include "internal.h"
 
@@ -37,7 +37,7 @@
     if (cause && strcmp(cause, "done") == 0) {
         if (j->state == JOB_QUEUED) {
             jobs_mark_done(j, b->task);
-            failures_note_success(j);
+            quarantine_record_success(j);
         }
         return;
     }
@@ -45,7 +45,7 @@
     if (!cause || j->state != JOB_QUEUED) return;
     if (strcmp(cause, "error") == 0) {
         log_info("task %s/%d failed on machine %s", j->spec.job_id, b->task, b->m->id);
-        failures_note(j, b->m);
+        quarantine_record_failure(j, b->m);
     } else if (strcmp(cause, "unknown") == 0) {
         j->retry_at = clock_instant_in(clock_from_seconds(3));
     } else if (strcmp(cause, "no_room") == 0 || strcmp(cause, "busy") == 0) {
@@ -171,7 +171,7 @@
     if (state == TASK_RUNNING && b->state != state) log_start(b, task);
     b->state = state;
     if (state == TASK_RUNNING && b->job->spec.kind == JOB_SERVICE && clock_seconds_since(b->state_since) > PROVEN_S)
-        failures_note_success(b->job);
+        quarantine_record_success(b->job);
     if ((state == TASK_RUNNING || state == TASK_GATHERING) && b->job->spec.image)
         g_hash_table_add(b->m->images, g_strdup(b->job->spec.image));
     if (state != TASK_ENDED || b->released) return false;
