--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -10,7 +10,7 @@
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
-#include "../preempt/preempt.h"
+#include "../preemption/preemption.h"
 #include "../provisioning/provisioning.h"
 #include "../scheduler/scheduler.h"
 
@@ -39,7 +39,7 @@
     for (guint b = 0; b < m->allocations->len; b++) {
         struct allocation *x = m->allocations->pdata[b];
         const struct job_spec *s = &x->job->spec;
-        if (!x->stop_requested && preempt_fresh_start(x)) return;
+        if (!x->stop_requested && preemption_recently_started(x)) return;
         if (x->stop_requested || (s->kind == JOB_ARRAY && s->checkpoint_s > 0)) continue;
         struct machine *to = s->kind == JOB_SERVICE && x->state == TASK_RUNNING ? replica_target(x) : NULL;
         if (!to) return;
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -15,8 +15,8 @@
 #include "../placement/placement.h"
 #include "../provisioning/provisioning.h"
 #include "../quota/quota.h"
+#include "../rebalancing/rebalancing.h"
 #include "../scheduler/scheduler.h"
-#include "../transfer/transfer.h"
 
 static const struct settings *cfg;
 
@@ -208,7 +208,7 @@
     }
     for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
         const struct machine *m = machines_all()->pdata[i];
-        if (m->shard == p->shard || m->shard < 0 || !transfer_possible(m) || m->rebalance_to >= 0) continue;
+        if (m->shard == p->shard || m->shard < 0 || !rebalancing_possible(m) || m->rebalance_to >= 0) continue;
         guint before = p->vms->len;
         planned_machine_add(p->vms, m->type_name, m->zone, false);
         if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).foreign = true;
--- a/src/preempt/preempt.c
+++ b/src/preemption/preemption.c
@@ -1,4 +1,4 @@
-#include "preempt.h"
+#include "preemption.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -11,7 +11,7 @@
 
 static const struct settings *cfg;
 
-bool preempt_quota_left(const struct preempt_usage *u, const struct job *j, int tasks) {
+bool preemption_quota_left(const struct team_usage *u, const struct job *j, int tasks) {
     const struct quota_bound most = quota_bound(j->spec.team, jobs_shard(j));
     return u->cpu + tasks * j->spec.vcpus <= most.vcpus + 1e-6 && u->gpu + tasks * j->spec.gpus <= most.gpus + 1e-6;
 }
@@ -19,7 +19,7 @@
 static double held_gpus[SETTINGS_TEAMS], held_cpus[SETTINGS_TEAMS];
 
 /* Counted once a round: asked for every task on every machine, it once took most of a round's time. */
-void preempt_refresh(void) {
+void preemption_refresh(void) {
     GPtrArray *jobs = jobs_active();
     for (int i = 0; i < cfg->n_teams; i++) held_gpus[i] = held_cpus[i] = 0;
     for (guint i = 0; i < jobs->len; i++) {
@@ -31,7 +31,7 @@
 }
 
 /* What a team holds beyond its guarantee, in GPUs (or CPUs where only those are guaranteed). */
-double preempt_beyond(int team) {
+double preemption_over_guarantee(int team) {
     if (team < 0) return 0;
     const struct settings_team *t = &cfg->teams[team];
     return t->gpus > 0 || t->cpus <= 0 ? held_gpus[team] - t->gpus : held_cpus[team] - t->cpus;
@@ -40,15 +40,16 @@
 /* A task may be stopped for a job of higher rank, or, to give a team its guarantee, where its own team is
  * beyond its. The claim holds only while the claiming team is below its guarantee and the other stays at or
  * above: two teams that each had some work beyond once stopped one another's tasks for minutes. */
-bool preempt_evictable(const struct allocation *x, const struct job *j, bool within) {
+bool preemption_evictable(const struct allocation *x, const struct job *j, bool within) {
     if (x->released || x->stop_requested || x->job->spec.kind != JOB_ARRAY) return false;
     if (x->job->priority < j->priority) return true;
-    return within && x->job->spec.team != j->spec.team && preempt_beyond(j->spec.team) + j->spec.gpus <= 1e-6 &&
-           preempt_beyond(x->job->spec.team) >= MAX(x->job->spec.gpus, 1e-3) && quota_may_be_stopped(x);
+    return within && x->job->spec.team != j->spec.team &&
+           preemption_over_guarantee(j->spec.team) + j->spec.gpus <= 1e-6 &&
+           preemption_over_guarantee(x->job->spec.team) >= MAX(x->job->spec.gpus, 1e-3) && quota_may_be_stopped(x);
 }
 
 /* A task stopped soon after its start counts as never started to its user. */
-bool preempt_fresh_start(const struct allocation *b) {
+bool preemption_recently_started(const struct allocation *b) {
     return b->state == TASK_UNSEEN || b->state == TASK_FETCHING ||
            (b->state == TASK_RUNNING && clock_seconds_since(b->state_since) < 32);
 }
@@ -56,11 +57,11 @@
 /* Stops lower-ranked tasks on one machine so that a task of the job fits there; the machine that already has the
  * image comes first, then the one that loses least. The room goes to the job in the round after their release, since
  * it is ranked before them. */
-bool preempt_for(struct job *j, bool within, GPtrArray *mine, const char *zone, const struct preempt_usage *u) {
+bool preemption_make_room(struct job *j, bool within, GPtrArray *mine, const char *zone, const struct team_usage *u) {
     struct machine *best = NULL;
     double best_cost = 0;
     const struct machine_type *f;
-    if (!preempt_quota_left(&u[j->spec.team], j, 1)) return false;
+    if (!preemption_quota_left(&u[j->spec.team], j, 1)) return false;
     for (guint i = 0; i < mine->len; i++) {
         struct machine *m = mine->pdata[i];
         const char *together = placement_site(j);
@@ -70,11 +71,11 @@
         double cpu = m->used_cpu, gpu = m->used_gpu, mem = m->used_mem, cost = 0;
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
-            if (!preempt_evictable(x, j, within)) continue;
+            if (!preemption_evictable(x, j, within)) continue;
             cpu -= x->job->spec.vcpus;
             gpu -= x->job->spec.gpus;
             mem -= x->job->spec.memory_gb;
-            cost += preempt_fresh_start(x) ? 3 : 1;
+            cost += preemption_recently_started(x) ? 3 : 1;
         }
         if (cpu + j->spec.vcpus > f->vcpus + 1e-6 || gpu + j->spec.gpus > f->gpus + 1e-6 ||
             mem + j->spec.memory_gb > f->memory_gb + 1e-6)
@@ -92,7 +93,8 @@
     for (guint n = 2 * best->allocations->len; n-- > 0;) {
         struct allocation *x = best->allocations->pdata[n % best->allocations->len];
         if (placement_fits(best, &j->spec)) break;
-        if (!preempt_evictable(x, j, within) || (n >= best->allocations->len && preempt_fresh_start(x))) continue;
+        if (!preemption_evictable(x, j, within) || (n >= best->allocations->len && preemption_recently_started(x)))
+            continue;
         quota_stopped(x);
         x->stop_requested = true;
         x->grace_s = x->job->spec.checkpoint_s > 0 && x->job->spec.checkpoint_flush_s + 1 < quick
@@ -113,11 +115,11 @@
     return n < 0 ? 0 : (int)MIN(n, 1e6);
 }
 
-int preempt_times(const struct machine *m, const struct job_spec *s) {
+int preemption_tasks_that_fit(const struct machine *m, const struct job_spec *s) {
     return times(m->type->vcpus - m->used_cpu, m->type->gpus - m->used_gpu, m->type->memory_gb - m->used_mem, s);
 }
 
-const char *preempt_gang_zone(const struct job *j, bool within, GPtrArray *mine, int *now, int *with) {
+const char *preemption_gang_zone(const struct job *j, bool within, GPtrArray *mine, int *now, int *with) {
     int here[SETTINGS_ZONES] = {0}, could[SETTINGS_ZONES] = {0}, zones = j->spec.single_zone ? cfg->n_zones : 1,
         best = 0;
     for (guint i = 0; i < mine->len; i++) {
@@ -132,7 +134,7 @@
         for (guint b = 0; b < m->allocations->len; b++) {
             const struct allocation *x = m->allocations->pdata[b];
             /* What is stopping already makes way, too. */
-            if (x->released || !(x->stop_requested || preempt_evictable(x, j, within))) continue;
+            if (x->released || !(x->stop_requested || preemption_evictable(x, j, within))) continue;
             cpu += x->job->spec.vcpus;
             gpu += x->job->spec.gpus;
             mem += x->job->spec.memory_gb;
@@ -150,9 +152,9 @@
 }
 
 /* Whether a fetch would make the job miss the wait that its users accept. */
-bool preempt_fetch_too_slow(const struct job *j, const struct machine *m) {
+bool preemption_fetch_too_slow(const struct job *j, const struct machine *m) {
     return !g_hash_table_contains(m->images, j->spec.image) && m->type &&
            j->spec.image_gb / MAX(m->type->fetch_rate, 1e-3) > settings_within(cfg, AIM_WAIT, j->spec.job_class, 1e9);
 }
 
-void preempt_init(const struct settings *s) { cfg = s; }
+void preemption_init(const struct settings *s) { cfg = s; }
--- a/src/transfer/transfer.c
+++ b/src/rebalancing/rebalancing.c
@@ -1,4 +1,4 @@
-#include "transfer.h"
+#include "rebalancing.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -11,7 +11,7 @@
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
-#include "../preempt/preempt.h"
+#include "../preemption/preemption.h"
 #include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "../scheduler/scheduler.h"
@@ -19,7 +19,7 @@
 static const struct settings *cfg;
 
 /* An ordinary machine whose tasks would all make way. */
-bool transfer_possible(const struct machine *m) {
+bool rebalancing_possible(const struct machine *m) {
     if (m->spot || machines_leaving(m) || m->preemption_notice_s >= 0 || !m->address[0]) return false;
     for (guint b = 0; b < m->allocations->len; b++) {
         const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
@@ -30,7 +30,7 @@
 
 /* Not in a round that allocates on it or releases from it: the plan is not in its list yet. A machine was once passed
  * together with a task of its old shard's, which then counted nowhere against the team's limit. */
-bool transfer_allowed(const struct machine *m) {
+bool rebalancing_allowed(const struct machine *m) {
     return m->rebalance_to >= 0 && m->allocations->len == 0 && m->page >= 0 && !m->dirty && !m->outcome_unknown &&
            !m->command_in_flight && !m->needs_token_raise && !m->return_wanted && !m->returning &&
            !m->released_by_cloud;
@@ -102,7 +102,7 @@
         const struct settings_team *t = &cfg->teams[j->spec.team];
         int left = scheduler_missing_tasks(j), tasks = j->spec.kind == JOB_ARRAY ? 1 : left;
         if (left <= 0 || !quota_waits_for_machines(j, tasks) ||
-            (t->gpus_max > 0 && preempt_beyond(j->spec.team) + t->gpus + tasks * j->spec.gpus > t->gpus_max))
+            (t->gpus_max > 0 && preemption_over_guarantee(j->spec.team) + t->gpus + tasks * j->spec.gpus > t->gpus_max))
             continue;
         if (!takes_all(vms, j, left)) {
             found = j;
@@ -160,10 +160,11 @@
         if (j->spec.allows_spot && !within && !m->spot && !m->draining) continue;
         if (j->spec.allows_spot && m->allocations->len == 0 && shard_states[k].fit_nowhere && !within) continue;
         bool all = true;
-        for (guint b = 0; b < m->allocations->len; b++) all &= preempt_evictable(m->allocations->pdata[b], j, within);
+        for (guint b = 0; b < m->allocations->len; b++)
+            all &= preemption_evictable(m->allocations->pdata[b], j, within);
         if (!all || !quota_may_be_cleared(m, j->priority)) continue;
         double cost = m->allocations->len * 2.0;
-        for (guint b = 0; b < m->allocations->len; b++) cost += preempt_fresh_start(m->allocations->pdata[b]);
+        for (guint b = 0; b < m->allocations->len; b++) cost += preemption_recently_started(m->allocations->pdata[b]);
         cost += (g_hash_table_contains(m->images, j->spec.image) ? 0 : 3);
         if (best && cost >= best_cost) continue;
         best = m;
@@ -172,7 +173,7 @@
     return best;
 }
 
-void transfer_plan(int k) {
+void rebalancing_plan(int k) {
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
         if (m->rebalance_to >= 0 && clock_seconds_since(m->rebalance_since) > 12) m->rebalance_to = -1;
@@ -201,4 +202,4 @@
     }
 }
 
-void transfer_init(const struct settings *s) { cfg = s; }
+void rebalancing_init(const struct settings *s) { cfg = s; }
--- a/src/scheduler/commit_pages.c
+++ b/src/scheduler/commit_pages.c
@@ -9,7 +9,7 @@
 #include "../clock/clock.h"
 #include "../json/json.h"
 #include "../membership/membership.h"
-#include "../transfer/transfer.h"
+#include "../rebalancing/rebalancing.h"
 #include "round.h"
 
 /* What is to be done with each page of a shard in a round. */
@@ -47,7 +47,7 @@
 static void plan_machine(struct machine *m, struct page_plan *p) {
     int page = m->next_page >= 0 ? m->next_page : m->page;
     if (page < 0 || page >= MACHINE_PAGES_MAX || p->large[page]) return;
-    bool pass = transfer_allowed(m);
+    bool pass = rebalancing_allowed(m);
     if (pass || m->needs_token_raise) {
         int writes = pass + ((p->need[page] & PAGE_RAISE) == 0);
         if (p->raise_writes + writes <= scheduler_settings->txn_ops) {
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -18,11 +18,11 @@
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
-#include "../preempt/preempt.h"
+#include "../preemption/preemption.h"
 #include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
+#include "../rebalancing/rebalancing.h"
 #include "../sync/sync.h"
-#include "../transfer/transfer.h"
 #include "../workers/workers.h"
 #include "round.h"
 
@@ -114,7 +114,7 @@
         }
     g_hash_table_destroy(written);
     if (r->writes_left > 0) scheduling_round_plan_jobs(r, k);
-    transfer_plan(k);
+    rebalancing_plan(k);
     if (r->writes_left > 0) scheduling_round_commit_pages(r, k);
     for (guint i = 0; i < r->plans->len; i++) {
         struct job *j = g_array_index(r->plans, struct placement_plan, i).j;
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -10,7 +10,7 @@
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../logging/logging.h"
-#include "../preempt/preempt.h"
+#include "../preemption/preemption.h"
 #include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "round.h"
@@ -18,7 +18,7 @@
 static int64_t next_attempt(int k) { return shard_states[k].fencing_token * 1048576 + ++shard_states[k].next; }
 
 static void plan_task(struct scheduling_round *r, struct machine *m, struct job *j, int task, int64_t attempt,
-                      struct preempt_usage *u) {
+                      struct team_usage *u) {
     struct placement_plan p = {m, j, task, attempt};
     g_array_append_val(r->plans, p);
     placement_take(m, &j->spec, 1);
@@ -28,12 +28,12 @@
 
 /* A gang: all of it or nothing, in one zone if it asks for that. */
 static bool plan_gang(struct scheduling_round *r, struct job *j, GPtrArray *mine, const struct placement_rules *rules,
-                      struct preempt_usage *u) {
-    if (!preempt_quota_left(&u[j->spec.team], j, j->spec.tasks)) return true;
+                      struct team_usage *u) {
+    if (!preemption_quota_left(&u[j->spec.team], j, j->spec.tasks)) return true;
     for (int z = 0; z < (j->spec.single_zone ? scheduler_settings->n_zones : 1); z++) {
         const char *zone = j->spec.single_zone ? scheduler_settings->zones[z] : NULL;
         guint from = r->plans->len;
-        struct preempt_usage before = u[j->spec.team];
+        struct team_usage before = u[j->spec.team];
         int64_t attempt = next_attempt(r->shard);
         int t;
         for (t = 0; t < j->spec.tasks; t++) {
@@ -81,12 +81,12 @@
 
 /* Replaces what a gang lost before its start, so that the others need not fetch and wait again. */
 static bool replace_gang_tasks(struct scheduling_round *r, struct job *j, GPtrArray *mine,
-                               const struct placement_rules *rules, struct preempt_usage *u) {
+                               const struct placement_rules *rules, struct team_usage *u) {
     int64_t attempt = scheduler_open_gang_attempt(j);
     int missing = j->spec.tasks - allocations_count(j);
-    if (!attempt || !preempt_quota_left(&u[j->spec.team], j, missing)) return false;
+    if (!attempt || !preemption_quota_left(&u[j->spec.team], j, missing)) return false;
     guint from = r->plans->len;
-    struct preempt_usage before = u[j->spec.team];
+    struct team_usage before = u[j->spec.team];
     uint8_t *booked = allocations_task_bits(j);
     bool replaced = true;
     for (int t = 0; t < j->spec.tasks && replaced; t++) {
@@ -151,10 +151,10 @@
 #define PREEMPTIONS_MOST 32 /* tasks that a round makes room for, of one job */
 
 /* Makes lower work make way for tasks of the job; true if any does. */
-static bool make_way(struct job *j, bool within, int tasks, GPtrArray *mine, const struct preempt_usage *u) {
+static bool make_way(struct job *j, bool within, int tasks, GPtrArray *mine, const struct team_usage *u) {
     if (!may_preempt(j, within)) return false;
     int made = 0;
-    while (made < MIN(tasks, PREEMPTIONS_MOST) && preempt_for(j, within, mine, NULL, u)) made++;
+    while (made < MIN(tasks, PREEMPTIONS_MOST) && preemption_make_room(j, within, mine, NULL, u)) made++;
     if (made > 0) j->preempted_at = clock_now();
     return made > 0;
 }
@@ -168,7 +168,7 @@
 
 /* Arrays and services, task by task. True if a task found no place. */
 static bool plan_tasks(struct scheduling_round *r, struct job *j, bool within, int missing, GPtrArray *mine,
-                       GPtrArray *room, const struct placement_rules *rules, struct preempt_usage *u) {
+                       GPtrArray *room, const struct placement_rules *rules, struct team_usage *u) {
     int chunk_size = allocations_next_chunk_size(j), chunk = -1, in_chunk = 0;
     bool unplaced = false;
     struct machine *last = NULL;
@@ -176,7 +176,7 @@
     for (int done = 0; done <= j->spec.tasks / 8; done++) busy[done] |= j->reported_done[done];
     for (int t = 0; t < j->spec.tasks && missing > 0; t++) {
         if (jobs_bit(busy, t)) continue;
-        if (!preempt_quota_left(&u[j->spec.team], j, 1)) break;
+        if (!preemption_quota_left(&u[j->spec.team], j, 1)) break;
         if (r->plans->len >= PLANS_MOST) {
             r->more = true;
             break;
@@ -185,7 +185,7 @@
         bool again = last && !j->spec.spread && placement_fits(last, &j->spec);
         struct machine *m = again ? last : placement_pick(room, j, NULL, rules, r->plans);
         last = m;
-        if ((!m || preempt_fetch_too_slow(j, m)) && make_way(j, within, missing, mine, u)) break;
+        if ((!m || preemption_fetch_too_slow(j, m)) && make_way(j, within, missing, mine, u)) break;
         if (!m) {
             unplaced = true;
             break;
@@ -206,13 +206,13 @@
 }
 
 static bool plan_group(struct scheduling_round *r, struct job *j, bool within, GPtrArray *mine, GPtrArray *room,
-                       const struct placement_rules *rules, struct preempt_usage *u) {
+                       const struct placement_rules *rules, struct team_usage *u) {
     int booked = allocations_count(j);
     if (booked == 0) {
         if (j->n_reported_done == j->spec.tasks || plan_gang(r, j, room, rules, u)) return false;
         if (quarantine_job_suspect(j)) return true;
         int now, with;
-        const char *zone = preempt_gang_zone(j, within, mine, &now, &with);
+        const char *zone = preemption_gang_zone(j, within, mine, &now, &with);
         if (with < j->spec.tasks && j->zone) zone = j->zone;
         /* What room there is in its zone is kept for it: taken piece by piece by what comes after it in order, it once
          * made gangs of eight wait for minutes. */
@@ -221,13 +221,13 @@
             struct machine *m = mine->pdata[i];
             if (!m->schedulable || (zone && strcmp(zone, m->zone) != 0) || !placement_allowed(m, j, NULL, NULL))
                 continue;
-            for (int n = preempt_times(m, &j->spec); n > 0 && kept < (guint)j->spec.tasks; n--, kept++)
+            for (int n = preemption_tasks_that_fit(m, &j->spec); n > 0 && kept < (guint)j->spec.tasks; n--, kept++)
                 placement_take(m, &j->spec, 1);
         }
         /* Only if all of it gets room by that: a gang that lacks one place runs as little as one that lacks all. */
         if (with >= j->spec.tasks && may_preempt(j, within)) {
             bool any = false;
-            for (int t = (int)kept; t < j->spec.tasks; t++) any |= preempt_for(j, within, mine, zone, u);
+            for (int t = (int)kept; t < j->spec.tasks; t++) any |= preemption_make_room(j, within, mine, zone, u);
             if (any) j->preempted_at = clock_now();
         }
         return true;
@@ -239,7 +239,7 @@
 }
 
 /* What each team's tasks take of this shard: all of the team's, unless it is divided. What is over is proven gone. */
-static void count_usage(int k, struct preempt_usage *u) {
+static void count_usage(int k, struct team_usage *u) {
     GPtrArray *lists[] = {jobs_active_of(k), jobs_ended_of(k)};
     for (size_t l = 0; l < G_N_ELEMENTS(lists); l++)
         for (guint i = 0; i < lists[l]->len; i++) {
@@ -313,13 +313,13 @@
 void scheduling_round_plan_jobs(struct scheduling_round *r, int k) {
     GArray *order = scheduler_order_jobs(k);
     GPtrArray *mine = machines_of_shard(k);
-    struct preempt_usage u[SETTINGS_TEAMS];
+    struct team_usage u[SETTINGS_TEAMS];
     memset(u, 0, sizeof u);
     struct placement_rules rules = {scheduler_settings->tuning.reception, scheduler_settings->tuning.admission,
                                     scheduler_reception(k)};
     count_usage(k, u);
     quota_refresh();
-    preempt_refresh();
+    preemption_refresh();
     bool held_back[SETTINGS_TEAMS] = {false};
     int *missing = g_new0(int, order->len + 1);
     for (guint i = 0; i < order->len; i++) {
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -16,8 +16,8 @@
 #include "liveness/liveness.h"
 #include "membership/membership.h"
 #include "placement/placement.h"
-#include "preempt/preempt.h"
-#include "transfer/transfer.h"
+#include "preemption/preemption.h"
+#include "rebalancing/rebalancing.h"
 #include "workers/workers.h"
 
 static struct settings cfg;
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -21,12 +21,12 @@
 #include "../machines/machines.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
-#include "../preempt/preempt.h"
+#include "../preemption/preemption.h"
 #include "../quota/quota.h"
+#include "../rebalancing/rebalancing.h"
 #include "../scheduler/scheduler.h"
 #include "../schema_version/schema_version.h"
 #include "../store/store.h"
-#include "../transfer/transfer.h"
 #include "../workers/workers.h"
 
 static void on_request(struct http_request *r, void *ctx) {
@@ -64,8 +64,8 @@
     machines_init(s);
     allocations_init(s);
     scheduler_init(s);
-    preempt_init(s);
-    transfer_init(s);
+    preemption_init(s);
+    rebalancing_init(s);
     scale_out_init(s);
     scale_in_init(s);
     liveness_init(s);
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -18,8 +18,8 @@
 #include "machines/machines.h"
 #include "membership/membership.h"
 #include "peers/peers.h"
+#include "rebalancing/rebalancing.h"
 #include "scheduler/scheduler.h"
-#include "transfer/transfer.h"
 #include "workers/workers.h"
 
 static struct settings cfg;
@@ -236,7 +236,7 @@
         m.command_in_flight = rows[i].sending;
         m.needs_token_raise = rows[i].raise;
         m.return_wanted = rows[i].leaving;
-        assert_int_equal(transfer_allowed(&m), rows[i].want);
+        assert_int_equal(rebalancing_allowed(&m), rows[i].want);
         g_ptr_array_free(m.allocations, TRUE);
     }
 }
