--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -79,7 +79,7 @@
     if (b->stop_requested) return;
     b->stop_requested = true;
     b->grace_s = grace_s;
-    b->m->wake = true;
+    b->machine->wake = true;
 }
 
 void allocations_job_changed(struct job *j) {
@@ -89,7 +89,7 @@
             if (j->state == JOB_DONE && j->spec.kind == JOB_GANG) continue; /* they complete together */
             b->stop_requested = true;
             b->grace_s = 0;
-            b->m->wake = true;
+            b->machine->wake = true;
         }
     scheduler_wake();
     workers_wake();
@@ -120,8 +120,8 @@
         if (!b->released && b->task >= from && b->task < from + n) base = MIN(base, b->attempt);
     }
     for (guint i = 0; plans && i < plans->len; i++) {
-        const struct placement_plan *p = &g_array_index(plans, struct placement_plan, i);
-        if (p->j == j && p->task >= from && p->task < from + n) base = MIN(base, p->attempt);
+        const struct planned_task *p = &g_array_index(plans, struct planned_task, i);
+        if (p->job == j && p->task >= from && p->task < from + n) base = MIN(base, p->attempt);
     }
     char *done = j->reported_done && !final ? jobs_bits_text(j->reported_done, from, n) : NULL;
     bool any = done && strspn(done, "0") < strlen(done);
@@ -134,12 +134,12 @@
     for (guint i = 0; i < j->allocations->len; i++) {
         const struct allocation *x = j->allocations->pdata[i];
         if (x->released || x->task < from || x->task >= from + n) continue;
-        g_string_append_printf(b, " %d@%s+%lld", x->task, x->m->id, (long long)(x->attempt - base));
+        g_string_append_printf(b, " %d@%s+%lld", x->task, x->machine->id, (long long)(x->attempt - base));
     }
     for (guint i = 0; plans && i < plans->len; i++) {
-        const struct placement_plan *p = &g_array_index(plans, struct placement_plan, i);
-        if (p->j != j || p->task < from || p->task >= from + n) continue;
-        g_string_append_printf(b, " %d@%s+%lld", p->task, p->m->id, (long long)(p->attempt - base));
+        const struct planned_task *p = &g_array_index(plans, struct planned_task, i);
+        if (p->job != j || p->task < from || p->task >= from + n) continue;
+        g_string_append_printf(b, " %d@%s+%lld", p->task, p->machine->id, (long long)(p->attempt - base));
     }
     cJSON *o = cJSON_CreateObject();
     /* From the second layout on every record names it, so that none depends on what the settings say some day. */
@@ -164,7 +164,7 @@
 }
 
 static void allocation_free(struct allocation *b) {
-    struct machine *m = b->m;
+    struct machine *m = b->machine;
     /* Who may take the machine over some day knows its images from this. */
     if (b->job->spec.image && clock_seconds_since(b->allocated_at) > 20 &&
         !g_hash_table_contains(m->images, b->job->spec.image))
@@ -238,20 +238,20 @@
         if (task < from || task >= from + size || keep[task - from]) continue;
         struct allocation *b = at[task - from];
         keep[task - from] = true;
-        if (b && b->attempt == attempt && strcmp(b->m->id, machine) == 0) continue;
+        if (b && b->attempt == attempt && strcmp(b->machine->id, machine) == 0) continue;
         b = g_new0(struct allocation, 1);
         b->job = j;
-        b->m = machines_find_or_stub(machine);
+        b->machine = machines_find_or_stub(machine);
         b->task = task;
         b->attempt = attempt;
         b->allocated_at = b->state_since = clock_now();
         b->inherited = true; /* until a round says that it is its own */
         b->stop_requested = j->state != JOB_QUEUED;
-        b->m->had_task = true;
+        b->machine->had_task = true;
         b->index_in_job = j->allocations->len;
-        b->index_in_machine = b->m->allocations->len;
+        b->index_in_machine = b->machine->allocations->len;
         g_ptr_array_add(j->allocations, b);
-        g_ptr_array_add(b->m->allocations, b);
+        g_ptr_array_add(b->machine->allocations, b);
         at[task - from] = b;
     }
     /* What follows a piece that can't be read is not known to be gone. */
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -86,8 +86,8 @@
     jobs_mark_done(j, 1);
     assert_int_equal(j->n_dirty_chunks, 1);
     assert_int_equal(scheduler_missing_tasks(j), 6);
-    GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
-    struct placement_plan p = {machines_find("i-1"), j, 4, 60};
+    GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
+    struct planned_task p = {machines_find("i-1"), j, 4, 60};
     g_array_append_val(plans, p);
     cJSON *v = allocations_value(j, 0, allocations_chunk_size(j), plans, false);
     assert_string_equal(json_get_string(v, "d"), "0300");
@@ -128,10 +128,10 @@
     struct job *j = jobs_find("req-20002");
     int chunk = allocations_chunk_size(j), n = allocations_chunks(j);
     assert_true(n > 1 && n * chunk >= 100000 && chunk % 8 == 0);
-    GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
+    GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     struct machine *m = machines_find_or_stub("i-000231");
     for (int t = 0; t < chunk; t++) {
-        struct placement_plan p = {m, j, chunk + t, 8796093022208 + t};
+        struct planned_task p = {m, j, chunk + t, 8796093022208 + t};
         g_array_append_val(plans, p);
         j->reported_done[(chunk + t) / 8] |= (uint8_t)(t % 2 << (t % 8));
     }
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -19,14 +19,14 @@
 /* Where a replica could go on at once: room, and the image at hand. */
 static struct machine *replica_target(const struct allocation *b) {
     const struct job *j = b->job;
-    for (guint i = 0; i < machines_of_shard(b->m->shard)->len; i++) {
-        struct machine *m = machines_of_shard(b->m->shard)->pdata[i];
-        if (m == b->m || !m->schedulable || m->draining || !placement_fits(m, &j->spec)) continue;
+    for (guint i = 0; i < machines_of_shard(b->machine->shard)->len; i++) {
+        struct machine *m = machines_of_shard(b->machine->shard)->pdata[i];
+        if (m == b->machine || !m->schedulable || m->draining || !placement_fits(m, &j->spec)) continue;
         if (!g_hash_table_contains(m->images, j->spec.image) || (m->used_gpu <= 0 && m->used_cpu <= 0)) continue;
         /* In its own zone it takes its own place among a spread job's tasks. */
         struct job alone = *j;
-        if (strcmp(m->zone, b->m->zone) == 0) alone.spec.spread = alone.spec.single_zone = false;
-        if (placement_allowed(m, &alone, alone.spec.single_zone ? b->m->zone : NULL, NULL)) return m;
+        if (strcmp(m->zone, b->machine->zone) == 0) alone.spec.spread = alone.spec.single_zone = false;
+        if (placement_allowed(m, &alone, alone.spec.single_zone ? b->machine->zone : NULL, NULL)) return m;
     }
     return NULL;
 }
@@ -43,7 +43,7 @@
         if (x->stop_requested || (s->kind == JOB_ARRAY && s->checkpoint_s > 0)) continue;
         struct machine *to = s->kind == JOB_SERVICE && x->state == TASK_RUNNING ? replica_target(x) : NULL;
         if (!to) return;
-        placement_take(to, s, 1);
+        placement_reserve(to, s, 1);
     }
     for (guint b = 0; b < m->allocations->len; b++) {
         struct allocation *x = m->allocations->pdata[b];
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -119,7 +119,7 @@
 static void rent_spares(int k, GArray *vms, const GArray *order, int steady, int most) {
     struct job *like = NULL;
     for (guint i = 0; i < order->len && !like; i++) {
-        struct job *j = g_array_index(order, struct ranked_job, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).job;
         if (j->spec.kind == JOB_GANG && !j->spec.allows_spot && clock_time_of_day() - j->ready < SPARE_S) like = j;
     }
     int whole = 0;
@@ -203,7 +203,7 @@
 static void count_transfers(struct shard_plan *p, const GArray *order) {
     double waited = 0;
     for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct ranked_job, i).j;
+        const struct job *j = g_array_index(order, struct ranked_job, i).job;
         if (j->unplaced && !j->spec.allows_spot) waited = MAX(waited, clock_seconds_since(j->eligible_since));
     }
     for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
@@ -221,7 +221,7 @@
     for (int z = 0; z < cfg->n_zones; z++) {
         int here = 0;
         for (guint b = 0; b < j->allocations->len; b++)
-            here += strcmp(((struct allocation *)j->allocations->pdata[b])->m->zone, cfg->zones[z]) == 0;
+            here += strcmp(((struct allocation *)j->allocations->pdata[b])->machine->zone, cfg->zones[z]) == 0;
         if (here == 0) return cfg->zones[z];
     }
     return NULL;
@@ -265,8 +265,8 @@
     int left =
         j->spec.kind == JOB_GANG ? j->spec.tasks : (j->unplaced ? scheduler_missing_tasks(j) : 0) + j->replicas_at_risk;
     char site[64] = "";
-    if (placement_site(j))
-        g_strlcpy(site, placement_site(j), sizeof site);
+    if (placement_zone(j))
+        g_strlcpy(site, placement_zone(j), sizeof site);
     else if (j->spec.single_zone)
         fullest_zone(p->shard, p->vms, j, site, sizeof site);
     guint from = 0;
@@ -328,7 +328,7 @@
     GArray *order = scheduler_order_jobs(k);
     int waiting = 0;
     for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct ranked_job, i).j;
+        const struct job *j = g_array_index(order, struct ranked_job, i).job;
         if (j->unplaced) waiting += scheduler_missing_tasks(j);
     }
     zone_lot = CLAMP(waiting / 8, 1, 48);
@@ -336,7 +336,7 @@
     p.first_new = p.vms->len;
     for (guint i = 0; i < order->len; i++) {
         const struct ranked_job *r = &g_array_index(order, struct ranked_job, i);
-        if (r->j->unplaced || r->j->replicas_at_risk) rent_for_job(&p, r->j, r->within);
+        if (r->job->unplaced || r->job->replicas_at_risk) rent_for_job(&p, r->job, r->within);
     }
     rent_for_pressure(&p);
     rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.requested, 0));
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -53,7 +53,7 @@
     int n = 0;
     GArray *order = scheduler_order_jobs(0);
     for (guint i = 0; i < order->len; i++)
-        n += strcmp(g_array_index(order, struct ranked_job, i).j->spec.job_id, job_id) == 0;
+        n += strcmp(g_array_index(order, struct ranked_job, i).job->spec.job_id, job_id) == 0;
     g_array_free(order, TRUE);
     return n;
 }
--- a/src/machines/machines.h
+++ b/src/machines/machines.h
@@ -19,7 +19,7 @@
 struct machine;
 struct allocation {
     struct job *job;
-    struct machine *m;
+    struct machine *machine;
     guint index_in_job, index_in_machine; /* where it stands in their lists */
     int task;
     int64_t attempt;
@@ -117,19 +117,20 @@
 /* All with store_lock held. */
 struct machine *machines_find(const char *id);
 struct machine *machines_find_or_stub(const char *id);
-void machines_drop_stub(struct machine *m); /* frees what no record and no allocation names any more */
+void machines_drop_stub(struct machine *machine); /* frees what no record and no allocation names any more */
 GPtrArray *machines_all(void);
 GPtrArray *machines_of_shard(int k); /* the machines of a shard */
 /* The shard of a machine that nobody rented: that of what is allocated on it, or else by its number. */
 int machines_shard_of(const char *id);
 /* A machine that no record names though tasks of a shard of ours are allocated on it, for long enough that no record
  * can be on its way. Only the cloud's answer to its return proves that they are gone. */
-bool machines_unrecorded(const struct machine *m);
-int64_t machines_fencing_token(const struct machine *m);
-bool machines_owned(struct machine *m); /* ours now; on a change of owner, what was known under another token goes */
-void machines_add_occupancy_sample(struct machine *m); /* a report came: a row in the occupancy window */
-bool machines_leaving(const struct machine *m);        /* on its way back to the cloud, or there already */
-bool machines_known(const char *id);                   /* recorded, waiting to be, or gone for good */
+bool machines_unrecorded(const struct machine *machine);
+int64_t machines_fencing_token(const struct machine *machine);
+bool machines_owned(
+    struct machine *machine); /* ours now; on a change of owner, what was known under another token goes */
+void machines_add_occupancy_sample(struct machine *machine); /* a report came: a row in the occupancy window */
+bool machines_leaving(const struct machine *machine);        /* on its way back to the cloud, or there already */
+bool machines_known(const char *id);                         /* recorded, waiting to be, or gone for good */
 void machines_returned(const char *id);
 struct rental_request {
     char type_name[64], zone[64];
@@ -163,6 +164,6 @@
  * reads what in between. A page is rewritten once the rest has room, and is stale until then. */
 void machines_oversized_pages(int k, bool *large);
 bool machines_page_stale(int k, int page);
-cJSON *machines_single_value(const struct machine *m, int shard, int64_t fencing_token);
+cJSON *machines_single_value(const struct machine *machine, int shard, int64_t fencing_token);
 bool machines_layout_unreadable(void); /* the store holds records of a layout that is not ours to read */
 #endif
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -13,10 +13,10 @@
            m->used_mem + j->memory_gb <= f->memory_gb + 1e-6;
 }
 
-const char *placement_site(const struct job *j) {
+const char *placement_zone(const struct job *j) {
     for (guint i = 0; j->spec.single_zone && i < j->allocations->len; i++) {
         const struct allocation *b = j->allocations->pdata[i];
-        if (!b->released) return b->m->zone;
+        if (!b->released) return b->machine->zone;
     }
     return NULL;
 }
@@ -32,12 +32,12 @@
         int here = 0;
         for (guint i = 0; i < j->allocations->len; i++) {
             const struct allocation *b = j->allocations->pdata[i];
-            here += !b->released && strcmp(b->m->zone, m->zone) == 0;
+            here += !b->released && strcmp(b->machine->zone, m->zone) == 0;
         }
         for (guint i = plans ? plans->len : 0; i-- > 0;) {
-            struct placement_plan *p = &g_array_index(plans, struct placement_plan, i);
-            if (p->j != j) break; /* a job's plans follow one another, and these are the last */
-            here += strcmp(p->m->zone, m->zone) == 0;
+            struct planned_task *p = &g_array_index(plans, struct planned_task, i);
+            if (p->job != j) break; /* a job's plans follow one another, and these are the last */
+            here += strcmp(p->machine->zone, m->zone) == 0;
         }
         if (here >= (s->tasks + 1) / 2) return false;
     }
@@ -59,24 +59,24 @@
     return n == 0 ? 0 : reception + (n - 1) * admission - occupied;
 }
 
-static unsigned long looks;
-unsigned long placement_looks(void) { return looks; }
+static unsigned long machines_examined;
+unsigned long placement_machines_examined(void) { return machines_examined; }
 
-struct machine *placement_pick(GPtrArray *machines, const struct job *j, const char *zone,
-                               const struct placement_rules *r, GArray *plans) {
+struct machine *placement_choose(GPtrArray *machines, const struct job *j, const char *zone,
+                                 const struct placement_rules *r, GArray *plans) {
     struct machine *best = NULL;
     double best_score = 0;
     const char *together = NULL;
     if (j->spec.single_zone) {
-        together = placement_site(j);
+        together = placement_zone(j);
         if (!together && plans && plans->len) {
-            struct placement_plan *p = &g_array_index(plans, struct placement_plan, plans->len - 1);
-            if (p->j == j) together = p->m->zone;
+            struct planned_task *p = &g_array_index(plans, struct planned_task, plans->len - 1);
+            if (p->job == j) together = p->machine->zone;
         }
     }
     for (guint i = 0; i < machines->len; i++) {
         struct machine *m = machines->pdata[i];
-        looks++;
+        machines_examined++;
         if (!m->schedulable || (zone && strcmp(zone, m->zone) != 0)) continue;
         if (!placement_fits(m, &j->spec) || !placement_allowed(m, j, together, plans)) continue;
         bool reception = m == r->reception_machine;
@@ -101,7 +101,7 @@
     return best;
 }
 
-void placement_take(struct machine *m, const struct job_spec *s, int sign) {
+void placement_reserve(struct machine *m, const struct job_spec *s, int sign) {
     m->used_cpu += sign * s->vcpus;
     m->used_gpu += sign * s->gpus;
     m->used_mem += sign * s->memory_gb;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -14,24 +14,25 @@
 };
 
 /* Room left on a machine, counting what is allocated and what this round has planned. */
-bool placement_fits(const struct machine *m, const struct job_spec *j);
+bool placement_fits(const struct machine *machine, const struct job_spec *job);
 /* Kind, type and zone, given where the job's other tasks are (planned ones included). */
-bool placement_allowed(const struct machine *m, const struct job *j, const char *together_site, GArray *plans);
-unsigned long placement_looks(void); /* machines looked at so far: what a round's planning costs, counted in steps */
+bool placement_allowed(const struct machine *machine, const struct job *job, const char *together_site, GArray *plans);
+unsigned long placement_machines_examined(
+    void); /* machines looked at so far: what a round's planning costs, counted in steps */
 /* The best machine for one task of the job, or NULL. zone: only there, or NULL. */
-struct machine *placement_pick(GPtrArray *machines, const struct job *j, const char *zone,
-                               const struct placement_rules *r, GArray *plans);
+struct machine *placement_choose(GPtrArray *machines, const struct job *job, const char *zone,
+                                 const struct placement_rules *r, GArray *plans);
 /* Occupancy: per component the mean over the window, then the largest; an empty window reads 0. */
-double placement_occupancy(const struct machine *m, int window);
+double placement_occupancy(const struct machine *machine, int window);
 /* The ledger: headroom H = C - O. */
 double placement_headroom(int n, double occupied, double reception, double admission);
 
-struct placement_plan {
-    struct machine *m;
-    struct job *j;
+struct planned_task {
+    struct machine *machine;
+    struct job *job;
     int task;
     int64_t attempt;
 };
-const char *placement_site(const struct job *j); /* where its tasks are, for a job that stays together; or NULL */
-void placement_take(struct machine *m, const struct job_spec *s, int sign); /* counts a task in or out */
+const char *placement_zone(const struct job *job); /* where its tasks are, for a job that stays together; or NULL */
+void placement_reserve(struct machine *machine, const struct job_spec *s, int sign); /* counts a task in or out */
 #endif
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -96,10 +96,10 @@
                                    .zone = (char *)rows[i].site};
         j.allocations = g_ptr_array_new();
         struct machine *there = machine(rows[i].booked_at ? rows[i].booked_at : "", false, 0);
-        struct allocation b = {.job = &j, .m = there};
+        struct allocation b = {.job = &j, .machine = there};
         if (rows[i].booked_at) g_ptr_array_add(j.allocations, &b);
         struct placement_rules r = {0.5, 0.8, ms->pdata[0]};
-        struct machine *m = placement_pick(ms, &j, NULL, &r, NULL);
+        struct machine *m = placement_choose(ms, &j, NULL, &r, NULL);
         guint at = 99;
         if (m) g_ptr_array_find(ms, m, &at);
         if ((m ? (int)at : -1) != rows[i].want) fail_msg("%s: got %d", rows[i].what, m ? (int)at : -1);
--- a/src/preemption/preemption.c
+++ b/src/preemption/preemption.c
@@ -64,7 +64,7 @@
     if (!preemption_quota_left(&u[j->spec.team], j, 1)) return false;
     for (guint i = 0; i < mine->len; i++) {
         struct machine *m = mine->pdata[i];
-        const char *together = placement_site(j);
+        const char *together = placement_zone(j);
         if (!m->schedulable || !(f = m->type) || (zone && strcmp(zone, m->zone) != 0) ||
             !placement_allowed(m, j, together, NULL))
             continue;
@@ -100,10 +100,10 @@
         x->grace_s = x->job->spec.checkpoint_s > 0 && x->job->spec.checkpoint_flush_s + 1 < quick
                          ? x->job->spec.checkpoint_flush_s + 1
                          : 0;
-        placement_take(best, &x->job->spec, -1);
+        placement_reserve(best, &x->job->spec, -1);
         log_info("task %s/%d on machine %s makes way for %s", x->job->spec.job_id, x->task, best->id, j->spec.job_id);
     }
-    placement_take(best, &j->spec, 1); /* kept free for the rest of this round */
+    placement_reserve(best, &j->spec, 1); /* kept free for the rest of this round */
     best->wake = true;
     return true;
 }
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -105,7 +105,7 @@
     count_used(t, &lasting);
     GArray *order = scheduler_order_team_jobs(t->team);
     for (guint i = 0; i < order->len && n < DEMANDS_MOST; i++) {
-        const struct job *j = g_array_index(order, struct ranked_job, i).j;
+        const struct job *j = g_array_index(order, struct ranked_job, i).job;
         int waiting = tasks_waiting(j);
         if (waiting <= 0 || part_at(&t->record, jobs_shard(j)) < 0) continue;
         if (quota_part_closing(&t->record, t->home, quota_settings->size, jobs_shard(j))) continue;
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -40,7 +40,7 @@
 static bool zone_full(const struct job *j, const char *site) {
     int here = 0;
     for (guint i = 0; i < j->allocations->len; i++)
-        here += strcmp(((struct allocation *)j->allocations->pdata[i])->m->zone, site) == 0;
+        here += strcmp(((struct allocation *)j->allocations->pdata[i])->machine->zone, site) == 0;
     return j->spec.spread && here >= (j->spec.tasks + 1) / 2;
 }
 
@@ -60,7 +60,7 @@
 /* Whether the machines have room for so many tasks of the job; they are counted in. Each machine is looked at once: an
  * array of 25,000 tasks, each looking at all machines, once took more processor time than all else. */
 static bool takes_all(GArray *vms, const struct job *j, int tasks) {
-    const char *site = placement_site(j);
+    const char *site = placement_zone(j);
     for (guint y = 0; y < vms->len && tasks > 0; y++) {
         struct planned_machine *v = &g_array_index(vms, struct planned_machine, y);
         if (zone_full(j, v->o.zone)) continue;
@@ -93,7 +93,7 @@
     struct job *found = NULL;
     GArray *order = scheduler_order_jobs(s);
     for (guint i = 0; i < order->len && !found; i++) {
-        struct job *j = g_array_index(order, struct ranked_job, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).job;
         if (j->spec.allows_spot != reclaimable || quarantine_job_suspect(j) ||
             clock_seconds_since(j->eligible_since) < 0.4)
             continue;
@@ -132,7 +132,7 @@
     bool first = false;
     for (guint i = 0; i < order->len && !first; i++) {
         const struct ranked_job *o = &g_array_index(order, struct ranked_job, i);
-        first = o->within && o->j->unplaced && o->j->priority >= j->priority;
+        first = o->within && o->job->unplaced && o->job->priority >= j->priority;
     }
     g_array_free(order, TRUE);
     return first;
@@ -143,7 +143,7 @@
 static struct machine *donation(int k, const struct job *j, bool within) {
     struct machine *best = NULL, *reception = scheduler_reception(k);
     double best_cost = 0;
-    const char *site = placement_site(j);
+    const char *site = placement_zone(j);
     bool claims = within && quota_divided(j->spec.team);
     if (claims ? own_guarantee_first(k, j) : own_work_first(k, j)) return NULL;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
--- a/src/scheduler/commit_jobs.c
+++ b/src/scheduler/commit_jobs.c
@@ -88,7 +88,7 @@
 static bool keeps_allocations(const struct scheduling_round *r, const struct job *j) {
     if (allocations_count(j) > 0 || (j->state == JOB_QUEUED && j->n_reported_done > 0)) return true;
     for (guint i = 0; i < r->plans->len; i++)
-        if (g_array_index(r->plans, struct placement_plan, i).j == j) return true;
+        if (g_array_index(r->plans, struct planned_task, i).job == j) return true;
     return false;
 }
 
@@ -110,8 +110,8 @@
     for (int c = 0; j->chunk_flags && c < chunks; c++)
         need[c] = (j->chunk_flags[c] & 2) != 0 || (final && (j->chunk_flags[c] & 1));
     for (guint i = 0; i < r->plans->len; i++) {
-        const struct placement_plan *p = &g_array_index(r->plans, struct placement_plan, i);
-        if (p->j == j) need[p->task / chunk_size] = 2;
+        const struct planned_task *p = &g_array_index(r->plans, struct planned_task, i);
+        if (p->job == j) need[p->task / chunk_size] = 2;
     }
     snprintf(key, sizeof key, "job/%s", j->spec.job_id);
     if (final && !scheduling_round_rejected_lately(key)) {
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -117,8 +117,8 @@
     rebalancing_plan(k);
     if (r->writes_left > 0) scheduling_round_commit_pages(r, k);
     for (guint i = 0; i < r->plans->len; i++) {
-        struct job *j = g_array_index(r->plans, struct placement_plan, i).j;
-        if (i > 0 && j == g_array_index(r->plans, struct placement_plan, i - 1).j) continue;
+        struct job *j = g_array_index(r->plans, struct planned_task, i).job;
+        if (i > 0 && j == g_array_index(r->plans, struct planned_task, i - 1).job) continue;
         scheduling_round_commit_job(r, j);
         g_ptr_array_remove(late, j);
     }
@@ -136,7 +136,7 @@
 struct scheduling_round *scheduler_decide(int k, int left) {
     struct scheduling_round *r = g_new0(struct scheduling_round, 1);
     r->shard = k;
-    r->plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
+    r->plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     r->transactions = g_ptr_array_new_with_free_func(scheduling_round_txn_free);
     r->writes_left = left;
     r->isolated = clock_seconds_since(shard_states[k].isolated_until) < 0;
@@ -148,7 +148,7 @@
 int scheduler_planned_tasks(const struct scheduling_round *r, const char *job_id) {
     int n = 0;
     for (guint i = 0; i < r->plans->len; i++)
-        n += !job_id || strcmp(g_array_index(r->plans, struct placement_plan, i).j->spec.job_id, job_id) == 0;
+        n += !job_id || strcmp(g_array_index(r->plans, struct planned_task, i).job->spec.job_id, job_id) == 0;
     return n;
 }
 int scheduler_round_writes(const struct scheduling_round *r) {
@@ -184,7 +184,7 @@
             struct allocation *b = j->allocations->pdata[i];
             if (!b->inherited || b->attempt <= r->first) continue;
             b->inherited = false;
-            b->m->wake = true;
+            b->machine->wake = true;
         }
     }
     for (guint i = 0; i < machines_of_shard(r->shard)->len; i++) {
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -19,9 +19,9 @@
 
 static void plan_task(struct scheduling_round *r, struct machine *m, struct job *j, int task, int64_t attempt,
                       struct team_usage *u) {
-    struct placement_plan p = {m, j, task, attempt};
+    struct planned_task p = {m, j, task, attempt};
     g_array_append_val(r->plans, p);
-    placement_take(m, &j->spec, 1);
+    placement_reserve(m, &j->spec, 1);
     u[j->spec.team].cpu += j->spec.vcpus;
     u[j->spec.team].gpu += j->spec.gpus;
 }
@@ -37,14 +37,14 @@
         int64_t attempt = next_attempt(r->shard);
         int t;
         for (t = 0; t < j->spec.tasks; t++) {
-            struct machine *m = placement_pick(mine, j, zone, rules, r->plans);
+            struct machine *m = placement_choose(mine, j, zone, rules, r->plans);
             if (!m) break;
             plan_task(r, m, j, t, attempt, u);
         }
         if (t == j->spec.tasks) return true;
         for (guint i = from; i < r->plans->len; i++) {
-            struct placement_plan *p = &g_array_index(r->plans, struct placement_plan, i);
-            placement_take(p->m, &j->spec, -1);
+            struct planned_task *p = &g_array_index(r->plans, struct planned_task, i);
+            placement_reserve(p->machine, &j->spec, -1);
         }
         g_array_set_size(r->plans, from);
         u[j->spec.team] = before;
@@ -62,7 +62,7 @@
         if (attempt && x->attempt != attempt) return 0;
         attempt = x->attempt;
         if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
-        if (clock_seconds_since(x->m->last_heartbeat) >
+        if (clock_seconds_since(x->machine->last_heartbeat) >
             clock_to_seconds(scheduler_settings->heartbeat_interval) * 1.25 + 1)
             return 0;
     }
@@ -91,14 +91,14 @@
     bool replaced = true;
     for (int t = 0; t < j->spec.tasks && replaced; t++) {
         if (jobs_bit(booked, t)) continue;
-        struct machine *m = placement_pick(mine, j, NULL, rules, r->plans);
+        struct machine *m = placement_choose(mine, j, NULL, rules, r->plans);
         /* A machine that still holds this very attempt would do nothing. */
         if (m && !holds_ended(m, j->spec.job_id, t, attempt)) {
             plan_task(r, m, j, t, attempt, u);
             continue;
         }
         for (guint i = from; i < r->plans->len; i++)
-            placement_take(g_array_index(r->plans, struct placement_plan, i).m, &j->spec, -1);
+            placement_reserve(g_array_index(r->plans, struct planned_task, i).machine, &j->spec, -1);
         g_array_set_size(r->plans, from);
         u[j->spec.team] = before;
         replaced = false;
@@ -183,7 +183,7 @@
         }
         /* What was best for a task is best for the next one like it, as long as it has room. */
         bool again = last && !j->spec.spread && placement_fits(last, &j->spec);
-        struct machine *m = again ? last : placement_pick(room, j, NULL, rules, r->plans);
+        struct machine *m = again ? last : placement_choose(room, j, NULL, rules, r->plans);
         last = m;
         if ((!m || preemption_fetch_too_slow(j, m)) && make_way(j, within, missing, mine, u)) break;
         if (!m) {
@@ -222,7 +222,7 @@
             if (!m->schedulable || (zone && strcmp(zone, m->zone) != 0) || !placement_allowed(m, j, NULL, NULL))
                 continue;
             for (int n = preemption_tasks_that_fit(m, &j->spec); n > 0 && kept < (guint)j->spec.tasks; n--, kept++)
-                placement_take(m, &j->spec, 1);
+                placement_reserve(m, &j->spec, 1);
         }
         /* Only if all of it gets room by that: a gang that lacks one place runs as little as one that lacks all. */
         if (with >= j->spec.tasks && may_preempt(j, within)) {
@@ -256,7 +256,7 @@
     GPtrArray *room = g_ptr_array_new();
     struct job_spec smallest = {.vcpus = INFINITY, .gpus = INFINITY, .memory_gb = INFINITY};
     for (guint i = 0; i < order->len; i++) {
-        const struct job_spec *spec = &g_array_index(order, struct ranked_job, i).j->spec;
+        const struct job_spec *spec = &g_array_index(order, struct ranked_job, i).job->spec;
         if (missing[i] <= 0) continue;
         smallest.vcpus = MIN(smallest.vcpus, spec->vcpus);
         smallest.gpus = MIN(smallest.gpus, spec->gpus);
@@ -295,7 +295,7 @@
  * from nothing they were once asked for half a minute late. */
 static void mark_unplaced(int k, const GArray *order, guint from, const int *missing, struct free_room free) {
     for (guint i = from; i < order->len; i++) {
-        struct job *j = g_array_index(order, struct ranked_job, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).job;
         if (missing[i] <= 0 || waits_to_retry(j) || quarantine_job_suspect(j)) continue;
         take_free(&free, j, missing[i]);
         j->unplaced = free.cpu < 0 || free.gpu < 0;
@@ -323,7 +323,7 @@
     bool held_back[SETTINGS_TEAMS] = {false};
     int *missing = g_new0(int, order->len + 1);
     for (guint i = 0; i < order->len; i++) {
-        struct job *j = g_array_index(order, struct ranked_job, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).job;
         missing[i] = tasks_to_place(j);
         if (missing[i] <= 0) j->unplaced = false;
     }
@@ -333,7 +333,7 @@
     int jobs_planned = 0;
     struct no_room none = {.n = 0};
     for (guint i = 0; i < order->len; i++) {
-        struct job *j = g_array_index(order, struct ranked_job, i).j;
+        struct job *j = g_array_index(order, struct ranked_job, i).job;
         bool within = g_array_index(order, struct ranked_job, i).within;
         if (missing[i] <= 0 || waits_to_retry(j)) continue;
         if (held_back[j->spec.team] && quota_counts_scarce(j)) continue;
@@ -358,7 +358,7 @@
         if (j->unplaced) shard_states[k].fit_nowhere = true;
     }
     /* Only what stays planned is written: a gang's tries that came to nothing are not. */
-    for (guint i = 0; i < r->plans->len; i++) g_array_index(r->plans, struct placement_plan, i).m->dirty = true;
+    for (guint i = 0; i < r->plans->len; i++) g_array_index(r->plans, struct planned_task, i).machine->dirty = true;
     g_free(missing);
     g_array_free(order, TRUE);
     g_ptr_array_free(room, TRUE);
--- a/src/scheduler/priority.c
+++ b/src/scheduler/priority.c
@@ -63,12 +63,12 @@
 static int rank_order(gconstpointer a, gconstpointer b) {
     const struct ranked_job *x = a, *y = b;
     /* What fails wherever it runs delays nobody. */
-    bool x_suspect = quarantine_job_suspect(x->j), y_suspect = quarantine_job_suspect(y->j);
+    bool x_suspect = quarantine_job_suspect(x->job), y_suspect = quarantine_job_suspect(y->job);
     if (x_suspect != y_suspect) return y_suspect ? -1 : 1;
     if (x->within != y->within) return x->within ? -1 : 1;
-    if (x->j->priority != y->j->priority) return x->j->priority > y->j->priority ? -1 : 1;
+    if (x->job->priority != y->job->priority) return x->job->priority > y->job->priority ? -1 : 1;
     if (x->due != y->due) return x->due < y->due ? -1 : 1;
-    return strcmp(x->j->spec.job_id, y->j->spec.job_id);
+    return strcmp(x->job->spec.job_id, y->job->spec.job_id);
 }
 
 bool scheduler_has_guarantee(const struct settings_team *t) { return t->cpus > 0 || t->gpus > 0; }
--- a/src/scheduler/round.h
+++ b/src/scheduler/round.h
@@ -12,7 +12,7 @@
 
 struct scheduling_round {
     int shard;
-    GArray *plans;           /* placement_plan */
+    GArray *plans;           /* planned_task */
     GPtrArray *transactions; /* store_txn */
     int writes_left;         /* changes that the budget allows */
     int64_t first;           /* attempts above this one are this round's */
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -279,21 +279,22 @@
     }
     /* 4,275 machines are full; 225 have room, and there are 40 new tasks. */
     owned_job("req-790001", "batch", "normal", 40, 8, 1, false, true, 1);
-    unsigned long before = placement_looks();
+    unsigned long before = placement_machines_examined();
     struct scheduling_round *scheduling_round = scheduler_decide(0, 20);
     assert_int_equal(scheduler_planned_tasks(scheduling_round, "req-790001"), 40);
     assert_int_equal(scheduler_planned_tasks(scheduling_round, NULL), 40);
-    if (placement_looks() - before > 40 * 230) fail_msg("%lu looks", placement_looks() - before);
+    if (placement_machines_examined() - before > 40 * 230)
+        fail_msg("%lu looks", placement_machines_examined() - before);
     assert_int_equal(scheduler_round_writes(scheduling_round), 1); /* however many machines it touches */
     scheduler_round_free(scheduling_round);
     /* With nothing waiting, nothing is looked at. */
     owned_put("run/req-790001/0", NULL);
     struct job *j = jobs_find("req-790001");
     owned_book(j, all + 4275, 40);
-    before = placement_looks();
+    before = placement_machines_examined();
     scheduling_round = scheduler_decide(0, 20);
     assert_int_equal(scheduler_planned_tasks(scheduling_round, NULL), 0);
-    assert_int_equal(placement_looks() - before, 0);
+    assert_int_equal(placement_machines_examined() - before, 0);
     scheduler_round_free(scheduling_round);
     owned_clear();
     store_unlock();
@@ -322,19 +323,19 @@
         owned_fleet(all, FLEET, true);
         struct job *j = owned_job(job_id, "batch", "idle", rows[r].tasks, rows[r].cpus, 0, false, true, 1);
         j->spec.memory_gb = 0.1;
-        unsigned long before = placement_looks();
+        unsigned long before = placement_machines_examined();
         struct scheduling_round *scheduling_round = scheduler_decide(0, 20);
         int planned = scheduler_planned_tasks(scheduling_round, job_id),
             changes = scheduler_round_writes(scheduling_round), most = 0;
-        unsigned long looks = placement_looks() - before;
+        unsigned long machines_examined = placement_machines_examined() - before;
         for (int i = 0; i < FLEET; i++) most = MAX(most, all[i]->used_tasks);
         scheduler_round_free(scheduling_round);
         owned_clear();
         store_unlock();
         if (planned < 400) fail_msg("%s: %d planned", rows[r].what, planned);
         if (changes * 100 > planned) fail_msg("%s: %d changes for %d tasks", rows[r].what, changes, planned);
-        if (looks > (unsigned long)FLEET * (unsigned long)(planned / rows[r].on_a_machine + 2))
-            fail_msg("%s: %lu looks", rows[r].what, looks);
+        if (machines_examined > (unsigned long)FLEET * (unsigned long)(planned / rows[r].on_a_machine + 2))
+            fail_msg("%s: %lu looks", rows[r].what, machines_examined);
         if (most > rows[r].on_a_machine) fail_msg("%s: %d on a machine", rows[r].what, most);
     }
 }
@@ -366,7 +367,7 @@
         plain->n_reported_done = 1; /* it has begun */
         (void)m;
         GArray *order = scheduler_order_jobs(0);
-        bool first = g_array_index(order, struct ranked_job, 0).j == expected;
+        bool first = g_array_index(order, struct ranked_job, 0).job == expected;
         g_array_free(order, TRUE);
         owned_clear();
         store_unlock();
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -189,7 +189,7 @@
     store_lock();
     struct job *j = jobs_find("req-90002");
     assert_int_equal(j->allocations->len, 1);
-    at = (int)g_ascii_strtoll(((struct allocation *)j->allocations->pdata[0])->m->id + 2, NULL, 10);
+    at = (int)g_ascii_strtoll(((struct allocation *)j->allocations->pdata[0])->machine->id + 2, NULL, 10);
     store_unlock();
     assert_int_equal(submit("req-90004", "standing", 4), 201); /* others, so that one silent machine is not all */
     assert_true(becomes("req-90004", "running", 10));
@@ -263,7 +263,7 @@
         memset(&m, 0, sizeof m);
         memset(&j, 0, sizeof j);
         if (!rows[i].old) m.last_heartbeat = clock_now();
-        struct allocation a = {.job = &j, .m = &m, .attempt = 7, .seen = true, .state = rows[i].a}, b = a;
+        struct allocation a = {.job = &j, .machine = &m, .attempt = 7, .seen = true, .state = rows[i].a}, b = a;
         b.state = rows[i].b;
         b.seen = rows[i].seen;
         b.stop_requested = rows[i].stop;
--- a/src/workers/directives.c
+++ b/src/workers/directives.c
@@ -22,7 +22,7 @@
 /* Booked by us and not yet shown by the worker. */
 bool workers_awaits_start(const struct allocation *b) {
     return !b->released && !b->stop_requested && !b->seen && !b->inherited && b->job->state == JOB_QUEUED &&
-           !dependencies_unmet(b->job) && !b->m->returning && !b->m->return_wanted;
+           !dependencies_unmet(b->job) && !b->machine->returning && !b->machine->return_wanted;
 }
 
 cJSON *workers_directives(struct machine *m, bool direct) {
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -41,11 +41,11 @@
         }
         return;
     }
-    log_debug("task %s/%d on %s ended: %s", j->spec.job_id, b->task, b->m->id, cause ? cause : "?");
+    log_debug("task %s/%d on %s ended: %s", j->spec.job_id, b->task, b->machine->id, cause ? cause : "?");
     if (!cause || j->state != JOB_QUEUED) return;
     if (strcmp(cause, "error") == 0) {
-        log_info("task %s/%d failed on machine %s", j->spec.job_id, b->task, b->m->id);
-        quarantine_record_failure(j, b->m);
+        log_info("task %s/%d failed on machine %s", j->spec.job_id, b->task, b->machine->id);
+        quarantine_record_failure(j, b->machine);
     } else if (strcmp(cause, "unknown") == 0) {
         j->retry_at = clock_instant_in(clock_from_seconds(3));
     } else if (strcmp(cause, "no_room") == 0 || strcmp(cause, "busy") == 0) {
@@ -158,22 +158,22 @@
 
 static void log_start(const struct allocation *b, const char *task) {
     const struct job_spec *spec = &b->job->spec;
-    bool there = spec->image && g_hash_table_contains(b->m->images, spec->image);
+    bool there = spec->image && g_hash_table_contains(b->machine->images, spec->image);
     log_info("task %s runs on %s (%s): %.1f s after its job was ready, %.1f s after booking, image was %s", task,
-             b->m->id, spec->job_class ? spec->job_class : "?", clock_time_of_day() - b->job->ready,
+             b->machine->id, spec->job_class ? spec->job_class : "?", clock_time_of_day() - b->job->ready,
              clock_seconds_since(b->allocated_at), there ? "there" : "fetched");
 }
 
 /* One task of the list. True if that ended it. */
 static bool take_state(struct allocation *b, const char *task, enum task_state state, const char *cause) {
     b->seen = true;
-    if (b->state != state) b->state_since = b->m->last_heard;
+    if (b->state != state) b->state_since = b->machine->last_heard;
     if (state == TASK_RUNNING && b->state != state) log_start(b, task);
     b->state = state;
     if (state == TASK_RUNNING && b->job->spec.kind == JOB_SERVICE && clock_seconds_since(b->state_since) > PROVEN_S)
         quarantine_record_success(b->job);
     if ((state == TASK_RUNNING || state == TASK_GATHERING) && b->job->spec.image)
-        g_hash_table_add(b->m->images, g_strdup(b->job->spec.image));
+        g_hash_table_add(b->machine->images, g_strdup(b->job->spec.image));
     if (state != TASK_ENDED || b->released) return false;
     ended(b, cause);
     return true;
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -114,9 +114,9 @@
 
 /* Books tasks 0.. of the job, one on each of the machines named by index, running for long. */
 void owned_book(struct job *j, struct machine **on, int n) {
-    GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
+    GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     for (int i = 0; i < n; i++) {
-        struct placement_plan p = {on[i], j, i, 100 + i};
+        struct planned_task p = {on[i], j, i, 100 + i};
         g_array_append_val(plans, p);
     }
     char key[96];
