--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -39,7 +39,7 @@
 }
 
 void planned_machine_add(GArray *vms, const char *type_name, const char *site, bool spot) {
-    const struct machine_type *f = cloud_flavour(type_name);
+    const struct machine_type *f = cloud_machine_type(type_name);
     if (!f) return;
     struct planned_machine v = {{"", "", spot, 0, 0, 0}, f->vcpus, f->gpus, f->memory_gb, false, false};
     g_strlcpy(v.o.type_name, type_name, sizeof v.o.type_name);
@@ -63,14 +63,14 @@
     for (int spot = j->spec.allows_spot ? 1 : 0; spot >= (j->spec.allows_spot && !dear ? 1 : 0); spot--) {
         double best = 0;
         bool found = false;
-        for (int i = 0; i < cloud_flavours_count(); i++) {
-            const struct machine_type *f = &cloud_flavours()[i];
+        for (int i = 0; i < cloud_machine_types_count(); i++) {
+            const struct machine_type *f = &cloud_machine_types()[i];
             if (!scale_out_type_fits(&j->spec, f)) continue;
             double price = spot ? f->spot_price : f->hourly_price;
             for (int z = 0; z < f->n_zones; z++) {
                 const char *s = f->zones[z];
                 if ((site && strcmp(site, s) != 0) || (j->spec.zone && strcmp(j->spec.zone, s) != 0)) continue;
-                if (!cloud_open(f->type_name, s, spot == 1) || liveness_zone_unreachable(k, s)) continue;
+                if (!cloud_may_rent(f->type_name, s, spot == 1) || liveness_zone_unreachable(k, s)) continue;
                 /* Among equal prices, the zone where this shard has least; a whole order goes to one, calls are scarce.
                  */
                 double cost = price * (1 + 0.001 * (here_in(s) / zone_lot));
@@ -125,7 +125,7 @@
     int whole = 0;
     for (guint y = 0; y < vms->len; y++) {
         const struct planned_machine *v = &g_array_index(vms, struct planned_machine, y);
-        const struct machine_type *f = cloud_flavour(v->o.type_name);
+        const struct machine_type *f = cloud_machine_type(v->o.type_name);
         whole += f && !v->foreign && !v->o.spot && v->cpu >= f->vcpus - 1e-6 && v->gpu >= f->gpus - 1e-6;
     }
     for (int n = MIN(steady / SPARE_IN - whole, most); like && n > 0; n--) {
@@ -153,7 +153,7 @@
     if (zone_of(m->zone)) ++*zone_of(m->zone);
     if (machines_leaving(m)) return;
     p->have++;
-    const struct machine_type *f = cloud_flavour(m->type_name);
+    const struct machine_type *f = cloud_machine_type(m->type_name);
     if (f && m->spot) p->slots += f->gpus;
     for (guint b = 0; !m->spot && b < m->allocations->len; b++) {
         const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
@@ -254,7 +254,7 @@
     if (p->have + p->requested >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
     add_order(p->vms, &o, weights[j->priority]);
     p->requested++;
-    if (j->spec.allows_spot && cloud_flavour(o.type_name)) p->slots += cloud_flavour(o.type_name)->gpus;
+    if (j->spec.allows_spot && cloud_machine_type(o.type_name)) p->slots += cloud_machine_type(o.type_name)->gpus;
     planned_machine_take(&g_array_index(p->vms, struct planned_machine, p->vms->len - 1), j, want);
     if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.zone, n);
 }
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -20,27 +20,27 @@
 #include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 
-#define FLAVOURS_MOST 64
-#define ORDERS_MOST \
+#define MACHINE_TYPES_MAX 64
+#define RENTAL_REQUESTS_MAX \
     128 /* by shard, type, zone and kind; one controller may own all shards. Those beyond come next time */
 
 static const struct settings *cfg;
-static struct machine_type machine_types[FLAVOURS_MOST];
+static struct machine_type machine_types[MACHINE_TYPES_MAX];
 static int n_flavours;
 
-struct closed {
+struct capacity_backoff {
     struct timespec until;
     double pause;
 };
-static GHashTable *closed_at; /* "sku site kind" -> closed */
+static GHashTable *capacity_backoffs; /* "sku site kind" -> closed */
 
 static struct sync_wakeup wakeup;
 
-bool cloud_flavours_known(void) { return n_flavours > 0; }
-const struct machine_type *cloud_flavours(void) { return machine_types; }
-int cloud_flavours_count(void) { return n_flavours; }
+bool cloud_machine_types_known(void) { return n_flavours > 0; }
+const struct machine_type *cloud_machine_types(void) { return machine_types; }
+int cloud_machine_types_count(void) { return n_flavours; }
 
-const struct machine_type *cloud_flavour(const char *type_name) {
+const struct machine_type *cloud_machine_type(const char *type_name) {
     for (int i = 0; i < n_flavours; i++)
         if (strcmp(machine_types[i].type_name, type_name) == 0) return &machine_types[i];
     return NULL;
@@ -50,16 +50,16 @@
     return g_strdup_printf("%s %s %d", type_name, site, spot);
 }
 
-bool cloud_open(const char *type_name, const char *site, bool spot) {
+bool cloud_may_rent(const char *type_name, const char *site, bool spot) {
     char *key = place_key(type_name, site, spot);
-    struct closed *c = g_hash_table_lookup(closed_at, key);
+    struct capacity_backoff *c = g_hash_table_lookup(capacity_backoffs, key);
     g_free(key);
     return !c || clock_seconds_since(c->until) >= 0;
 }
 
-void cloud_reopen(const char *type_name, const char *site, bool spot) {
+void cloud_capacity_freed(const char *type_name, const char *site, bool spot) {
     char *key = place_key(type_name, site, spot);
-    g_hash_table_remove(closed_at, key);
+    g_hash_table_remove(capacity_backoffs, key);
     g_free(key);
 }
 
@@ -67,15 +67,15 @@
  * over at once when any controller gives back a machine of the kind. */
 static void note_capacity(const struct rental_request *o, bool had) {
     char *key = place_key(o->type_name, o->zone, o->spot);
-    struct closed *c = g_hash_table_lookup(closed_at, key);
+    struct capacity_backoff *c = g_hash_table_lookup(capacity_backoffs, key);
     if (had) {
-        g_hash_table_remove(closed_at, key);
+        g_hash_table_remove(capacity_backoffs, key);
         g_free(key);
         return;
     }
     if (!c) {
-        c = g_new0(struct closed, 1);
-        g_hash_table_insert(closed_at, key, c);
+        c = g_new0(struct capacity_backoff, 1);
+        g_hash_table_insert(capacity_backoffs, key, c);
     } else {
         g_free(key);
     }
@@ -85,7 +85,7 @@
              o->spot ? "spot" : "ordinary", c->pause);
 }
 
-void cloud_kick(void) { sync_wakeup_signal(&wakeup); }
+void cloud_wake(void) { sync_wakeup_signal(&wakeup); }
 
 /* The cloud counts the calls of all controllers: each keeps to its part. */
 static double tokens;
@@ -137,8 +137,8 @@
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(data, "flavours")) {
         const char *type_name = json_get_string(x, "sku");
         if (!type_name || strlen(type_name) >= sizeof machine_types[0].type_name) continue;
-        struct machine_type *f = (struct machine_type *)cloud_flavour(type_name);
-        if (!f && n_flavours == FLAVOURS_MOST) continue;
+        struct machine_type *f = (struct machine_type *)cloud_machine_type(type_name);
+        if (!f && n_flavours == MACHINE_TYPES_MAX) continue;
         if (!f) f = &machine_types[n_flavours++];
         g_strlcpy(f->type_name, type_name, sizeof f->type_name);
         f->vcpus = json_get_double(x, "vcpus", 0);
@@ -157,7 +157,7 @@
     }
 }
 
-static void read_flavours(struct http_client *c) {
+static void read_machine_types(struct http_client *c) {
     cJSON *a = NULL;
     long status;
     if (call(c, "GET", "/flavors", NULL, &a, &status) == HTTP_ANSWERED && status == 200) {
@@ -263,7 +263,7 @@
     cJSON_Delete(a);
 }
 
-static void give_back(struct http_client *c, char ids[][64], int n) {
+static void return_machines(struct http_client *c, char ids[][64], int n) {
     cJSON *b = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(b, "hosts"), *a = NULL;
     for (int i = 0; i < n; i++) cJSON_AddItemToArray(list, cJSON_CreateString(ids[i]));
     char *text = cJSON_PrintUnformatted(b);
@@ -294,13 +294,13 @@
         store_unlock();
         if ((!typed_once && (leads || clock_seconds_since(began) > 6)) || (leads && clock_seconds_since(typed) > 120)) {
             if (!may_call(false)) continue;
-            read_flavours(c);
+            read_machine_types(c);
             typed = clock_now();
             continue;
         }
         if (!typed_once) continue;
         char ids[100][64];
-        struct rental_request directives[ORDERS_MOST];
+        struct rental_request directives[RENTAL_REQUESTS_MAX];
         int busy, wants = 0;
         store_lock();
         int back = scale_in_plan_returns(ids, 100, &busy);
@@ -312,10 +312,10 @@
         /* Returns are few calls for many machines; they must not wait for rentals without end, and tasks that can start
          * elsewhere only once their silent machine is returned wait for nothing. */
         bool back_first = busy || back >= 20 || (back && clock_seconds_since(returned) > 12);
-        if (!pending.open && !back_first && !list_first) wants = scale_out_plan(directives, ORDERS_MOST);
+        if (!pending.open && !back_first && !list_first) wants = scale_out_plan(directives, RENTAL_REQUESTS_MAX);
         store_unlock();
         if (back && (back_first || !(pending.open || wants || list_first))) {
-            give_back(c, ids, back);
+            return_machines(c, ids, back);
             returned = clock_now();
         } else if (pending.open || wants) {
             if (!pending.open) {
@@ -325,7 +325,7 @@
                            ++claims);
             }
             rent(c);
-            if (wants > 1) cloud_kick();
+            if (wants > 1) cloud_wake();
         } else if (clock_seconds_since(listed) > list_every) {
             read_list(c);
             listed = clock_now();
@@ -338,7 +338,7 @@
 
 void cloud_init(const struct settings *s) {
     cfg = s;
-    closed_at = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    capacity_backoffs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     tokens_at = clock_now();
     tokens = 1;
     sync_wakeup_init(&wakeup);
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -105,7 +105,7 @@
 /* A machine leaves its record only when the cloud has confirmed its return: whatever was allocated on it is gone. */
 static void machine_gone(struct machine *m) {
     g_hash_table_add(gone, g_strdup(m->id));
-    cloud_reopen(m->type_name, m->zone, m->spot);
+    cloud_capacity_freed(m->type_name, m->zone, m->spot);
     m->known = false;
     m->released_by_cloud = true;
     m->unrecorded_since = clock_now();
@@ -314,7 +314,7 @@
         g += s->gpus;
         r += s->memory_gb;
     }
-    const struct machine_type *f = m->type ? m->type : (m->type = cloud_flavour(m->type_name));
+    const struct machine_type *f = m->type ? m->type : (m->type = cloud_machine_type(m->type_name));
     if (!f) return;
     double *row = m->occupancy_samples[m->n_samples % MACHINE_OCCUPANCY_SAMPLES];
     row[0] = f->vcpus > 0 ? c / f->vcpus : 0;
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -70,11 +70,11 @@
 }
 
 bool provisioning_overdue(const struct machine *m) {
-    return !m->up && clock_time_of_day() - m->created_at > provisioning_expected_s(cloud_flavour(m->type_name));
+    return !m->up && clock_time_of_day() - m->created_at > provisioning_expected_s(cloud_machine_type(m->type_name));
 }
 
 double provisioning_give_up_s(const struct machine *m) {
-    return LIMIT_TIMES * startup_of(cloud_flavour(m->type_name)) + LIMIT_MORE_S;
+    return LIMIT_TIMES * startup_of(cloud_machine_type(m->type_name)) + LIMIT_MORE_S;
 }
 
 int provisioning_replacements_max(int up) { return MAX(REPLACED_LEAST, up / REPLACED_PART); }
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -46,7 +46,7 @@
 
 /* Nothing fits beside what is allocated: most machines of a busy shard, not worth a closer look. */
 static bool full(const struct machine *m) {
-    const struct machine_type *f = cloud_flavour(m->type_name);
+    const struct machine_type *f = cloud_machine_type(m->type_name);
     double cpu = 0, gpu = 0;
     for (guint b = 0; f && b < m->allocations->len; b++) {
         const struct allocation *x = m->allocations->pdata[b];
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -55,7 +55,7 @@
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
         if (!machines_owned(m)) continue;
-        if (!m->type) m->type = cloud_flavour(m->type_name);
+        if (!m->type) m->type = cloud_machine_type(m->type_name);
         m->dirty = m->leaves_page = false;
         m->next_token = 0;
         m->next_page = -1;
