--- a/src/preemption/preemption.c
+++ b/src/preemption/preemption.c
@@ -45,7 +45,7 @@
     if (x->job->priority < j->priority) return true;
     return within && x->job->spec.team != j->spec.team &&
            preemption_over_guarantee(j->spec.team) + j->spec.gpus <= 1e-6 &&
-           preemption_over_guarantee(x->job->spec.team) >= MAX(x->job->spec.gpus, 1e-3) && quota_may_be_stopped(x);
+           preemption_over_guarantee(x->job->spec.team) >= MAX(x->job->spec.gpus, 1e-3) && quota_may_preempt(x);
 }
 
 /* A task stopped soon after its start counts as never started to its user. */
@@ -95,7 +95,7 @@
         if (placement_fits(best, &j->spec)) break;
         if (!preemption_evictable(x, j, within) || (n >= best->allocations->len && preemption_recently_started(x)))
             continue;
-        quota_stopped(x);
+        quota_note_preempted(x);
         x->stop_requested = true;
         x->grace_s = x->job->spec.checkpoint_s > 0 && x->job->spec.checkpoint_flush_s + 1 < quick
                          ? x->job->spec.checkpoint_flush_s + 1
--- a/src/quota/parts.h
+++ b/src/quota/allotments.h
@@ -3,8 +3,8 @@
  *
  * Invariant of every record: parts plus unassigned = limit, and the same for the guarantee. Parts are never negative;
  * `unassigned` of the limit is, where the limit was lowered below what the shards hold. */
-#ifndef FF_QUOTA_PARTS_H
-#define FF_QUOTA_PARTS_H
+#ifndef FF_QUOTA_ALLOTMENTS_H
+#define FF_QUOTA_ALLOTMENTS_H
 #include <stdbool.h>
 #include <stdint.h>
 
@@ -12,7 +12,7 @@
 
 #define QUOTA_SHARES_MOST 16 /* of a team: its record stays below 1 KiB */
 
-struct quota_part {
+struct quota_allotment {
     int shard;
     struct quota_amount limit, guarantee;
 };
@@ -22,8 +22,8 @@
     int shards;    /* the first so many of the team's shards take new jobs; parts of others are closing */
     struct quota_amount limit, guarantee;
     struct quota_amount unassigned, guarantee_unassigned;
-    struct quota_part parts[QUOTA_SHARES_MOST];
-    int n_parts;
+    struct quota_allotment allotments[QUOTA_SHARES_MOST];
+    int n_allotments;
 };
 
 /* The shard that holds the i-th part of a team: the first is the team's home, its only one where it is undivided. */
@@ -33,8 +33,8 @@
 
 /* NULL, or what contradicts the invariant. */
 const char *quota_record_fault(const struct quota_record *r);
-struct quota_part *quota_part_of(struct quota_record *r, int shard); /* NULL: none */
-bool quota_part_closing(const struct quota_record *r, int home, int size, int shard);
+struct quota_allotment *quota_allotment_of(struct quota_record *r, int shard); /* NULL: none */
+bool quota_allotment_closing(const struct quota_record *r, int home, int size, int shard);
 
 /* The first record of a team: its home holds the whole limit, as it did before. */
 struct quota_record quota_record_create(int home, int size, int shards, struct quota_amount limit,
@@ -53,14 +53,14 @@
 struct quota_demand {
     int shard, tasks;
     struct quota_amount each;
-    bool whole;      /* all tasks or none */
-    bool may_gather; /* what gets free may be held back for it until all of it fits */
+    bool whole;       /* all tasks or none */
+    bool may_reserve; /* what gets free may be held back for it until all of it fits */
 };
 
 struct quota_targets {
     struct quota_amount of[QUOTA_SHARES_MOST]; /* in the order of the record's parts */
     bool scarce[QUOTA_DIMENSIONS];             /* not all that waits fits under the limit */
-    int gatherer;                              /* index of the demand that room is held back for; -1: none */
+    int reservation_holder;                    /* index of the demand that room is held back for; -1: none */
 };
 
 /* What each shard's part should come to: what it uses, and what waits there as far as the limit goes, in order. All
@@ -83,5 +83,5 @@
 
 /* How much of the team's work in a shard may be stopped for others: what the team uses beyond its whole guarantee, as
  * far as the other shards surely keep their parts of it. */
-struct quota_amount quota_beyond(const struct quota_record *r, int part, const struct quota_amount *used);
+struct quota_amount quota_over_guarantee(const struct quota_record *r, int part, const struct quota_amount *used);
 #endif
--- a/src/quota/parts_properties.cpp
+++ b/src/quota/allotments_properties.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 extern "C" {
-#include "parts.h"
+#include "allotments.h"
 }
 
 namespace {
@@ -52,7 +52,7 @@
 
     std::vector<quota_amount> used() const {
         std::vector<quota_amount> out(QUOTA_SHARES_MOST);
-        for (int i = 0; i < record.n_parts; i++) out[i] = used_by_shard[record.parts[i].shard];
+        for (int i = 0; i < record.n_allotments; i++) out[i] = used_by_shard[record.allotments[i].shard];
         return out;
     }
     quota_amount total() const {
@@ -68,7 +68,7 @@
     std::vector<quota_demand> out;
     for (const auto &o : operations) {
         if (o.vcpus + o.gpus == 0) continue;
-        out.push_back({r.parts[o.shard % r.n_parts].shard, o.shards, amount(o.vcpus, o.gpus), o.kind == Kind::kBook,
+        out.push_back({r.allotments[o.shard % r.n_allotments].shard, o.shards, amount(o.vcpus, o.gpus), o.kind == Kind::kBook,
                        o.kind != Kind::kPrune});
     }
     return out;
@@ -80,10 +80,10 @@
     const auto used = team.used();
     const auto targets =
         quota_targets(&r, used.data(), quota_amount{}, demands.data(), static_cast<int>(demands.size()));
-    const int part = o.shard % r.n_parts, shard = r.parts[part].shard;
+    const int part = o.shard % r.n_allotments, shard = r.allotments[part].shard;
     const quota_amount size = amount(o.vcpus, o.gpus);
     if (o.kind == Kind::kBook) {
-        const bool closing = quota_part_closing(&r, kHome, kSize, shard);
+        const bool closing = quota_allotment_closing(&r, kHome, kSize, shard);
         const auto may = quota_allowance(&r, part, r.limit, used.data(), &targets, closing);
         const auto next = quota_amount_sum(used[part], size);
         if (size.of[0] + size.of[1] == 0 || !within(next, may)) return;
@@ -97,13 +97,13 @@
     } else if (o.kind == Kind::kRebalance) {
         bool owned[QUOTA_SHARES_MOST] = {};
         const quota_record before = r;
-        for (int i = 0; i < r.n_parts; i++) owned[i] = (o.owners >> r.parts[i].shard & 1) != 0;
+        for (int i = 0; i < r.n_allotments; i++) owned[i] = (o.owners >> r.allotments[i].shard & 1) != 0;
         quota_rebalance(&r, kHome, kSize, used.data(), &targets, owned);
-        for (int i = 0; i < r.n_parts; i++) {
-            const bool lowered = !within(before.parts[i].limit, r.parts[i].limit);
-            RC_ASSERT(owned[i] || quota_amount_equal(before.parts[i].limit, r.parts[i].limit));
-            RC_ASSERT(!lowered || within(used[i], quota_amount_most(r.parts[i].limit, quota_amount{})) ||
-                      !within(used[i], before.parts[i].limit));
+        for (int i = 0; i < r.n_allotments; i++) {
+            const bool lowered = !within(before.allotments[i].limit, r.allotments[i].limit);
+            RC_ASSERT(owned[i] || quota_amount_equal(before.allotments[i].limit, r.allotments[i].limit));
+            RC_ASSERT(!lowered || within(used[i], quota_amount_most(r.allotments[i].limit, quota_amount{})) ||
+                      !within(used[i], before.allotments[i].limit));
         }
         RC_ASSERT(r.epoch == before.epoch);
     } else if (o.kind == Kind::kChange) {
@@ -143,15 +143,15 @@
             quota_targets(&team.record, used.data(), quota_amount{}, demands.data(), static_cast<int>(demands.size()));
         int changes = 0;
         for (int scheduling_round = 0; scheduling_round < kRoundsToSettle; scheduling_round++)
-            for (int i = 0; i < team.record.n_parts; i++) {
+            for (int i = 0; i < team.record.n_allotments; i++) {
                 bool owned[QUOTA_SHARES_MOST] = {};
                 owned[i] = true;
                 changes += quota_rebalance(&team.record, kHome, kSize, used.data(), &targets, owned);
             }
         // Each shard gives and takes a bounded number of times: nothing is passed to and fro.
-        RC_ASSERT(changes <= 4 * team.record.n_parts);
-        for (int i = 0; i < team.record.n_parts; i++)
-            RC_ASSERT(targets.gatherer >= 0 || within(targets.of[i], team.record.parts[i].limit) ||
+        RC_ASSERT(changes <= 4 * team.record.n_allotments);
+        for (int i = 0; i < team.record.n_allotments; i++)
+            RC_ASSERT(targets.reservation_holder >= 0 || within(targets.of[i], team.record.allotments[i].limit) ||
                       team.record.limit.of[0] == 0);
     });
     ok &= rc::check("targets keep to the limit, and no two jobs hold half each", [] {
@@ -162,9 +162,9 @@
         const auto targets =
             quota_targets(&team.record, used.data(), quota_amount{}, demands.data(), static_cast<int>(demands.size()));
         quota_amount sum{}, gathered{};
-        for (int i = 0; i < team.record.n_parts; i++) sum = quota_amount_sum(sum, targets.of[i]);
-        if (targets.gatherer >= 0) {
-            const auto &g = demands[targets.gatherer];
+        for (int i = 0; i < team.record.n_allotments; i++) sum = quota_amount_sum(sum, targets.of[i]);
+        if (targets.reservation_holder >= 0) {
+            const auto &g = demands[targets.reservation_holder];
             const int tasks = g.whole ? g.tasks : 1;
             for (int d = 0; d < QUOTA_DIMENSIONS; d++) gathered.of[d] = g.each.of[d] * tasks;
             RC_ASSERT(within(gathered, team.record.limit));
@@ -173,12 +173,12 @@
     });
     ok &= rc::check("owners that stop work at the same time leave the team its guarantee", [] {
         Team team = created(*rc::gen::inRange(1, kSize + 1));
-        for (int i = 0; i < team.record.n_parts; i++)
-            team.used_by_shard[team.record.parts[i].shard] = amount(*rc::gen::inRange(0, 9), *rc::gen::inRange(0, 5));
+        for (int i = 0; i < team.record.n_allotments; i++)
+            team.used_by_shard[team.record.allotments[i].shard] = amount(*rc::gen::inRange(0, 9), *rc::gen::inRange(0, 5));
         const auto used = team.used();
         quota_amount left{};
-        for (int i = 0; i < team.record.n_parts; i++)
-            left = quota_amount_sum(left, quota_amount_difference(used[i], quota_beyond(&team.record, i, used.data())));
+        for (int i = 0; i < team.record.n_allotments; i++)
+            left = quota_amount_sum(left, quota_amount_difference(used[i], quota_over_guarantee(&team.record, i, used.data())));
         RC_ASSERT(within(quota_amount_least(team.total(), team.record.guarantee), left));
     });
     return ok ? 0 : 1;
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -63,7 +63,7 @@
 
 /* Nothing is left in shards beside the home. */
 static bool undivided_again(const struct quota_team *t) {
-    if (t->record.shards > 1 || t->record.n_parts > 1) return false;
+    if (t->record.shards > 1 || t->record.n_allotments > 1) return false;
     for (int k = 0; k < quota_settings->size; k++) {
         GPtrArray *lists[] = {jobs_active_of(k), jobs_ended_of(k)};
         for (size_t l = 0; k != t->home && l < G_N_ELEMENTS(lists); l++)
@@ -79,7 +79,7 @@
     bool known = quota_view_agreed(t->team, &agreed);
     struct quota_record next = t->record;
     if (t->damaged || !settled(t->home)) return false;
-    if (t->recorded) quota_look(t);
+    if (t->recorded) quota_measure_demand(t);
     if (!t->recorded) {
         if (!known || agreed.shards <= 1 || !schema_version_divided_quota()) return false;
         next = quota_record_create(t->home, quota_settings->size, agreed.shards, agreed.limit, agreed.guarantee);
@@ -114,14 +114,15 @@
 static bool change_parts(struct change *c, struct quota_team *t) {
     bool owned[QUOTA_SHARES_MOST], any = false;
     if (!t->recorded) return false;
-    for (int i = 0; i < t->record.n_parts; i++) any |= owned[i] = settled(t->record.parts[i].shard);
+    for (int i = 0; i < t->record.n_allotments; i++) any |= owned[i] = settled(t->record.allotments[i].shard);
     if (!any) return false;
-    quota_look(t);
+    quota_measure_demand(t);
     struct quota_record next = t->record;
     if (!quota_rebalance(&next, t->home, quota_settings->size, t->used, &t->targets, owned)) return false;
     begin_change(c, t);
-    for (int i = 0; i < next.n_parts; i++)
-        if (!quota_amount_equal(next.parts[i].limit, t->record.parts[i].limit)) require_shard(c, next.parts[i].shard);
+    for (int i = 0; i < next.n_allotments; i++)
+        if (!quota_amount_equal(next.allotments[i].limit, t->record.allotments[i].limit))
+            require_shard(c, next.allotments[i].shard);
     store_txn_put(&c->txn, c->key, quota_record_value(&next), 0);
     return true;
 }
@@ -204,7 +205,7 @@
     }
 }
 
-void quota_run(struct http_client *client) {
+void quota_commit_changes(struct http_client *client) {
     static struct timespec moved;
     store_lock();
     bool in_use = quota_in_use(), foreign = jobs_any_foreign();
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -14,8 +14,8 @@
 #define DEMANDS_MOST 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
 
 static int part_at(const struct quota_record *r, int shard) {
-    for (int i = 0; i < r->n_parts; i++)
-        if (r->parts[i].shard == shard) return i;
+    for (int i = 0; i < r->n_allotments; i++)
+        if (r->allotments[i].shard == shard) return i;
     return -1;
 }
 
@@ -33,8 +33,8 @@
     memset(t->used, 0, sizeof t->used);
     memset(t->stopping, 0, sizeof t->stopping);
     *lasting = (struct quota_amount){{0}};
-    for (int i = 0; i < t->record.n_parts; i++) {
-        int shard = t->record.parts[i].shard;
+    for (int i = 0; i < t->record.n_allotments; i++) {
+        int shard = t->record.allotments[i].shard;
         GPtrArray *lists[] = {jobs_active_of(shard), jobs_ended_of(shard)};
         for (size_t l = 0; l < G_N_ELEMENTS(lists); l++)
             for (guint n = 0; n < lists[l]->len; n++) {
@@ -69,21 +69,21 @@
 static void keep_gatherer(struct quota_team *t, const struct job *j) {
     double most = clock_to_seconds(quota_settings->quota.gather);
     if (!j) {
-        t->gatherer[0] = 0;
+        t->reservation_holder[0] = 0;
         return;
     }
     int booked = allocations_count(j);
-    if (strcmp(t->gatherer, j->spec.job_id) != 0 || t->gatherer_booked != booked) {
-        g_strlcpy(t->gatherer, j->spec.job_id, sizeof t->gatherer);
-        t->gathering_since = clock_now();
-        t->gatherer_booked = booked;
+    if (strcmp(t->reservation_holder, j->spec.job_id) != 0 || t->reservation_holder_allocated != booked) {
+        g_strlcpy(t->reservation_holder, j->spec.job_id, sizeof t->reservation_holder);
+        t->reservation_since = clock_now();
+        t->reservation_holder_allocated = booked;
         return;
     }
-    if (clock_seconds_since(t->gathering_since) < most) return;
+    if (clock_seconds_since(t->reservation_since) < most) return;
     struct given_up *g = &given_up[n_given_up++ % GIVEN_UP_MOST];
     g_strlcpy(g->job_id, j->spec.job_id, sizeof g->job_id);
     g->until = clock_instant_in(clock_from_seconds(PAUSE_TIMES * most));
-    t->gatherer[0] = 0;
+    t->reservation_holder[0] = 0;
     log_info("quota: team %s: not enough gets free for %s, it steps back", quota_settings->teams[t->team].name,
              j->spec.job_id);
 }
@@ -97,7 +97,7 @@
                                                                  : scheduler_missing_tasks(j);
 }
 
-void quota_look(struct quota_team *t) {
+void quota_measure_demand(struct quota_team *t) {
     struct quota_demand demands[DEMANDS_MOST];
     const struct job *jobs[DEMANDS_MOST];
     struct quota_amount lasting;
@@ -108,16 +108,16 @@
         const struct job *j = g_array_index(order, struct ranked_job, i).job;
         int waiting = tasks_waiting(j);
         if (waiting <= 0 || part_at(&t->record, jobs_shard(j)) < 0) continue;
-        if (quota_part_closing(&t->record, t->home, quota_settings->size, jobs_shard(j))) continue;
+        if (quota_allotment_closing(&t->record, t->home, quota_settings->size, jobs_shard(j))) continue;
         jobs[n] = j;
         demands[n++] = (struct quota_demand){.shard = jobs_shard(j),
                                              .tasks = waiting,
                                              .each = quota_amount_used(&j->spec, 1),
                                              .whole = j->spec.kind == JOB_GANG,
-                                             .may_gather = !gave_up_lately(j->spec.job_id)};
+                                             .may_reserve = !gave_up_lately(j->spec.job_id)};
     }
     g_array_free(order, TRUE);
     t->targets = quota_targets(&t->record, t->used, lasting, demands, n);
-    keep_gatherer(t, t->targets.gatherer >= 0 ? jobs[t->targets.gatherer] : NULL);
+    keep_gatherer(t, t->targets.reservation_holder >= 0 ? jobs[t->targets.reservation_holder] : NULL);
     t->looked = true;
 }
--- a/src/quota/demand.h
+++ b/src/quota/demand.h
@@ -4,5 +4,5 @@
 #include "state.h"
 
 /* Counts what each part uses, and computes the targets. */
-void quota_look(struct quota_team *t);
+void quota_measure_demand(struct quota_team *t);
 #endif
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -13,8 +13,8 @@
 static int n_divided; /* teams with a record, readable or not */
 
 static int part_at(const struct quota_team *t, int shard) {
-    for (int i = 0; i < t->record.n_parts; i++)
-        if (t->record.parts[i].shard == shard) return i;
+    for (int i = 0; i < t->record.n_allotments; i++)
+        if (t->record.allotments[i].shard == shard) return i;
     return -1;
 }
 
@@ -22,7 +22,7 @@
 static struct quota_team *divided(int team) {
     struct quota_team *t = quota_team_at(team);
     if (!t || !(t->recorded || t->damaged)) return NULL;
-    if (t->recorded && !t->looked) quota_look(t);
+    if (t->recorded && !t->looked) quota_measure_demand(t);
     return t;
 }
 
@@ -42,7 +42,7 @@
         struct quota_team *t = quota_team_at(team);
         if (!t || !(t->recorded || t->damaged)) continue;
         n_divided++;
-        if (t->recorded) quota_look(t);
+        if (t->recorded) quota_measure_demand(t);
     }
 }
 
@@ -63,15 +63,15 @@
     /* A write that was refused may be the second copy of one that was carried out: until the mirror shows whether it
      * was, what the shard uses is not known. */
     if (t->damaged || at < 0 || shard_states[shard].conflict_revision > store_revision()) return no_room;
-    bool closing = quota_part_closing(&t->record, t->home, quota_settings->size, shard);
+    bool closing = quota_allotment_closing(&t->record, t->home, quota_settings->size, shard);
     struct quota_amount may =
         quota_allowance(&t->record, at, quota_view_least_limit(team), t->used, &t->targets, closing);
     return (struct quota_bound){bound_of(may.of[QUOTA_VCPUS]), bound_of(may.of[QUOTA_GPUS])};
 }
 
-bool quota_gathers(const struct job *j) {
+bool quota_reserves_for(const struct job *j) {
     const struct quota_team *t = divided(j->spec.team);
-    return t && t->gatherer[0] && strcmp(t->gatherer, j->spec.job_id) == 0;
+    return t && t->reservation_holder[0] && strcmp(t->reservation_holder, j->spec.job_id) == 0;
 }
 
 bool quota_counts_scarce(const struct job *j) {
@@ -86,7 +86,7 @@
                                                                                               : QUOTA_VCPUS;
 }
 
-bool quota_may_be_stopped(const struct allocation *b) {
+bool quota_may_preempt(const struct allocation *b) {
     const struct quota_team *t = divided(b->job->spec.team);
     if (!t) return true;
     int at = part_at(t, jobs_shard(b->job));
@@ -95,10 +95,10 @@
     memcpy(used, t->used, sizeof used);
     used[at] = quota_amount_difference(used[at], t->stopping[at]);
     enum quota_dimension d = guaranteed(t);
-    return quota_beyond(&t->record, at, used).of[d] >= MAX(quota_amount_used(&b->job->spec, 1).of[d], 1);
+    return quota_over_guarantee(&t->record, at, used).of[d] >= MAX(quota_amount_used(&b->job->spec, 1).of[d], 1);
 }
 
-bool quota_may_be_cleared(const struct machine *m, enum job_priority rank) {
+bool quota_may_preempt_all(const struct machine *m, enum job_priority rank) {
     bool may = true;
     guint counted = 0;
     struct quota_amount before[MACHINE_TASKS_MAX] = {{{0}}};
@@ -107,10 +107,10 @@
         const struct allocation *b = m->allocations->pdata[counted];
         struct quota_team *t = divided(b->job->spec.team);
         int at = t && !t->damaged ? part_at(t, jobs_shard(b->job)) : -1;
-        may &= !t || b->job->priority < rank || quota_may_be_stopped(b);
+        may &= !t || b->job->priority < rank || quota_may_preempt(b);
         if (at < 0) continue;
         before[counted] = t->stopping[at];
-        quota_stopped(b);
+        quota_note_preempted(b);
     }
     while (counted-- > 0) {
         const struct allocation *b = m->allocations->pdata[counted];
@@ -131,32 +131,32 @@
            (double)t->used[at].of[QUOTA_GPUS] / QUOTA_UNIT + tasks * j->spec.gpus <= most.gpus + 1e-6;
 }
 
-void quota_stopped(const struct allocation *b) {
+void quota_note_preempted(const struct allocation *b) {
     struct quota_team *t = divided(b->job->spec.team);
     int at = t ? part_at(t, jobs_shard(b->job)) : -1;
     if (at >= 0) t->stopping[at] = quota_amount_sum(t->stopping[at], quota_amount_used(&b->job->spec, 1));
 }
 
 /* The periodic line of each team whose home is ours. */
-void quota_tell(void) {
+void quota_log_status(void) {
     for (int team = 0; team < quota_settings->n_teams; team++) {
         const struct quota_team *t = divided(team);
         if (!t || t->damaged || !membership_owns(t->home)) continue;
         const struct quota_record *r = &t->record;
         GString *line = g_string_new("");
-        for (int i = 0; i < r->n_parts; i++) {
+        for (int i = 0; i < r->n_allotments; i++) {
             struct quota_amount waits = quota_amount_difference(t->targets.of[i], t->used[i]);
             g_string_append_printf(
-                line, ", share %d uses %.0f/%.0f of %.0f/%.0f and is due %.0f/%.0f more", r->parts[i].shard,
+                line, ", share %d uses %.0f/%.0f of %.0f/%.0f and is due %.0f/%.0f more", r->allotments[i].shard,
                 (double)t->used[i].of[QUOTA_VCPUS] / QUOTA_UNIT, (double)t->used[i].of[QUOTA_GPUS] / QUOTA_UNIT,
-                (double)r->parts[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
-                (double)r->parts[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT, (double)waits.of[QUOTA_VCPUS] / QUOTA_UNIT,
+                (double)r->allotments[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
+                (double)r->allotments[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT, (double)waits.of[QUOTA_VCPUS] / QUOTA_UNIT,
                 (double)waits.of[QUOTA_GPUS] / QUOTA_UNIT);
         }
         log_info("quota: team %s, epoch %lld%s, unassigned %.0f/%.0f (vcpus/gpus)%s%s",
                  quota_settings->teams[team].name, (long long)r->epoch, line->str,
                  (double)r->unassigned.of[QUOTA_VCPUS] / QUOTA_UNIT, (double)r->unassigned.of[QUOTA_GPUS] / QUOTA_UNIT,
-                 t->gatherer[0] ? ", room is held back for " : "", t->gatherer);
+                 t->reservation_holder[0] ? ", room is held back for " : "", t->reservation_holder);
         g_string_free(line, TRUE);
     }
 }
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -25,14 +25,15 @@
 struct quota_bound quota_bound(int team, int shard);
 /* The job that room is held back for until all of it fits. What comes after it in order, and counts against what is
  * scarce, starts nothing meanwhile. */
-bool quota_gathers(const struct job *j);
+bool quota_reserves_for(const struct job *j);
 bool quota_counts_scarce(const struct job *j);
-/* Whether a task of a divided team may be stopped for another team's guarantee; counts it as stopped in quota_stopped.
+/* Whether a task of a divided team may be stopped for another team's guarantee; counts it as stopped in
+ * quota_note_preempted.
  */
-bool quota_may_be_stopped(const struct allocation *b);
-void quota_stopped(const struct allocation *b);
+bool quota_may_preempt(const struct allocation *b);
+void quota_note_preempted(const struct allocation *b);
 /* The same for all on a machine that does not make way by its rank alone. */
-bool quota_may_be_cleared(const struct machine *m, enum job_priority rank);
+bool quota_may_preempt_all(const struct machine *m, enum job_priority rank);
 /* The shard's part of the team's limit has room for so many more tasks of the job: machines would help it. */
 bool quota_waits_for_machines(const struct job *j, int tasks);
 /* Adds the record of our own settings' view; false if there is nothing to write. */
@@ -40,6 +41,6 @@
 
 /* Without the lock: writes at most one change for each divided team, and moves what is left in closing shards. Called
  * between an owner's rounds, by their thread, so that no allocation of ours is under way meanwhile. */
-void quota_run(struct http_client *c);
-void quota_tell(void); /* the periodic lines */
+void quota_commit_changes(struct http_client *c);
+void quota_log_status(void); /* the periodic lines */
 #endif
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -72,7 +72,7 @@
     (void)state;
     struct quota_amount much = quota_amount_granted(1e9, 1e9);
     struct quota_record r = quota_record_create(0, 64, QUOTA_SHARES_MOST, much, much);
-    for (int i = 1; i < r.n_parts; i++) {
+    for (int i = 1; i < r.n_allotments; i++) {
         assert_true(quota_record_move(&r, 0, quota_amount_difference((struct quota_amount){{0}}, gpus(1000))));
         assert_true(quota_record_move(&r, i, gpus(1000)));
     }
@@ -94,8 +94,8 @@
             bool whole;
         } waits[3]; /* in order */
         int due[2];
-        int parts[2]; /* after each owner has had two turns */
-        int gatherer;
+        int allotments[2]; /* after each owner has had two turns */
+        int reservation_holder;
     } rows[] = {
         {"nobody waits", {3, 0}, {{0, 0, 0, false}}, {3, 0}, {12, 0}, -1},
         {"the second has work", {3, 0}, {{1, 5, 1, false}}, {3, 5}, {7, 5}, -1},
@@ -127,12 +127,13 @@
             quota_rebalance(&r, HOME, SIZE, used, &t, owned);
             assert_null(quota_record_fault(&r));
         }
-        if (t.gatherer != rows[i].gatherer) fail_msg("%s: gatherer %d", rows[i].what, t.gatherer);
+        if (t.reservation_holder != rows[i].reservation_holder)
+            fail_msg("%s: gatherer %d", rows[i].what, t.reservation_holder);
         for (int p = 0; p < 2; p++) {
             if (t.of[p].of[QUOTA_GPUS] != rows[i].due[p] * 1000)
                 fail_msg("%s: part %d is due %lld", rows[i].what, p, (long long)t.of[p].of[QUOTA_GPUS]);
-            if (r.parts[p].limit.of[QUOTA_GPUS] != rows[i].parts[p] * 1000)
-                fail_msg("%s: part %d is %lld", rows[i].what, p, (long long)r.parts[p].limit.of[QUOTA_GPUS]);
+            if (r.allotments[p].limit.of[QUOTA_GPUS] != rows[i].allotments[p] * 1000)
+                fail_msg("%s: part %d is %lld", rows[i].what, p, (long long)r.allotments[p].limit.of[QUOTA_GPUS]);
         }
     }
 }
@@ -182,9 +183,9 @@
     assert_int_equal(r.epoch, 2);
     assert_true(quota_rebalance(&r, HOME, SIZE, used, &t, all));
     assert_true(quota_record_prune(&r, HOME, SIZE, used));
-    assert_int_equal(r.n_parts, 2); /* one shard still runs tasks */
-    assert_int_equal(quota_part_of(&r, 0)->limit.of[QUOTA_GPUS], 3000);
-    assert_int_equal(quota_part_of(&r, HOME)->guarantee.of[QUOTA_GPUS], 5000);
+    assert_int_equal(r.n_allotments, 2); /* one shard still runs tasks */
+    assert_int_equal(quota_allotment_of(&r, 0)->limit.of[QUOTA_GPUS], 3000);
+    assert_int_equal(quota_allotment_of(&r, HOME)->guarantee.of[QUOTA_GPUS], 5000);
     assert_null(quota_record_fault(&r));
 }
 
--- a/src/quota/record.c
+++ b/src/quota/record.c
@@ -26,7 +26,7 @@
     return read_amount(cJSON_GetObjectItemCaseSensitive(o, name), 0, out);
 }
 
-static cJSON *part_value(const struct quota_part *p) {
+static cJSON *part_value(const struct quota_allotment *p) {
     cJSON *list = cJSON_CreateArray();
     cJSON_AddItemToArray(list, cJSON_CreateNumber(p->shard));
     for (int d = 0; d < QUOTA_DIMENSIONS; d++) cJSON_AddItemToArray(list, cJSON_CreateNumber((double)p->limit.of[d]));
@@ -43,12 +43,12 @@
     cJSON_AddItemToObject(o, "guarantee", amount_value(r->guarantee));
     cJSON_AddItemToObject(o, "unassigned", amount_value(r->unassigned));
     cJSON_AddItemToObject(o, "guarantee_unassigned", amount_value(r->guarantee_unassigned));
-    cJSON *parts = cJSON_AddArrayToObject(o, "parts");
-    for (int i = 0; i < r->n_parts; i++) cJSON_AddItemToArray(parts, part_value(&r->parts[i]));
+    cJSON *allotments = cJSON_AddArrayToObject(o, "parts");
+    for (int i = 0; i < r->n_allotments; i++) cJSON_AddItemToArray(allotments, part_value(&r->allotments[i]));
     return o;
 }
 
-static bool read_part(const cJSON *list, int size, struct quota_part *out) {
+static bool read_part(const cJSON *list, int size, struct quota_allotment *out) {
     const cJSON *shard = cJSON_GetArrayItem(list, 0);
     if (!cJSON_IsNumber(shard) || shard->valueint < 0 || shard->valueint >= size) return false;
     out->shard = shard->valueint;
@@ -57,7 +57,7 @@
 
 bool quota_record_read(const cJSON *value, int size, struct quota_record *out, const char **fault) {
     int64_t shards = 0;
-    const cJSON *parts = cJSON_GetObjectItemCaseSensitive(value, "parts"), *x;
+    const cJSON *allotments = cJSON_GetObjectItemCaseSensitive(value, "parts"), *x;
     *out = (struct quota_record){0};
     *fault = "its form";
     if (!json_get_int64(value, "epoch", &out->epoch) || !json_get_int64(value, "shares", &shards) ||
@@ -66,9 +66,10 @@
         !read_field(value, "guarantee_unassigned", &out->guarantee_unassigned))
         return false;
     out->shards = (int)CLAMP(shards, 0, INT32_MAX);
-    cJSON_ArrayForEach(x, parts) {
-        if (out->n_parts == QUOTA_SHARES_MOST || !read_part(x, size, &out->parts[out->n_parts])) return false;
-        out->n_parts++;
+    cJSON_ArrayForEach(x, allotments) {
+        if (out->n_allotments == QUOTA_SHARES_MOST || !read_part(x, size, &out->allotments[out->n_allotments]))
+            return false;
+        out->n_allotments++;
     }
     *fault = quota_record_fault(out);
     return *fault == NULL;
--- a/src/quota/record.h
+++ b/src/quota/record.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 
 #include "../json/json.h"
-#include "parts.h"
+#include "allotments.h"
 
 cJSON *quota_record_value(const struct quota_record *r);
 /* False, with the fault named, where the value is of another form or breaks the invariant. */
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -50,15 +50,15 @@
 
 static void tell(const struct quota_team *t) {
     const struct quota_record *r = &t->record;
-    GString *parts = g_string_new("");
-    for (int i = 0; i < r->n_parts; i++)
-        g_string_append_printf(parts, " share %d %.0f/%.0f", r->parts[i].shard,
-                               (double)r->parts[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
-                               (double)r->parts[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT);
+    GString *allotments = g_string_new("");
+    for (int i = 0; i < r->n_allotments; i++)
+        g_string_append_printf(allotments, " share %d %.0f/%.0f", r->allotments[i].shard,
+                               (double)r->allotments[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
+                               (double)r->allotments[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT);
     log_debug("quota: team %s, epoch %lld:%s, unassigned %.0f/%.0f (vcpus/gpus)", quota_settings->teams[t->team].name,
-              (long long)r->epoch, parts->str, (double)r->unassigned.of[QUOTA_VCPUS] / QUOTA_UNIT,
+              (long long)r->epoch, allotments->str, (double)r->unassigned.of[QUOTA_VCPUS] / QUOTA_UNIT,
               (double)r->unassigned.of[QUOTA_GPUS] / QUOTA_UNIT);
-    g_string_free(parts, TRUE);
+    g_string_free(allotments, TRUE);
 }
 
 static void apply_record(const char *name, const cJSON *data, int64_t mod_revision) {
--- a/src/quota/state.h
+++ b/src/quota/state.h
@@ -18,9 +18,9 @@
     struct quota_amount stopping[QUOTA_SHARES_MOST]; /* part of it that was told to end */
     struct quota_targets targets;
     bool looked;
-    char gatherer[64]; /* the job that room is held back for; empty: none */
-    struct timespec gathering_since;
-    int gatherer_booked;
+    char reservation_holder[64]; /* the job that room is held back for; empty: none */
+    struct timespec reservation_since;
+    int reservation_holder_allocated;
 };
 
 extern const struct settings *quota_settings;
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -162,7 +162,7 @@
         bool all = true;
         for (guint b = 0; b < m->allocations->len; b++)
             all &= preemption_evictable(m->allocations->pdata[b], j, within);
-        if (!all || !quota_may_be_cleared(m, j->priority)) continue;
+        if (!all || !quota_may_preempt_all(m, j->priority)) continue;
         double cost = m->allocations->len * 2.0;
         for (guint b = 0; b < m->allocations->len; b++) cost += preemption_recently_started(m->allocations->pdata[b]);
         cost += (g_hash_table_contains(m->images, j->spec.image) ? 0 : 3);
@@ -196,7 +196,7 @@
         log_info("machine %s: transfer from share %d to share %d for %s", m->id, k, s, j->spec.job_id);
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
-            if (!x->stop_requested) quota_stopped(x);
+            if (!x->stop_requested) quota_note_preempted(x);
             allocations_request_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.checkpoint_flush_s + 1 : 0);
         }
     }
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -318,7 +318,7 @@
         sync_wakeup_wait(&wakeup, clock_from_seconds(0.5));
         bool again = false;
         for (int k = 0; k < scheduler_settings->size; k++) again |= run_round(c, k);
-        quota_run(c);
+        quota_commit_changes(c);
         if (clock_seconds_since(watched) > 0.5) {
             watched = clock_now();
             store_lock();
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -352,7 +352,7 @@
         j->unplaced = j->spec.kind == JOB_GANG ? plan_group(r, j, within, mine, room, &rules, u)
                                                : plan_tasks(r, j, within, missing[i], mine, room, &rules, u);
         jobs_planned += r->plans->len > before;
-        held_back[j->spec.team] |= quota_gathers(j);
+        held_back[j->spec.team] |= quota_reserves_for(j);
         if (j->unplaced) note_no_room(&none, &j->spec);
         if (quarantine_job_suspect(j)) j->unplaced = false; /* it waits for room, and has none rented */
         if (j->unplaced) shard_states[k].fit_nowhere = true;
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -108,7 +108,7 @@
         "(median %.1f ms, p95 %.1f ms)",
         jobs_active()->len, machines_all()->len, (now - last) / 10.0, store_budget_rate_factor(false),
         store_budget_rate_factor(true), clock_seconds_since(store_last_read()), answers, median, p95);
-    quota_tell();
+    quota_log_status();
     store_unlock();
     static struct store_write_counts before;
     struct store_write_counts written = store_writes_counted();
