--- a/rehearsal/main.c
+++ b/rehearsal/main.c
@@ -15,7 +15,7 @@
 #include "play.h"
 
 enum { EXIT_PASSED = 0, EXIT_FAILED = 1, EXIT_ARGUMENT = 2 };
-#define RUNS_MOST 200
+#define RUNS_MAX 200
 
 struct options {
     char *program, *scenario;
@@ -54,7 +54,7 @@
 
 struct series {
     const char *what;
-    double values[RUNS_MOST];
+    double values[RUNS_MAX];
 };
 
 static void print_series(struct series *series, int n) {
@@ -100,7 +100,7 @@
 }
 
 static int rehearse(const struct options *o, const struct scenario *s) {
-    static struct play_result results[RUNS_MOST];
+    static struct play_result results[RUNS_MAX];
     int passed = 0;
     for (int i = 0; i < o->runs; i++) {
         bool got = run_apart(o, s, (unsigned)(o->seed + i), &results[i]);
@@ -133,7 +133,7 @@
         fault = error->message;
     else if (argc > 1 || !o->scenario || (!o->program && !o->check))
         fault = "--scenario FILE, and --program FILE unless only checking, are needed (see --help)";
-    else if (o->runs < 1 || o->runs > RUNS_MOST)
+    else if (o->runs < 1 || o->runs > RUNS_MAX)
         fault = "--runs: not from 1 to 200";
     if (fault) fprintf(stderr, "fieldfield-rehearse: %s\n", fault);
     g_clear_error(&error);
--- a/rehearsal/play.c
+++ b/rehearsal/play.c
@@ -16,14 +16,14 @@
 
 #define SHARED_WITHIN_S 20.0
 #define DIVIDED_WITHIN_S 10.0
-#define JOBS_MOST 4096
-#define ARRAY_TASKS_MOST 4
+#define JOBS_MAX 4096
+#define ARRAY_TASKS_MAX 4
 
 struct play {
     const struct scenario *s;
     GRand *random;
     double began;
-    char uids[JOBS_MOST][16];
+    char uids[JOBS_MAX][16];
     int n_jobs;
     bool accepted;
     int owner; /* that a step named by its team */
@@ -94,10 +94,10 @@
 
 /* One-task jobs at all controllers at once. */
 static void flood(struct play *p, const struct scenario_step *step) {
-    struct flood floods[CLUSTER_MOST];
-    GThread *threads[CLUSTER_MOST];
+    struct flood floods[CLUSTER_MAX];
+    GThread *threads[CLUSTER_MAX];
     int first = p->n_jobs;
-    for (int n = 0; n < step->count && p->n_jobs < JOBS_MOST; n++) new_uid(p);
+    for (int n = 0; n < step->count && p->n_jobs < JOBS_MAX; n++) new_uid(p);
     for (int i = 0; i < p->s->controllers; i++) {
         floods[i] = (struct flood){p, i, step->team, first, p->n_jobs, false};
         threads[i] = g_thread_new("flood", flood_main, &floods[i]);
@@ -110,10 +110,10 @@
 
 /* Jobs of random size, by the seed. */
 static void burst(struct play *p, const struct scenario_step *step) {
-    for (int n = 0; n < step->count && p->n_jobs < JOBS_MOST; n++) {
+    for (int n = 0; n < step->count && p->n_jobs < JOBS_MAX; n++) {
         bool gang = g_rand_int_range(p->random, 0, 4) == 0;
         submit(p, n % p->s->controllers, step->team, gang ? "group" : "batch",
-               g_rand_int_range(p->random, 1, ARRAY_TASKS_MOST + 1));
+               g_rand_int_range(p->random, 1, ARRAY_TASKS_MAX + 1));
     }
 }
 
--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -21,12 +21,12 @@
  * who plans no more for a chunk that is full. */
 #define ENTRY_BYTES 24
 #define RECORD_BYTES 256 /* all else in a record */
-#define STRETCH_LEAST 8  /* bits of done tasks are kept in whole bytes */
-#define STRETCH_MOST 4096
+#define STRETCH_MIN 8    /* bits of done tasks are kept in whole bytes */
+#define STRETCH_MAX 4096
 
 static int stretch_for(double value_kb) {
     int entries = (int)((value_kb * 1024 - RECORD_BYTES) / ENTRY_BYTES);
-    return CLAMP(entries, STRETCH_LEAST, STRETCH_MOST) / STRETCH_LEAST * STRETCH_LEAST;
+    return CLAMP(entries, STRETCH_MIN, STRETCH_MAX) / STRETCH_MIN * STRETCH_MIN;
 }
 
 int allocations_legacy_chunk_size(void) { return stretch_for(cfg->value_kb); }
@@ -197,9 +197,8 @@
     int64_t chunk_size = 0;
     if (!data) return allocations_chunk_size(j);
     if (!json_get_int64(data, "n", &chunk_size)) return allocations_legacy_chunk_size();
-    return chunk_size >= STRETCH_LEAST && chunk_size <= STRETCH_MOST && chunk_size % STRETCH_LEAST == 0
-               ? (int)chunk_size
-               : 0;
+    return chunk_size >= STRETCH_MIN && chunk_size <= STRETCH_MAX && chunk_size % STRETCH_MIN == 0 ? (int)chunk_size
+                                                                                                   : 0;
 }
 
 static void apply_run(const char *rest, const cJSON *data, int64_t mod_revision) {
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -45,7 +45,7 @@
     GQueue *q;
 };
 static struct request_queue queues[2];
-#define REQUESTS_MOST 400
+#define REQUESTS_MAX 400
 #define POLL_S 2.0 /* users wait no longer for the answer to a poll */
 
 static pthread_mutex_t latency_lock = PTHREAD_MUTEX_INITIALIZER;
@@ -113,7 +113,7 @@
 static void push(int lane, struct api_request *a) {
     struct request_queue *l = &queues[lane];
     pthread_mutex_lock(&l->lock);
-    bool full = l->q->length >= REQUESTS_MOST;
+    bool full = l->q->length >= REQUESTS_MAX;
     if (!full) {
         http_suspend(a->req);
         g_queue_push_tail(l->q, a);
@@ -434,7 +434,7 @@
     }
 }
 
-#define ATTEMPTS_MOST 4
+#define ATTEMPTS_MAX 4
 #define ATTEMPTS_S 1.5  /* no new attempt after that */
 #define OVER_RATE_S 0.5 /* for so long a write over the rate is tried again */
 #define OVER_RATE_PAUSE_S 0.08
@@ -479,7 +479,7 @@
     enum store_priority cls = any_cancels(batch) ? STORE_PRIORITY_CANCEL : STORE_PRIORITY_ACCEPT;
     enum store_result rc = STORE_REJECTED;
     struct timespec began = *asked = clock_now();
-    for (int attempt = 0; attempt < ATTEMPTS_MOST;) {
+    for (int attempt = 0; attempt < ATTEMPTS_MAX;) {
         struct store_response answer;
         store_txn_free(t);
         store_txn_init(t);
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -259,7 +259,7 @@
     if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.zone, n);
 }
 
-#define TASKS_MOST 128 /* of a job that a plan looks at */
+#define TASKS_MAX 128 /* of a job that a plan looks at */
 
 static void rent_for_job(struct shard_plan *p, struct job *j, bool within) {
     int left =
@@ -271,7 +271,7 @@
         fullest_zone(p->shard, p->vms, j, site, sizeof site);
     guint from = 0;
     double gpus_max = quota_bound(j->spec.team, jobs_shard(j)).gpus, used = 0;
-    for (int x = 0; x < left && x < TASKS_MOST; x++) {
+    for (int x = 0; x < left && x < TASKS_MAX; x++) {
         used += j->spec.gpus;
         if (used > gpus_max) break;
         rent_for_task(p, j, within, site, sizeof site, &from);
@@ -297,7 +297,7 @@
     planned_machine_add(p->vms, o.type_name, o.zone, o.spot);
 }
 
-#define ORDER_MOST 50 /* machines a call may ask for */
+#define ORDER_MAX 50 /* machines a call may ask for */
 
 /* Adds up what the plan orders by type, zone and kind. */
 static void collect_directives(const struct shard_plan *p, struct rental_request *out, int most, int *n) {
@@ -314,7 +314,7 @@
             out[i].weight = 0;
             (*n)++;
         }
-        if (i < *n && out[i].count < ORDER_MOST) {
+        if (i < *n && out[i].count < ORDER_MAX) {
             out[i].count++;
             out[i].weight += o->weight;
         }
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -251,18 +251,18 @@
     return n;
 }
 
-#define CANCELS_MOST 16 /* a transaction */
-#define PACE_S 0.15     /* between transactions: users' own requests come from the same budget */
+#define CANCELS_MAX 16 /* a transaction */
+#define PACE_S 0.15    /* between transactions: users' own requests come from the same budget */
 #define LOOK_S 0.5
 
 /* One transaction; true if more may follow at once. */
 static bool write_cancels(struct http_client *c) {
-    struct job *jobs[CANCELS_MOST];
+    struct job *jobs[CANCELS_MAX];
     struct store_txn t;
     struct store_response a;
     store_txn_init(&t);
     store_lock();
-    int n = store_unreachable() ? 0 : dependencies_next_cancellations(jobs, MIN(CANCELS_MOST, cfg->txn_ops));
+    int n = store_unreachable() ? 0 : dependencies_next_cancellations(jobs, MIN(CANCELS_MAX, cfg->txn_ops));
     for (int i = 0; i < n; i++) {
         char key[96];
         snprintf(key, sizeof key, "job/%s", jobs[i]->spec.job_id);
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -11,7 +11,7 @@
 
 #include "../clock/clock.h"
 
-#define BODY_MOST (64 * 1024)
+#define BODY_MAX (64 * 1024)
 
 struct http_server {
     struct MHD_Daemon *daemon;
@@ -115,7 +115,7 @@
         return MHD_YES;
     }
     if (*size > 0) {
-        if (r->body->len + *size > BODY_MOST)
+        if (r->body->len + *size > BODY_MAX)
             r->too_large = true;
         else
             g_string_append_len(r->body, data, (gssize)*size);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -18,7 +18,7 @@
 #include "../schema_version/schema_version.h"
 #include "../sync/sync.h"
 
-#define NODES_MOST 64
+#define NODES_MAX 64
 
 struct node {
     char name[64], incarnation[40];
@@ -29,7 +29,7 @@
 
 static const struct settings *cfg;
 static struct shard shards[64];
-static struct node nodes[NODES_MOST];
+static struct node nodes[NODES_MAX];
 static int n_nodes;
 static char leader[64], leader_incarnation[40];
 static int64_t fencing_counter;
@@ -43,12 +43,12 @@
 bool membership_workers_unreachable(void) { return my_workers_unreachable; }
 
 #define WORKERS_RETRY_S 15.0
-#define WORKERS_RETRY_MOST_S 120.0
+#define WORKERS_RETRY_MAX_S 120.0
 
 double membership_workers_retry_s(int times_unreachable) {
     double s = WORKERS_RETRY_S;
-    for (int i = 1; i < times_unreachable && s < WORKERS_RETRY_MOST_S; i++) s *= 2;
-    return MIN(s, WORKERS_RETRY_MOST_S);
+    for (int i = 1; i < times_unreachable && s < WORKERS_RETRY_MAX_S; i++) s *= 2;
+    return MIN(s, WORKERS_RETRY_MAX_S);
 }
 
 void membership_set_workers_unreachable(bool lost) {
@@ -58,7 +58,7 @@
      * fro with that. */
     if (lost)
         times_unreachable =
-            clock_seconds_since(workers_unreachable_since) < 2 * WORKERS_RETRY_MOST_S ? times_unreachable + 1 : 1;
+            clock_seconds_since(workers_unreachable_since) < 2 * WORKERS_RETRY_MAX_S ? times_unreachable + 1 : 1;
     workers_unreachable_since = clock_now();
     log_info(lost ? "most workers are silent here: giving the shares to others" : "workers can be reached again");
 }
@@ -118,7 +118,7 @@
     for (int i = 0; i < n_nodes; i++)
         if (strcmp(nodes[i].name, rest) == 0) x = &nodes[i];
     if (!x) {
-        if (n_nodes == NODES_MOST) return;
+        if (n_nodes == NODES_MAX) return;
         x = &nodes[n_nodes++];
         g_strlcpy(x->name, rest, sizeof x->name);
     }
@@ -171,7 +171,7 @@
 }
 
 int membership_plan_assignment(int size, const int *owner, int n, int *to) {
-    int held[NODES_MOST] = {0}, least = 0, most = 0;
+    int held[NODES_MAX] = {0}, least = 0, most = 0;
     if (n <= 0) return -1;
     for (int k = 0; k < size; k++)
         if (owner[k] >= 0) held[owner[k]]++;
@@ -263,7 +263,7 @@
         return true;
     }
     if (lead != me) return false;
-    int owner[64] = {0}, live[NODES_MOST], n = 0, to = -1, index[NODES_MOST] = {0};
+    int owner[64] = {0}, live[NODES_MAX], n = 0, to = -1, index[NODES_MAX] = {0};
     bool hearing = false;
     for (int i = 0; i < n_nodes; i++) hearing |= nodes[i].live && !nodes[i].workers_unreachable;
     for (int i = 0; i < n_nodes; i++) {
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -10,15 +10,15 @@
 
 #define STARTUP_UNKNOWN_S 60.0 /* for a type that promises no time */
 #define PROMISED_TIMES 1.6     /* of the promised time, while few boots were seen */
-#define SEEN_LEAST 8           /* boots from which the type's own time is learned */
+#define SEEN_MIN 8             /* boots from which the type's own time is learned */
 #define SEEN_PART 0.9          /* of the boots seen are no longer than what is expected, but for the margin */
 #define SEEN_MARGIN 1.25
-#define EXPECTED_LEAST 0.5 /* bounds of what is learned, in promised times */
-#define EXPECTED_MOST 3.0
+#define EXPECTED_MIN 0.5 /* bounds of what is learned, in promised times */
+#define EXPECTED_MAX 3.0
 #define LIMIT_TIMES 3.5 /* of the promised time, and this much longer, until a machine counts as failed */
 #define LIMIT_MORE_S 10.0
-#define REPLACED_LEAST 2 /* overdue machines that may be replaced, */
-#define REPLACED_PART 8  /* or one in so many that are up */
+#define REPLACED_MIN 2  /* overdue machines that may be replaced, */
+#define REPLACED_PART 8 /* or one in so many that are up */
 
 /* The latest boots of a type. */
 struct boot_times {
@@ -51,13 +51,13 @@
 }
 
 double provisioning_expected_of(const double *took_s, int n, double startup_s) {
-    if (n < SEEN_LEAST) return startup_s * PROMISED_TIMES;
+    if (n < SEEN_MIN) return startup_s * PROMISED_TIMES;
     double sorted[PROVISIONING_SAMPLES_MAX];
     n = MIN(n, PROVISIONING_SAMPLES_MAX);
     memcpy(sorted, took_s, sizeof *sorted * (size_t)n);
     qsort(sorted, (size_t)n, sizeof *sorted, shorter);
     double usual = sorted[(int)((n - 1) * SEEN_PART)];
-    return CLAMP(usual * SEEN_MARGIN, startup_s * EXPECTED_LEAST, startup_s * EXPECTED_MOST);
+    return CLAMP(usual * SEEN_MARGIN, startup_s * EXPECTED_MIN, startup_s * EXPECTED_MAX);
 }
 
 static double startup_of(const struct machine_type *f) {
@@ -77,4 +77,4 @@
     return LIMIT_TIMES * startup_of(cloud_machine_type(m->type_name)) + LIMIT_MORE_S;
 }
 
-int provisioning_replacements_max(int up) { return MAX(REPLACED_LEAST, up / REPLACED_PART); }
+int provisioning_replacements_max(int up) { return MAX(REPLACED_MIN, up / REPLACED_PART); }
--- a/src/quota/allotments.c
+++ b/src/quota/allotments.c
@@ -29,8 +29,8 @@
 
 const char *quota_record_fault(const struct quota_record *r) {
     struct quota_amount limit = r->unassigned, guarantee = r->guarantee_unassigned;
-    if (r->n_allotments < 1 || r->n_allotments > QUOTA_SHARES_MOST) return "its number of parts";
-    if (r->shards < 1 || r->shards > QUOTA_SHARES_MOST) return "its number of shares";
+    if (r->n_allotments < 1 || r->n_allotments > QUOTA_SHARES_MAX) return "its number of parts";
+    if (r->shards < 1 || r->shards > QUOTA_SHARES_MAX) return "its number of shares";
     if (r->epoch < 1) return "its epoch";
     if (negative(r->limit) || negative(r->guarantee) || negative(r->guarantee_unassigned)) return "a negative amount";
     for (int i = 0; i < r->n_allotments; i++) {
@@ -64,7 +64,7 @@
 static void add_missing_parts(struct quota_record *r, int home, int size) {
     for (int i = 0; i < r->shards; i++) {
         int shard = quota_shard_at(home, size, i);
-        if (quota_allotment_of(r, shard) || r->n_allotments == QUOTA_SHARES_MOST) continue;
+        if (quota_allotment_of(r, shard) || r->n_allotments == QUOTA_SHARES_MAX) continue;
         r->allotments[r->n_allotments++] = (struct quota_allotment){.shard = shard};
     }
 }
--- a/src/quota/allotments.h
+++ b/src/quota/allotments.h
@@ -10,7 +10,7 @@
 
 #include "amount.h"
 
-#define QUOTA_SHARES_MOST 16 /* of a team: its record stays below 1 KiB */
+#define QUOTA_SHARES_MAX 16 /* of a team: its record stays below 1 KiB */
 
 struct quota_allotment {
     int shard;
@@ -22,7 +22,7 @@
     int shards;    /* the first so many of the team's shards take new jobs; parts of others are closing */
     struct quota_amount limit, guarantee;
     struct quota_amount unassigned, guarantee_unassigned;
-    struct quota_allotment allotments[QUOTA_SHARES_MOST];
+    struct quota_allotment allotments[QUOTA_SHARES_MAX];
     int n_allotments;
 };
 
@@ -58,9 +58,9 @@
 };
 
 struct quota_targets {
-    struct quota_amount of[QUOTA_SHARES_MOST]; /* in the order of the record's parts */
-    bool scarce[QUOTA_DIMENSIONS];             /* not all that waits fits under the limit */
-    int reservation_holder;                    /* index of the demand that room is held back for; -1: none */
+    struct quota_amount of[QUOTA_SHARES_MAX]; /* in the order of the record's parts */
+    bool scarce[QUOTA_DIMENSIONS];            /* not all that waits fits under the limit */
+    int reservation_holder;                   /* index of the demand that room is held back for; -1: none */
 };
 
 /* What each shard's part should come to: what it uses, and what waits there as far as the limit goes, in order. All
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -41,7 +41,7 @@
 struct change {
     struct store_txn txn;
     char key[128];
-    int shards[QUOTA_SHARES_MOST]; /* those that it is conditional on */
+    int shards[QUOTA_SHARES_MAX]; /* those that it is conditional on */
     int n_shards;
 };
 
@@ -112,7 +112,7 @@
 
 /* Parts of our own shards, towards what is due to each. */
 static bool change_parts(struct change *c, struct quota_team *t) {
-    bool owned[QUOTA_SHARES_MOST], any = false;
+    bool owned[QUOTA_SHARES_MAX], any = false;
     if (!t->recorded) return false;
     for (int i = 0; i < t->record.n_allotments; i++) any |= owned[i] = settled(t->record.allotments[i].shard);
     if (!any) return false;
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -11,7 +11,7 @@
 #include "../quarantine/quarantine.h"
 #include "../scheduler/scheduler.h"
 
-#define DEMANDS_MOST 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
+#define DEMANDS_MAX 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
 
 static int part_at(const struct quota_record *r, int shard) {
     for (int i = 0; i < r->n_allotments; i++)
@@ -53,12 +53,12 @@
     char job_id[64];
     struct timespec until;
 };
-#define GIVEN_UP_MOST 64
-static struct given_up given_up[GIVEN_UP_MOST];
+#define GIVEN_UP_MAX 64
+static struct given_up given_up[GIVEN_UP_MAX];
 static unsigned n_given_up;
 
 static bool gave_up_lately(const char *job_id) {
-    for (unsigned i = 0; i < MIN(n_given_up, GIVEN_UP_MOST); i++)
+    for (unsigned i = 0; i < MIN(n_given_up, GIVEN_UP_MAX); i++)
         if (strcmp(given_up[i].job_id, job_id) == 0 && clock_seconds_since(given_up[i].until) < 0) return true;
     return false;
 }
@@ -80,7 +80,7 @@
         return;
     }
     if (clock_seconds_since(t->reservation_since) < most) return;
-    struct given_up *g = &given_up[n_given_up++ % GIVEN_UP_MOST];
+    struct given_up *g = &given_up[n_given_up++ % GIVEN_UP_MAX];
     g_strlcpy(g->job_id, j->spec.job_id, sizeof g->job_id);
     g->until = clock_instant_in(clock_from_seconds(PAUSE_TIMES * most));
     t->reservation_holder[0] = 0;
@@ -98,13 +98,13 @@
 }
 
 void quota_measure_demand(struct quota_team *t) {
-    struct quota_demand demands[DEMANDS_MOST];
-    const struct job *jobs[DEMANDS_MOST];
+    struct quota_demand demands[DEMANDS_MAX];
+    const struct job *jobs[DEMANDS_MAX];
     struct quota_amount lasting;
     int n = 0;
     count_used(t, &lasting);
     GArray *order = scheduler_order_team_jobs(t->team);
-    for (guint i = 0; i < order->len && n < DEMANDS_MOST; i++) {
+    for (guint i = 0; i < order->len && n < DEMANDS_MAX; i++) {
         const struct job *j = g_array_index(order, struct ranked_job, i).job;
         int waiting = tasks_waiting(j);
         if (waiting <= 0 || part_at(&t->record, jobs_shard(j)) < 0) continue;
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -91,7 +91,7 @@
     if (!t) return true;
     int at = part_at(t, jobs_shard(b->job));
     if (t->damaged || at < 0) return false;
-    struct quota_amount used[QUOTA_SHARES_MOST];
+    struct quota_amount used[QUOTA_SHARES_MAX];
     memcpy(used, t->used, sizeof used);
     used[at] = quota_amount_difference(used[at], t->stopping[at]);
     enum quota_dimension d = guaranteed(t);
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -71,7 +71,7 @@
 static void largest(void **state) {
     (void)state;
     struct quota_amount much = quota_amount_granted(1e9, 1e9);
-    struct quota_record r = quota_record_create(0, 64, QUOTA_SHARES_MOST, much, much);
+    struct quota_record r = quota_record_create(0, 64, QUOTA_SHARES_MAX, much, much);
     for (int i = 1; i < r.n_allotments; i++) {
         assert_true(quota_record_move(&r, 0, quota_amount_difference((struct quota_amount){{0}}, gpus(1000))));
         assert_true(quota_record_move(&r, i, gpus(1000)));
--- a/src/quota/record.c
+++ b/src/quota/record.c
@@ -67,7 +67,7 @@
         return false;
     out->shards = (int)CLAMP(shards, 0, INT32_MAX);
     cJSON_ArrayForEach(x, allotments) {
-        if (out->n_allotments == QUOTA_SHARES_MOST || !read_part(x, size, &out->allotments[out->n_allotments]))
+        if (out->n_allotments == QUOTA_SHARES_MAX || !read_part(x, size, &out->allotments[out->n_allotments]))
             return false;
         out->n_allotments++;
     }
@@ -88,7 +88,7 @@
 bool quota_view_read(const cJSON *views, const char *team, struct quota_view *out) {
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(views, team), *shards = cJSON_GetArrayItem(list, 0);
     *out = (struct quota_view){0};
-    if (!cJSON_IsNumber(shards) || shards->valueint < 1 || shards->valueint > QUOTA_SHARES_MOST) return false;
+    if (!cJSON_IsNumber(shards) || shards->valueint < 1 || shards->valueint > QUOTA_SHARES_MAX) return false;
     if (!read_amount(list, 1, &out->limit) || !read_amount(list, 1 + QUOTA_DIMENSIONS, &out->guarantee)) return false;
     out->shards = shards->valueint;
     return true;
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -113,7 +113,7 @@
 
 struct quota_view quota_view_own(int team) {
     const struct settings_team *t = &quota_settings->teams[team];
-    return (struct quota_view){.shards = MIN(t->shards, MIN(quota_settings->size, QUOTA_SHARES_MOST)),
+    return (struct quota_view){.shards = MIN(t->shards, MIN(quota_settings->size, QUOTA_SHARES_MAX)),
                                .limit = quota_amount_granted(t->cpus_max, t->gpus_max),
                                .guarantee = quota_amount_granted(t->cpus, t->gpus)};
 }
--- a/src/quota/state.h
+++ b/src/quota/state.h
@@ -14,8 +14,8 @@
     bool damaged;   /* there is one that can't be read: nothing starts */
     struct quota_record record;
     /* As of the last look at its jobs. */
-    struct quota_amount used[QUOTA_SHARES_MOST];     /* in the order of the record's parts */
-    struct quota_amount stopping[QUOTA_SHARES_MOST]; /* part of it that was told to end */
+    struct quota_amount used[QUOTA_SHARES_MAX];     /* in the order of the record's parts */
+    struct quota_amount stopping[QUOTA_SHARES_MAX]; /* part of it that was told to end */
     struct quota_targets targets;
     bool looked;
     char reservation_holder[64]; /* the job that room is held back for; empty: none */
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -115,7 +115,7 @@
     return (in_chunk + 1) * ((double)strlen(m->id) + 15) + bits + 64 > allocations_value_bytes_max();
 }
 
-#define PLANS_MOST 600
+#define PLANS_MAX 600
 #define PREEMPT_AGAIN_S 3 /* time for what was stopped to make way */
 
 static bool may_preempt(const struct job *j, bool within) {
@@ -148,13 +148,13 @@
     if (unconstrained(s) && none->n < G_N_ELEMENTS(none->asked)) none->asked[none->n++] = s;
 }
 
-#define PREEMPTIONS_MOST 32 /* tasks that a round makes room for, of one job */
+#define PREEMPTIONS_MAX 32 /* tasks that a round makes room for, of one job */
 
 /* Makes lower work make way for tasks of the job; true if any does. */
 static bool make_way(struct job *j, bool within, int tasks, GPtrArray *mine, const struct team_usage *u) {
     if (!may_preempt(j, within)) return false;
     int made = 0;
-    while (made < MIN(tasks, PREEMPTIONS_MOST) && preemption_make_room(j, within, mine, NULL, u)) made++;
+    while (made < MIN(tasks, PREEMPTIONS_MAX) && preemption_make_room(j, within, mine, NULL, u)) made++;
     if (made > 0) j->preempted_at = clock_now();
     return made > 0;
 }
@@ -177,7 +177,7 @@
     for (int t = 0; t < j->spec.tasks && missing > 0; t++) {
         if (jobs_bit(busy, t)) continue;
         if (!preemption_quota_left(&u[j->spec.team], j, 1)) break;
-        if (r->plans->len >= PLANS_MOST) {
+        if (r->plans->len >= PLANS_MAX) {
             r->more = true;
             break;
         }
@@ -337,7 +337,7 @@
         bool within = g_array_index(order, struct ranked_job, i).within;
         if (missing[i] <= 0 || waits_to_retry(j)) continue;
         if (held_back[j->spec.team] && quota_counts_scarce(j)) continue;
-        if (jobs_planned >= r->writes_left || r->plans->len >= PLANS_MOST) {
+        if (jobs_planned >= r->writes_left || r->plans->len >= PLANS_MAX) {
             r->more = true;
             mark_unplaced(k, order, i, missing, free);
             break;
--- a/src/service/service_pair_test.c
+++ b/src/service/service_pair_test.c
@@ -10,7 +10,7 @@
 #include "../../tests/standin/state.h"
 #include "clock/clock.h"
 
-#define GAP_MOST 15 /* the protocol forgets a job after 75 s without an answer; these times are a fifth of its */
+#define GAP_MAX 15 /* the protocol forgets a job after 75 s without an answer; these times are a fifth of its */
 
 /* One loses the store and the other controllers, but not its workers: what is told elsewhere holds, and it stops
  * answering the workers in time. */
@@ -76,7 +76,7 @@
     clock_sleep(clock_from_seconds(0.2));
     pair_end(1);
     pair_begin(1);
-    assert_true(worst_gap(uids, 1, 8) < GAP_MOST);
+    assert_true(worst_gap(uids, 1, 8) < GAP_MAX);
     char s[32] = "";
     struct timespec start = clock_now();
     while (strcmp(s, "done") != 0 && clock_seconds_since(start) < 30) {
@@ -102,7 +102,7 @@
     pair_begin(0);
     pair_begin(1);
     double gap = worst_gap(uids, JOBS, 10);
-    if (gap >= GAP_MOST) fail_msg("a job went without an answer for %.1f s", gap);
+    if (gap >= GAP_MAX) fail_msg("a job went without an answer for %.1f s", gap);
     assert_int_equal(standin_workers_most(), 1);
 }
 
--- a/src/settings/quota_file.c
+++ b/src/settings/quota_file.c
@@ -12,9 +12,9 @@
 #include "../clock/clock.h"
 #include "reader.h"
 
-#define SHARES_MOST 16
+#define SHARES_MAX 16
 #define GATHER_LEAST_S 1.0
-#define GATHER_MOST_S 300.0
+#define GATHER_MAX_S 300.0
 #define EVERY_TEAM "*"
 
 const struct settings_quota settings_quota_defaults = {.gather = {20, 0}};
@@ -45,7 +45,7 @@
         settings_fail(r, "divide.team", "a name is needed");
     } else if (strcmp(team, EVERY_TEAM) != 0 && settings_team(s, team) < 0) {
         settings_fail(r, "divide.team", "the settings name no such team");
-    } else if (shards < 1 || shards > SHARES_MOST || shards > s->size) {
+    } else if (shards < 1 || shards > SHARES_MAX || shards > s->size) {
         settings_fail(r, "divide.shares", "not a whole number from 1 to 16, and to the number of shares there are");
     } else {
         divide_teams(s, team, shards, named);
@@ -64,7 +64,7 @@
 
 static void read_gather(struct reader *r, const config_setting_t *value, struct settings *s) {
     double seconds = config_setting_is_number(value) ? config_setting_get_float(value) : -1;
-    if (seconds >= GATHER_LEAST_S && seconds <= GATHER_MOST_S)
+    if (seconds >= GATHER_LEAST_S && seconds <= GATHER_MAX_S)
         s->quota.gather = clock_from_seconds(seconds);
     else
         settings_fail(r, "gather_s", "not a number within its bounds");
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -29,8 +29,8 @@
 static struct timespec budget_at, budget_block;
 static unsigned budget_used;
 static const double budget_reserve[] = {-1e9, 0, 0.08, 0.2, 0.3};
-#define PACE_LEAST 0.8
-#define PACE_MOST 3.0    /* of changes: as many times its part as there are controllers, if these are more */
+#define PACE_MIN 0.8
+#define PACE_MAX 3.0     /* of changes: as many times its part as there are controllers, if these are more */
 #define PACE_GROWTH 0.08 /* a second */
 
 static double rate_calls(void) { return MIN(cfg->state_rps * 0.8, cfg->state_rps * pace_calls / budget_parts); }
@@ -46,10 +46,10 @@
     budget_at = now;
     budget_calls = MIN(budget_calls + dt * rate_calls(), rate_calls());
     budget_writes = MIN(budget_writes + dt * rate_writes(), most_writes());
-    pace_calls = MIN(pace_calls + dt * PACE_GROWTH, PACE_MOST);
+    pace_calls = MIN(pace_calls + dt * PACE_GROWTH, PACE_MAX);
     /* An owner of a flood of small jobs may take all that the others leave: with a third of that at most it once wrote
      * ten changes a second while twenty-five were allowed, and 200 machines stood idle beside what waited. */
-    pace_writes = MIN(pace_writes + dt * PACE_GROWTH, MAX(PACE_MOST, budget_parts));
+    pace_writes = MIN(pace_writes + dt * PACE_GROWTH, MAX(PACE_MAX, budget_parts));
 }
 
 void store_budget_set_fraction(int controllers, double writing) {
@@ -90,8 +90,8 @@
 static void budget_pause(bool changes) {
     pthread_mutex_lock(&budget_lock);
     budget_block = clock_instant_in(clock_from_seconds(0.12));
-    pace_calls = MAX(pace_calls * 0.8, PACE_LEAST);
-    if (changes) pace_writes = MAX(pace_writes * 0.8, PACE_LEAST);
+    pace_calls = MAX(pace_calls * 0.8, PACE_MIN);
+    if (changes) pace_writes = MAX(pace_writes * 0.8, PACE_MIN);
     pthread_mutex_unlock(&budget_lock);
 }
 
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -121,14 +121,14 @@
         answer_heartbeat(r, m, heartbeat, fencing_token);
 }
 
-#define ID_MOST 60
+#define ID_MAX 60
 
 static void on_heartbeat(struct http_request *r) {
     size_t len;
     const char *body = http_body(r, &len);
     cJSON *heartbeat = cJSON_ParseWithLength(body, len);
     const char *id = json_get_string(heartbeat, "host"), *address = json_get_string(heartbeat, "address");
-    if (!id || !json_get_string(heartbeat, "flavour") || !json_get_string(heartbeat, "site") || strlen(id) > ID_MOST) {
+    if (!id || !json_get_string(heartbeat, "flavour") || !json_get_string(heartbeat, "site") || strlen(id) > ID_MAX) {
         http_reply(r, 400, "{\"error\":\"host, flavour or site is missing\"}", 0);
         cJSON_Delete(heartbeat);
         return;
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -14,10 +14,10 @@
 #include "../scheduler/scheduler.h"
 #include "internal.h"
 
-#define BOOKINGS_MOST 256 /* of a machine */
-#define PROVEN_S 30.0     /* a replica that has run for so long shows that its job is sound */
-#define RENTAL_S 5.0      /* a rental is recorded within that time */
-#define PROBE_S 1.5       /* between questions to a machine that shows an older token */
+#define BOOKINGS_MAX 256 /* of a machine */
+#define PROVEN_S 30.0    /* a replica that has run for so long shows that its job is sound */
+#define RENTAL_S 5.0     /* a rental is recorded within that time */
+#define PROBE_S 1.5      /* between questions to a machine that shows an older token */
 
 /* A command that may carry starts is on its way. One that only asks does not count: a machine whose last start is in
  * doubt is asked all the same, else those that hang with a start in doubt were found 5 s later than the others. */
@@ -196,7 +196,7 @@
             g_array_append_val(m->unknown_tasks, unknown);
             continue;
         }
-        if (b->index_in_machine < BOOKINGS_MOST) listed[b->index_in_machine] = true;
+        if (b->index_in_machine < BOOKINGS_MAX) listed[b->index_in_machine] = true;
         change |= take_state(b, task, state, json_get_string(x, "cause"));
     }
     return change;
@@ -206,7 +206,7 @@
 static bool release_absent(struct machine *m, const bool *listed) {
     bool change = false;
     if (m->outcome_unknown || workers_start_in_flight(m)) return false;
-    for (guint i = 0; i < m->allocations->len && i < BOOKINGS_MOST; i++) {
+    for (guint i = 0; i < m->allocations->len && i < BOOKINGS_MAX; i++) {
         struct allocation *b = m->allocations->pdata[i];
         if (listed[i] || b->released) continue;
         bool gang_lost =
@@ -247,7 +247,7 @@
         m->outcome_unknown = false;
         m->needs_token_raise = false;
     }
-    bool listed[BOOKINGS_MOST] = {false};
+    bool listed[BOOKINGS_MAX] = {false};
     bool change = take_listed(m, heartbeat, listed);
     /* A report follows every answer of ours. A direct answer does not, unless none of this incarnation carried a start:
      * others' and earlier ones' answers are ruled out by the token and the incarnation that it shows. So a takeover
--- a/tests/standin/cluster.c
+++ b/tests/standin/cluster.c
@@ -27,7 +27,7 @@
     const char *teams;
     GPid pid;
 };
-static struct controller controllers[CLUSTER_MOST];
+static struct controller controllers[CLUSTER_MAX];
 static struct cluster_site site;
 static char cloud[32], nowhere[32];
 
--- a/tests/standin/cluster.h
+++ b/tests/standin/cluster.h
@@ -6,15 +6,15 @@
 #include <stddef.h>
 #include <time.h>
 
-#define CLUSTER_MOST 5
+#define CLUSTER_MAX 5
 #define CLUSTER_LEASE_S 4
 #define CLUSTER_CANCEL_S 8
 
 struct cluster_site {
     int controllers;
     int shards;
-    const char *teams[CLUSTER_MOST]; /* JSON list of each controller's settings; NULL: that of the first */
-    const char *next_limits;         /* `state.next`; NULL: none */
+    const char *teams[CLUSTER_MAX]; /* JSON list of each controller's settings; NULL: that of the first */
+    const char *next_limits;        /* `state.next`; NULL: none */
     bool first_sees_no_peer;
 };
 
--- a/tests/standin/history_test.c
+++ b/tests/standin/history_test.c
@@ -13,13 +13,13 @@
     int tasks;
 };
 
-#define STEPS_MOST 12
+#define STEPS_MAX 12
 #define LIMIT 2.0
 #define GUARANTEE 2.0
 
 static const struct {
     const char *what;
-    struct step steps[STEPS_MOST];
+    struct step steps[STEPS_MAX];
     double peak, starved;
     int above, twice;
 } rows[] = {
@@ -79,7 +79,7 @@
     (void)state;
     for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
         struct history *h = history_new();
-        for (int i = 0; i < STEPS_MOST && rows[r].steps[i].name; i++) {
+        for (int i = 0; i < STEPS_MAX && rows[r].steps[i].name; i++) {
             const struct step *s = &rows[r].steps[i];
             if (s->what == ACCEPTED)
                 history_accepted(h, s->at, s->name, s->name[0] == 'x' ? "blue" : "red", s->tasks, 1);
@@ -93,7 +93,7 @@
         if (starved < rows[r].starved - 1e-9 || starved > rows[r].starved + 1e-9)
             fail_msg("%s: starved for %g s", rows[r].what, starved);
         double last = rows[r].steps[0].at;
-        for (int i = 0; i < STEPS_MOST && rows[r].steps[i].name; i++) last = MAX(last, rows[r].steps[i].at);
+        for (int i = 0; i < STEPS_MAX && rows[r].steps[i].name; i++) last = MAX(last, rows[r].steps[i].at);
         if (history_above(h, "red", LIMIT, last + 1) != 0) fail_msg("%s: above after its end", rows[r].what);
         history_free(h);
     }
