--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -211,7 +211,7 @@
     struct job *j = jobs_find_or_stub(job_id);
     int size = record_stretch(j, data);
     if (size == 0) {
-        log_error("run/%s: its stretch can't be read, the bookings known of it stay", rest);
+        log_error("run/%s: unreadable chunk size, its known allocations stay", rest);
         return;
     }
     int chunk = (int)g_ascii_strtoll(slash + 1, NULL, 10), from = chunk * size;
@@ -255,7 +255,7 @@
     }
     /* What follows a piece that can't be read is not known to be gone. */
     bool whole = !data || (cJSON_IsObject(data) && (!text || !text[strspn(text, " ")]));
-    if (!whole) log_error("run/%s: can't be read in full, its other bookings stay", rest);
+    if (!whole) log_error("run/%s: can't be read in full, its other allocations stay", rest);
     for (guint i = j->allocations->len; whole && i-- > 0;) {
         struct allocation *b = j->allocations->pdata[i];
         if (b->task < from || b->task >= from + size) continue;
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -103,8 +103,8 @@
             m->draining = true;
             m->drain_since = clock_now();
             if (!spot) move_off(m);
-            log_info("machine %s: draining (share %d, %s, N %d, O %.2f, H %.2f)", m->id, k, spot ? "spot" : "ordinary",
-                     n--, occupied, h);
+            log_info("machine %s: draining (shard %d, %s, machines %d, occupancy %.2f, headroom %.2f)", m->id, k,
+                     spot ? "spot" : "on-demand", n--, occupied, h);
             h -= cfg->tuning.admission;
         }
     }
@@ -136,8 +136,9 @@
         waiting[j->priority] += MAX(0, scheduler_missing_tasks(j));
     }
     log_info(
-        "share %d: waiting %d/%d/%d/%d tasks (production to idle), up %d ordinary %d spot, booting %d+%d, draining %d, "
-        "gpus booked %.0f of %.0f ordinary (%.0f by work that makes way), %.0f of %.0f spot, occupancy %.2f, headroom "
+        "shard %d: pending %d/%d/%d/%d tasks (production to idle), up %d on-demand %d spot, booting %d+%d, draining "
+        "%d, "
+        "gpus allocated %.0f of %.0f on-demand (%.0f by preemptible work), %.0f of %.0f spot, occupancy %.2f, headroom "
         "%.2f",
         k, waiting[3], waiting[2], waiting[1], waiting[0], up[0], up[1], booting[0], booting[1], draining, used[0],
         gpus[0], filler, used[1], gpus[1], occupied,
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -370,7 +370,7 @@
     for (guint i = 0; i < machines_all()->len && n < most; i++) {
         const struct machine *m = machines_all()->pdata[i];
         if (!machines_unrecorded(m)) continue;
-        log_info("machine %s: tasks are booked on it and no record names it, returning it", m->id);
+        log_info("machine %s: tasks are allocated on it and no record names it, returning it", m->id);
         g_strlcpy(ids[n++], m->id, 64);
         (*busy)++;
     }
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -81,8 +81,8 @@
     }
     c->pause = c->pause > 0 ? MIN(c->pause * 2, 60) : 7;
     c->until = clock_instant_in(clock_from_seconds(c->pause));
-    log_info("cloud: no capacity for %s in %s (%s), asking again in %.0f s", o->type_name, o->zone,
-             o->spot ? "spot" : "ordinary", c->pause);
+    log_info("cloud: no capacity for %s in %s (%s), retrying in %.0f s", o->type_name, o->zone,
+             o->spot ? "spot" : "on-demand", c->pause);
 }
 
 void cloud_wake(void) { sync_wakeup_signal(&wakeup); }
@@ -243,8 +243,8 @@
             machines_rented(o.shard, x->valuestring, o.type_name, o.zone, o.spot);
         note_capacity(&o, cJSON_GetArraySize(hosts) >= o.count);
         store_unlock();
-        log_info("cloud: rented %d of %d %s in %s (%s) for share %d", cJSON_GetArraySize(hosts), o.count, o.type_name,
-                 o.zone, o.spot ? "spot" : "ordinary", o.shard);
+        log_info("cloud: rented %d of %d %s in %s (%s) for shard %d", cJSON_GetArraySize(hosts), o.count, o.type_name,
+                 o.zone, o.spot ? "spot" : "on-demand", o.shard);
         pending.open = false;
     } else if (out == HTTP_ANSWERED && status == 503) {
         const char *e = json_get_string(a, "error");
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -275,7 +275,7 @@
         store_lock();
         store_apply_committed(&t, a.revision);
         store_unlock();
-        log_info("chains: %d jobs cancelled with a job that they need", n);
+        log_info("dependencies: %d jobs cancelled with a prerequisite", n);
         peers_hint();
     } else if (result == STORE_CONFLICT) {
         for (guint i = 0; i < a.conflicts->len; i++) store_refresh(c, a.conflicts->pdata[i]);
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -208,7 +208,7 @@
     j->state = state;
     j->ended = clock_now();
     if (membership_owns(jobs_shard(j)))
-        log_info("job %s (%s, %d tasks, estimate %.0f s) is %s %.1f s after it came, %.1f s after it was ready",
+        log_info("job %s (%s, %d tasks, estimate %.0f s) is %s %.1f s after submission, %.1f s after it was ready",
                  j->spec.job_id, j->spec.job_class, j->spec.tasks, j->spec.runtime_s, state_names[state],
                  clock_time_of_day() - j->submitted, j->ready > 0 ? clock_time_of_day() - j->ready : 0);
     if (state == JOB_DONE) j->n_done = j->spec.tasks;
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -119,7 +119,8 @@
     }
     for (int i = 0; i < cfg->n_zones; i++) {
         bool cut = z[i].newest > liveness_zone_silence_s(z[i].up, clock_to_seconds(cfg->heartbeat_interval));
-        if (zone_cut[k][i] != cut) log_info("share %d: zone %s is %s", k, cfg->zones[i], cut ? "silent" : "back");
+        if (zone_cut[k][i] != cut)
+            log_info("shard %d: zone %s is %s", k, cfg->zones[i], cut ? "unreachable" : "reachable again");
         if (zone_cut[k][i] && !cut) zone_back[k][i] = clock_now();
         zone_cut[k][i] = cut;
     }
@@ -215,7 +216,7 @@
         if (m->up && m->unanswered_probes && !cut) replicas_at_risk(m);
         /* It reports, but nothing of what we answer reaches it: its lease runs out though it is not silent. */
         if (m->up && m->ignored_responses >= 3) {
-            log_info("machine %s: its reports arrive, our answers don't reach it; returning it", m->id);
+            log_info("machine %s: its heartbeats arrive, our responses don't reach it; returning it", m->id);
             m->return_wanted = true;
         }
         /* When a cut zone is heard again, its machines come one after the other: 65 healthy ones were once returned in
@@ -223,11 +224,11 @@
         if (z >= 0 && clock_seconds_since(zone_back[k][z]) < silent_limit()) silent = false;
         if (m->up && cut) silent = !wait_for_zone(m, &zones[z]);
         if (m->up && silent && hears) {
-            log_info("machine %s: silent for %.0f s, returning it", m->id, clock_seconds_since(m->last_heard));
+            log_info("machine %s: unreachable for %.0f s, returning it", m->id, clock_seconds_since(m->last_heard));
             m->return_wanted = true;
         }
         if (m->up && faulty_for_long(m)) {
-            log_info("machine %s: different jobs fail on it, returning it", m->id);
+            log_info("machine %s: cordoned, different jobs fail on it, returning it", m->id);
             m->return_wanted = true;
         }
         if (!m->up && clock_time_of_day() - m->created_at > provisioning_give_up_s(m) &&
@@ -236,7 +237,7 @@
             m->return_wanted = true;
         }
         if (m->up && holds_cancelled(m)) {
-            log_info("machine %s: does not end a cancelled task, returning it", m->id);
+            log_info("machine %s: does not stop a cancelled task, returning it", m->id);
             m->return_wanted = true;
         }
         if (m->preemption_notice_s >= 0) {
@@ -258,7 +259,7 @@
             log_info("machine %s: drained, returning it", m->id);
             m->return_wanted = true;
         } else if (m->draining && clock_has_elapsed(m->drain_since, cfg->tuning.drain_reopen)) {
-            log_info("machine %s: still busy, drain given up", m->id);
+            log_info("machine %s: still busy, drain cancelled", m->id);
             m->draining = false;
         }
     }
--- a/src/liveness/process_pause.c
+++ b/src/liveness/process_pause.c
@@ -22,7 +22,7 @@
         clock_sleep(clock_from_seconds(TICK_S));
         double stood = process_pause_length(clock_seconds_since(before), TICK_S);
         if (stood <= 0) continue;
-        log_info("stood still for %.1f s: nobody is taken for silent over that time", stood);
+        log_info("process paused for %.1f s: no silence is counted for that time", stood);
         store_lock();
         liveness_reset_silence();
         store_unlock();
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -252,7 +252,7 @@
     if (cJSON_GetObjectItemCaseSensitive(data, "b")) {
         /* The first layout kept allocations in records like this one. Reading half of it would start tasks twice. */
         if (!refused)
-            log_error("machine/%s has the first layout, which this version does not read: no share is taken", id);
+            log_error("machine/%s has the first layout, which this version does not read: no shard is taken", id);
         refused = true;
         return;
     }
@@ -341,7 +341,7 @@
 void machines_adopt(const char *id, const char *address, const char *type_name, const char *site, bool spot) {
     int k = machines_shard_of(id);
     if (machines_known(id) || !membership_owns(k)) return;
-    log_info("machine %s: unexpected, adopting it for share %d", id, k);
+    log_info("machine %s: unregistered, adopting it into shard %d", id, k);
     add_unregistered(k, id, address, type_name, site, spot);
 }
 
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -60,7 +60,7 @@
         times_unreachable =
             clock_seconds_since(workers_unreachable_since) < 2 * WORKERS_RETRY_MAX_S ? times_unreachable + 1 : 1;
     workers_unreachable_since = clock_now();
-    log_info(lost ? "most workers are silent here: giving the shares to others" : "workers can be reached again");
+    log_info(lost ? "isolated from most workers: releasing our shards" : "workers are reachable again");
 }
 
 const struct shard *membership_shard(int k) { return &shards[k]; }
@@ -124,7 +124,7 @@
     }
     const char *incarnation = json_get_string(data, "inc");
     if (data && (!x->live || strcmp(x->incarnation, incarnation ? incarnation : "") != 0)) x->since = clock_now();
-    if (!data && x->live) log_info("controller %s is gone", rest);
+    if (!data && x->live) log_info("controller %s: lease expired", rest);
     x->live = data != NULL;
     part_budget();
     x->mod_revision = data ? mod_revision : 0;
@@ -152,7 +152,7 @@
     const char *o = json_get_string(data, "owner"), *i = json_get_string(data, "inc");
     if (strcmp(s->owner, o ? o : "") != 0 || strcmp(s->incarnation, i ? i : "") != 0) {
         s->owner_changed = clock_now();
-        log_info("share %d: owner %s", k, o ? o : "nobody");
+        log_info("shard %d: owner %s", k, o ? o : "nobody");
     }
     g_strlcpy(s->owner, o ? o : "", sizeof s->owner);
     g_strlcpy(s->incarnation, i ? i : "", sizeof s->incarnation);
@@ -295,7 +295,7 @@
         store_txn_compare(t, key, 0);
     }
     assign_shard(t, k, target);
-    log_info("share %d: giving it to %s", k, target->name);
+    log_info("shard %d: assigning it to %s", k, target->name);
     return true;
 }
 
@@ -338,7 +338,7 @@
             enum store_result r = store_lease_renew(c, my_lease);
             if (r == STORE_OK) renewed = clock_now();
             if (r == STORE_CONFLICT) {
-                log_info("our lease has ended; joining anew");
+                log_info("our lease has expired, rejoining");
                 my_lease = 0;
                 continue;
             }
--- a/src/preemption/preemption.c
+++ b/src/preemption/preemption.c
@@ -101,7 +101,8 @@
                          ? x->job->spec.checkpoint_flush_s + 1
                          : 0;
         placement_reserve(best, &x->job->spec, -1);
-        log_info("task %s/%d on machine %s makes way for %s", x->job->spec.job_id, x->task, best->id, j->spec.job_id);
+        log_info("task %s/%d on machine %s is preempted for job %s", x->job->spec.job_id, x->task, best->id,
+                 j->spec.job_id);
     }
     placement_reserve(best, &j->spec, 1); /* kept free for the rest of this round */
     best->wake = true;
--- a/src/quarantine/quarantine.c
+++ b/src/quarantine/quarantine.c
@@ -40,7 +40,7 @@
     j->failed_tries = MIN(j->failed_tries + 1, TRIES_MAX);
     j->retry_at = clock_instant_in(clock_from_seconds(quarantine_retry_s(j->failed_tries)));
     jobs_mark_dirty(j, 0); /* the first record of its allocations says so */
-    log_info("job %s: fails wherever it runs, trying it again in %.0f s", j->spec.job_id,
+    log_info("job %s: quarantined, fails on every machine, retrying in %.0f s", j->spec.job_id,
              quarantine_retry_s(j->failed_tries));
 }
 
@@ -56,7 +56,7 @@
 void quarantine_record_success(struct job *j) {
     if (!j->failed_on && !j->failed_tries) return;
     if (j->failed_tries) {
-        log_info("job %s: runs after all", j->spec.job_id);
+        log_info("job %s: released from quarantine", j->spec.job_id);
         j->failed_tries = 0;
         j->retry_at = clock_now();
         jobs_mark_dirty(j, 0);
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -84,8 +84,7 @@
     g_strlcpy(g->job_id, j->spec.job_id, sizeof g->job_id);
     g->until = clock_instant_in(clock_from_seconds(PAUSE_TIMES * most));
     t->reservation_holder[0] = 0;
-    log_info("quota: team %s: not enough gets free for %s, it steps back", quota_settings->teams[t->team].name,
-             j->spec.job_id);
+    log_info("quota: team %s: reservation for job %s timed out", quota_settings->teams[t->team].name, j->spec.job_id);
 }
 
 /* How many more tasks of the job may start now. */
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -147,7 +147,7 @@
         for (int i = 0; i < r->n_allotments; i++) {
             struct quota_amount waits = quota_amount_difference(t->targets.of[i], t->used[i]);
             g_string_append_printf(
-                line, ", share %d uses %.0f/%.0f of %.0f/%.0f and is due %.0f/%.0f more", r->allotments[i].shard,
+                line, ", shard %d uses %.0f/%.0f of %.0f/%.0f and is due %.0f/%.0f more", r->allotments[i].shard,
                 (double)t->used[i].of[QUOTA_VCPUS] / QUOTA_UNIT, (double)t->used[i].of[QUOTA_GPUS] / QUOTA_UNIT,
                 (double)r->allotments[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
                 (double)r->allotments[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT, (double)waits.of[QUOTA_VCPUS] / QUOTA_UNIT,
@@ -156,7 +156,7 @@
         log_info("quota: team %s, epoch %lld%s, unassigned %.0f/%.0f (vcpus/gpus)%s%s",
                  quota_settings->teams[team].name, (long long)r->epoch, line->str,
                  (double)r->unassigned.of[QUOTA_VCPUS] / QUOTA_UNIT, (double)r->unassigned.of[QUOTA_GPUS] / QUOTA_UNIT,
-                 t->reservation_holder[0] ? ", room is held back for " : "", t->reservation_holder);
+                 t->reservation_holder[0] ? ", capacity is reserved for " : "", t->reservation_holder);
         g_string_free(line, TRUE);
     }
 }
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -52,7 +52,7 @@
     const struct quota_record *r = &t->record;
     GString *allotments = g_string_new("");
     for (int i = 0; i < r->n_allotments; i++)
-        g_string_append_printf(allotments, " share %d %.0f/%.0f", r->allotments[i].shard,
+        g_string_append_printf(allotments, " shard %d %.0f/%.0f", r->allotments[i].shard,
                                (double)r->allotments[i].limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
                                (double)r->allotments[i].limit.of[QUOTA_GPUS] / QUOTA_UNIT);
     log_debug("quota: team %s, epoch %lld:%s, unassigned %.0f/%.0f (vcpus/gpus)", quota_settings->teams[t->team].name,
@@ -86,7 +86,7 @@
         return;
     }
     if (!was || t->record.epoch != epoch)
-        log_info("quota: team %s is divided over %d shares, epoch %lld, limit %.0f vcpus %.0f gpus", name,
+        log_info("quota: team %s is divided over %d shards, epoch %lld, limit %.0f vcpus %.0f gpus", name,
                  t->record.shards, (long long)t->record.epoch, (double)t->record.limit.of[QUOTA_VCPUS] / QUOTA_UNIT,
                  (double)t->record.limit.of[QUOTA_GPUS] / QUOTA_UNIT);
     tell(t);
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -193,7 +193,7 @@
         if (!m) continue;
         m->rebalance_to = s;
         m->rebalance_since = clock_now();
-        log_info("machine %s: transfer from share %d to share %d for %s", m->id, k, s, j->spec.job_id);
+        log_info("machine %s: rebalancing from shard %d to shard %d for job %s", m->id, k, s, j->spec.job_id);
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
             if (!x->stop_requested) quota_note_preempted(x);
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -247,7 +247,7 @@
             shard_states[k].next = 0;
             shard_states[k].barrier_pending = false;
             shard_states[k].since = clock_now();
-            log_info("share %d: ours under fence %lld", k, (long long)f);
+            log_info("shard %d: owned under fencing token %lld", k, (long long)f);
         }
     }
     if (mine && left < LEAST_CHANGES && needed_end(k)) left = store_budget_available(STORE_PRIORITY_ALLOCATE);
--- a/src/schema_version/schema_version.c
+++ b/src/schema_version/schema_version.c
@@ -56,7 +56,7 @@
     note_latest(node, data);
     if (active || !all_upgraded()) return;
     active = true;
-    log_info("format: all %d controllers read version %d, its layout is written from now on", cfg->n_seeds + 1,
+    log_info("schema version: all %d controllers read version %d, its layout is written from now on", cfg->n_seeds + 1,
              SCHEMA_VERSION);
 }
 
@@ -73,7 +73,7 @@
     cJSON_AddNumberToObject(record, "version", version);
     store_txn_compare(t, key, store_key_revision(key));
     store_txn_put(t, key, record, 0);
-    log_info("format: recording that %s reads version %d", cfg->node, version);
+    log_info("schema version: recording that %s reads version %d", cfg->node, version);
     return true;
 }
 
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -103,8 +103,9 @@
     api_latency(&answers, &median, &p95);
     store_lock();
     log_info(
-        "status: %u unfinished jobs, %u machines, store %.1f calls/s (pace %.1f, of changes %.1f), store seen %.1f s "
-        "ago, %d answers to users "
+        "status: %u unfinished jobs, %u machines, store %.1f requests/s (rate factor %.1f, of writes %.1f), store read "
+        "%.1f s "
+        "ago, %d responses to users "
         "(median %.1f ms, p95 %.1f ms)",
         jobs_active()->len, machines_all()->len, (now - last) / 10.0, store_budget_rate_factor(false),
         store_budget_rate_factor(true), clock_seconds_since(store_last_read()), answers, median, p95);
@@ -112,9 +113,9 @@
     store_unlock();
     static struct store_write_counts before;
     struct store_write_counts written = store_writes_counted();
-    log_info("changes in 10 s: %u jobs, %u bookings, %u releases, %u pages, %u others", written.jobs - before.jobs,
-             written.allocations - before.allocations, written.releases - before.releases, written.pages - before.pages,
-             written.others - before.others);
+    log_info("writes in 10 s: %u jobs, %u allocations, %u releases, %u machine pages, %u others",
+             written.jobs - before.jobs, written.allocations - before.allocations, written.releases - before.releases,
+             written.pages - before.pages, written.others - before.others);
     before = written;
     last = now;
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -191,7 +191,7 @@
         g_string_append_printf(what, " %s (%zu bytes)", key, value ? strlen(value) : 0);
         free(value);
     }
-    log_error("state service refuses a transaction as malformed: %d operations, %d conditions:%s", t->writes,
+    log_error("store rejects a transaction as malformed: %d operations, %d comparisons:%s", t->writes,
               cJSON_GetArraySize(t->comparisons), what->str);
     g_string_free(what, TRUE);
 }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -154,7 +154,7 @@
         char *body = command_body(l->fencing_token, incarnation, l->ends);
         bool answered = http_call(c, "POST", url, body, ANSWER_MS, &status, &a) == HTTP_ANSWERED;
         free(body);
-        log_debug("machine %s: asked to end cancelled tasks, %ld", l->id, status);
+        log_debug("machine %s: asked to stop cancelled tasks, status %ld", l->id, status);
         int64_t shown = 0;
         const char *host = json_get_string(a, "host");
         bool again = answered && status == 409 && host && strcmp(host, l->id) == 0 &&
@@ -179,7 +179,7 @@
         /* Only a start's outcome matters: a late stop or forget harms nobody, attempts are unique. */
         if (same && l->has_run) {
             if (!answered && out != HTTP_NOT_SENT)
-                log_info("machine %s: a command's outcome is not known, raising its token", m->id);
+                log_info("machine %s: outcome of a command unknown, raising its fencing token", m->id);
             else if (m->unknown_token == l->fencing_token && m->unknown_incarnation == l->incarnation)
                 m->outcome_unknown = false;
         }
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -151,7 +151,8 @@
         m->preemption_notice_s = -1;
         return;
     }
-    if (m->preemption_notice_s < 0) log_info("machine %s: notice, taken in %.0f s", m->id, warning->valuedouble);
+    if (m->preemption_notice_s < 0)
+        log_info("machine %s: preemption notice, reclaimed in %.0f s", m->id, warning->valuedouble);
     m->preemption_notice_s = warning->valuedouble;
     m->notice_received = m->last_heard;
 }
@@ -159,9 +160,9 @@
 static void log_start(const struct allocation *b, const char *task) {
     const struct job_spec *spec = &b->job->spec;
     bool there = spec->image && g_hash_table_contains(b->machine->images, spec->image);
-    log_info("task %s runs on %s (%s): %.1f s after its job was ready, %.1f s after booking, image was %s", task,
+    log_info("task %s runs on %s (%s): %.1f s after its job was ready, %.1f s after allocation, image was %s", task,
              b->machine->id, spec->job_class ? spec->job_class : "?", clock_time_of_day() - b->job->ready,
-             clock_seconds_since(b->allocated_at), there ? "there" : "fetched");
+             clock_seconds_since(b->allocated_at), there ? "cached" : "fetched");
 }
 
 /* One task of the list. True if that ended it. */
@@ -213,8 +214,8 @@
             b->job->spec.kind == JOB_GANG &&
             clock_seconds_since(b->allocated_at) > 2 * clock_to_seconds(workers_settings->heartbeat_interval);
         if (!b->seen && !b->stop_requested && !b->inherited && !gang_lost) continue;
-        log_info("task %s/%d try %lld is gone from machine %s", b->job->spec.job_id, b->task, (long long)b->attempt,
-                 m->id);
+        log_info("task %s/%d attempt %lld is absent from machine %s", b->job->spec.job_id, b->task,
+                 (long long)b->attempt, m->id);
         b->released = true;
         jobs_mark_dirty(b->job, b->task);
         change = true;
@@ -226,7 +227,7 @@
     int64_t incarnation = 0, sequence = 0, fencing_token = 0;
     if (!json_get_int64(heartbeat, "tenure", &incarnation) || !json_get_int64(heartbeat, "seq", &sequence) ||
         !readable(m, heartbeat)) {
-        log_debug("machine %s: a report that can't be read", m->id);
+        log_debug("machine %s: malformed heartbeat", m->id);
         return false;
     }
     json_get_int64(heartbeat, "fence", &fencing_token);
