--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -6,8 +6,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#include "../jobs/jobs.h"
 #include "../json/json.h"
-#include "../placement/placement.h"
+#include "../machines/machines.h"
 
 void allocations_init(const struct settings *s);
 
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -152,7 +152,8 @@
         const cJSON *s;
         for (int i = 0; i < f->n_zones; i++) g_free(f->zones[i]);
         f->n_zones = 0;
-        cJSON_ArrayForEach(s, cJSON_GetObjectItemCaseSensitive(x, "sites")) if (cJSON_IsString(s) && f->n_zones < 32)
+        cJSON_ArrayForEach(s, cJSON_GetObjectItemCaseSensitive(x, "sites")) if (cJSON_IsString(s) &&
+                                                                                f->n_zones < MACHINE_TYPE_ZONES_MAX)
             f->zones[f->n_zones++] = g_strdup(s->valuestring);
     }
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -7,53 +7,10 @@
 #include <time.h>
 
 #include "../json/json.h"
+#include "../model/job.h"
 #include "../store/store.h"
 #include "job_spec.h"
 
-enum job_state { JOB_QUEUED, JOB_DONE, JOB_CANCELLED };
-
-struct allocation;
-struct job {
-    struct job_spec spec;
-    bool known; /* false: only heard of through an allocation */
-    char *spec_text;
-    int shard; /* that its record names, of a divided team's job; -1: its team's home */
-    enum job_state state;
-    double submitted; /* time of day of the acceptance */
-    double finished;  /* time of day at which its record says done; 0: not done, or recorded by the first version */
-    struct timespec eligible_since; /* since when it may start, as far as we know */
-    /* kept by chains */
-    GPtrArray *prerequisites, *dependents; /* struct job; NULL: none */
-    int unmet;                             /* prerequisites whose record does not say done */
-    double ready;                          /* time of day from which its times count; 0: it waits for others */
-    enum job_priority priority;            /* the highest of its own and its unfinished dependents' */
-    double deadline;                       /* time of day by which it is to be done for its own and their sake */
-    bool prerequisite_cancelled;           /* one of them, directly or through others: it is to be cancelled */
-    bool cascade_owned;                    /* and we told a user of it */
-    struct timespec cascade_since;
-    bool cancel_acknowledged;      /* we told its user so: its tasks end even if their owner never learns of it */
-    struct timespec ended;         /* when we learned of its final state */
-    uint8_t *done, *reported_done; /* recorded, and reported but not yet recorded */
-    int n_done, n_reported_done;
-    GPtrArray *allocations; /* struct allocation */
-    uint8_t *chunk_flags;   /* per chunk of tasks: 1 the store has a record, 2 what we know differs from it */
-    int n_recorded_chunks, n_dirty_chunks;
-    int chunk_size; /* tasks a record holds; 0: not known yet, that of the first layout */
-    bool listed_active, listed_ended;
-    /* owner's side */
-    struct timespec dirty_since; /* since when something waits to be written */
-    struct timespec retry_at;
-    /* kept by failures */
-    int failed_tries;          /* since it is suspect; 0: it is not */
-    int failed_tries_recorded; /* what its first record of allocations says of them */
-    GPtrArray *failed_on;      /* ids of machines, since a task of it last completed; NULL: none */
-    const char *zone;          /* where machines are being gathered for a gang that stays together; NULL: not decided */
-    int replicas_at_risk; /* replicas on machines that went silent with their zone: they may have to start elsewhere
-                             soon */
-    bool unplaced;        /* tasks found no place in the last round */
-    struct timespec preempted_at;
-};
-
 char *jobs_bits_text(const uint8_t *bits, int from, int n);
 void jobs_bits_read(const char *text, uint8_t *bits, int from, int n);
 
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -27,12 +27,6 @@
 /* The ledger: headroom H = C - O. */
 double placement_headroom(int n, double occupied, double reception, double admission);
 
-struct planned_task {
-    struct machine *machine;
-    struct job *job;
-    int task;
-    int64_t attempt;
-};
 const char *placement_zone(const struct job *job); /* where its tasks are, for a job that stays together; or NULL */
 void placement_reserve(struct machine *machine, const struct job_spec *s, int sign); /* counts a task in or out */
 #endif
