--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -79,7 +79,7 @@
     if (b->stop_requested) return;
     b->stop_requested = true;
     b->grace_s = grace_s;
-    b->machine->wake = true;
+    b->machine->commands.wake = true;
 }
 
 void allocations_job_changed(struct job *j) {
@@ -89,7 +89,7 @@
             if (j->state == JOB_DONE && j->spec.kind == JOB_GANG) continue; /* they complete together */
             b->stop_requested = true;
             b->grace_s = 0;
-            b->machine->wake = true;
+            b->machine->commands.wake = true;
         }
     scheduler_wake();
     workers_wake();
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -21,8 +21,10 @@
     const struct job *j = b->job;
     for (guint i = 0; i < machines_of_shard(b->machine->shard)->len; i++) {
         struct machine *m = machines_of_shard(b->machine->shard)->pdata[i];
-        if (m == b->machine || !m->schedulable || m->draining || !placement_fits(m, &j->spec)) continue;
-        if (!g_hash_table_contains(m->images, j->spec.image) || (m->used_gpu <= 0 && m->used_cpu <= 0)) continue;
+        if (m == b->machine || !m->round.schedulable || m->retirement.draining || !placement_fits(m, &j->spec))
+            continue;
+        if (!g_hash_table_contains(m->images, j->spec.image) || (m->round.used_gpus <= 0 && m->round.used_vcpus <= 0))
+            continue;
         /* In its own zone it takes its own place among a spread job's tasks. */
         struct job alone = *j;
         if (strcmp(m->zone, b->machine->zone) == 0) alone.spec.spread = alone.spec.single_zone = false;
@@ -75,18 +77,18 @@
     int n = 0, draining = 0, unsteady = 0;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
-        if (m->spot != spot || !machines_owned(m) || !m->up || machines_leaving(m)) continue;
+        if (m->spot != spot || !machines_owned(m) || !m->liveness.up || machines_leaving(m)) continue;
         struct candidate c = {m, placement_occupancy(m, (int)cfg->tuning.window)};
         occupied += c.occ;
-        if (m->draining) {
+        if (m->retirement.draining) {
             draining++;
             continue;
         }
         n++;
-        bool short_of = m->n_samples < (int)cfg->tuning.window;
+        bool short_of = m->occupancy.n_samples < (int)cfg->tuning.window;
         unsteady += short_of;
         /* One rented for waiting tasks stays until it has had its first. */
-        if (m == reception || short_of || m->preemption_notice_s >= 0 ||
+        if (m == reception || short_of || m->liveness.preemption_notice_s >= 0 ||
             (!m->had_task && clock_time_of_day() - m->created_at < provisioning_give_up_s(m)))
             continue;
         g_array_append_val(order, c);
@@ -100,8 +102,8 @@
         g_array_sort(order, least_first);
         for (guint i = 0; i < order->len && drains > 0; i++, drains--) {
             struct machine *m = g_array_index(order, struct candidate, i).m;
-            m->draining = true;
-            m->drain_since = clock_now();
+            m->retirement.draining = true;
+            m->retirement.drain_since = clock_now();
             if (!spot) move_off(m);
             log_info("machine %s: draining (shard %d, %s, machines %d, occupancy %.2f, headroom %.2f)", m->id, k,
                      spot ? "spot" : "on-demand", n--, occupied, h);
@@ -117,10 +119,10 @@
     double gpus[2] = {0, 0}, used[2] = {0, 0}, filler = 0, occupied = 0;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
-        if (m->returning || m->released_by_cloud) continue;
-        (m->up ? up : booting)[m->spot]++;
-        draining += m->draining;
-        if (!m->up || !m->type) continue;
+        if (m->retirement.returning || m->retirement.released) continue;
+        (m->liveness.up ? up : booting)[m->spot]++;
+        draining += m->retirement.draining;
+        if (!m->liveness.up || !m->type) continue;
         gpus[m->spot] += m->type->gpus;
         occupied += placement_occupancy(m, (int)cfg->tuning.window);
         for (guint b = 0; b < m->allocations->len; b++) {
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -159,7 +159,7 @@
         const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
         if (s->allows_spot) p->slots += s->gpus;
     }
-    if (!m->up) {
+    if (!m->liveness.up) {
         if (liveness_zone_unreachable(p->shard, m->zone)) return; /* nobody knows when it is heard */
         /* Nor when this one comes, if ever. More than a few at a time are not replaced: a spell of slow boots must not
          * multiply the bill. */
@@ -168,10 +168,10 @@
         p->booting = true;
         return;
     }
-    if (m->spot || m->draining || m->preemption_notice_s >= 0) return;
+    if (m->spot || m->retirement.draining || m->liveness.preemption_notice_s >= 0) return;
     p->steady++;
     /* Whole ones are kept for gangs that lack others. */
-    if (allocations_on_machine(m) == 0 && m->schedulable) {
+    if (allocations_on_machine(m) == 0 && m->round.schedulable) {
         guint before = p->vms->len;
         planned_machine_add(p->vms, m->type_name, m->zone, false);
         if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).kept = true;
@@ -182,7 +182,7 @@
 static void count_machines(struct shard_plan *p) {
     memset(zone_count, 0, sizeof zone_count);
     for (guint i = 0; i < machines_of_shard(p->shard)->len; i++)
-        p->up += ((struct machine *)machines_of_shard(p->shard)->pdata[i])->up;
+        p->up += ((struct machine *)machines_of_shard(p->shard)->pdata[i])->liveness.up;
     for (guint i = 0; i < machines_of_shard(p->shard)->len; i++)
         count_machine(p, machines_of_shard(p->shard)->pdata[i]);
     GHashTableIter it;
@@ -208,7 +208,7 @@
     }
     for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
         const struct machine *m = machines_all()->pdata[i];
-        if (m->shard == p->shard || m->shard < 0 || !rebalancing_possible(m) || m->rebalance_to >= 0) continue;
+        if (m->shard == p->shard || m->shard < 0 || !rebalancing_possible(m) || m->rebalance.to >= 0) continue;
         guint before = p->vms->len;
         planned_machine_add(p->vms, m->type_name, m->zone, false);
         if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).foreign = true;
@@ -385,7 +385,7 @@
         for (int k = 0; k < cfg->size; k++)
             for (guint i = 0; membership_owns(k) && i < machines_of_shard(k)->len && n < most; i++) {
                 struct machine *m = machines_of_shard(k)->pdata[i];
-                if (!m->returning || m->released_by_cloud || !machines_owned(m) ||
+                if (!m->retirement.returning || m->retirement.released || !machines_owned(m) ||
                     (allocations_on_machine(m) > 0) != with_tasks)
                     continue;
                 g_strlcpy(ids[n++], m->id, 64);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -197,9 +197,9 @@
             g_strlcpy(since, id, sizeof since);
             struct machine *m = machines_find(id);
             if (m && machines_owned(m)) {
-                if (strcmp(state, "failed") == 0 && !m->return_wanted) {
+                if (strcmp(state, "failed") == 0 && !m->retirement.return_wanted) {
                     log_info("machine %s: listed as failed, returning it", id);
-                    m->return_wanted = true;
+                    m->retirement.return_wanted = true;
                     scheduler_wake();
                 }
                 if (!m->address[0] && address && *address) {
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -62,11 +62,11 @@
     for (int k = 0; k < cfg->size; k++)
         for (guint i = 0; membership_owns(k) && i < machines_of_shard(k)->len; i++) {
             struct machine *m = machines_of_shard(k)->pdata[i];
-            if (!machines_owned(m) || !m->up || machines_leaving(m)) continue;
+            if (!machines_owned(m) || !m->liveness.up || machines_leaving(m)) continue;
             h.up++;
-            h.heard += clock_seconds_since(m->last_heard) < lately;
-            h.reported += clock_seconds_since(m->last_heartbeat) < lately;
-            h.newest_s = MIN(h.newest_s, clock_seconds_since(m->last_heard));
+            h.heard += clock_seconds_since(m->liveness.last_heard) < lately;
+            h.reported += clock_seconds_since(m->liveness.last_heartbeat) < lately;
+            h.newest_s = MIN(h.newest_s, clock_seconds_since(m->liveness.last_heard));
         }
     return h;
 }
@@ -110,12 +110,12 @@
     for (int i = 0; i < cfg->n_zones; i++) z[i] = (struct zone_watch){0, 0, 1e9};
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         const struct machine *m = machines_of_shard(k)->pdata[i];
-        if (!m->up || machines_leaving(m)) continue;
+        if (!m->liveness.up || machines_leaving(m)) continue;
         int n = settings_zone(cfg, m->zone);
         if (n < 0) continue;
         z[n].up++;
-        z[n].heard += clock_seconds_since(m->last_heard) < lately;
-        z[n].newest = MIN(z[n].newest, clock_seconds_since(m->last_heard));
+        z[n].heard += clock_seconds_since(m->liveness.last_heard) < lately;
+        z[n].newest = MIN(z[n].newest, clock_seconds_since(m->liveness.last_heard));
     }
     for (int i = 0; i < cfg->n_zones; i++) {
         bool cut = z[i].newest > liveness_zone_silence_s(z[i].up, clock_to_seconds(cfg->heartbeat_interval));
@@ -162,7 +162,7 @@
     for (guint i = 0; i < m->allocations->len; i++) {
         const struct allocation *b = m->allocations->pdata[i];
         if (!b->released && b->seen && b->job->state == JOB_CANCELLED &&
-            liveness_stop_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->last_heartbeat),
+            liveness_stop_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->liveness.last_heartbeat),
                                   clock_to_seconds(cfg->lease), clock_to_seconds(cfg->cancel)))
             return true;
     }
@@ -201,47 +201,50 @@
                quiet = clock_seconds_since(shard_states[k].suspicion_at) < ALARM_S
                            ? ALARM_S / 2
                            : clock_to_seconds(cfg->heartbeat_interval) * 1.1;
-        if (m->up && clock_seconds_since(m->last_heard) > quiet && clock_seconds_since(m->last_probe) > again) {
+        if (m->liveness.up && clock_seconds_since(m->liveness.last_heard) > quiet &&
+            clock_seconds_since(m->commands.last_probe) > again) {
             /* Asked directly, so that silence is not just a report on its way round the controllers. */
-            m->last_probe = clock_now();
-            m->needs_token_probe = true;
+            m->commands.last_probe = clock_now();
+            m->commands.needs_token_probe = true;
         }
-        bool silent = clock_seconds_since(m->last_heard) > silent_limit() ||
-                      clock_seconds_since(m->last_heartbeat) > clock_to_seconds(cfg->lease) + silent_limit();
+        bool silent = clock_seconds_since(m->liveness.last_heard) > silent_limit() ||
+                      clock_seconds_since(m->liveness.last_heartbeat) > clock_to_seconds(cfg->lease) + silent_limit();
         /* Two questions without an answer tell it sooner; only where a cut of the whole zone would have shown before.
          */
-        if (m->unanswered_probes >= 2 && clock_seconds_since(m->last_heard) > UNANSWERED_S && z >= 0 &&
+        if (m->liveness.unanswered_probes >= 2 && clock_seconds_since(m->liveness.last_heard) > UNANSWERED_S &&
+            z >= 0 &&
             liveness_zone_silence_s(zones[z].up, clock_to_seconds(cfg->heartbeat_interval)) < UNANSWERED_S - 1)
             silent = true;
-        if (m->up && m->unanswered_probes && !cut) replicas_at_risk(m);
+        if (m->liveness.up && m->liveness.unanswered_probes && !cut) replicas_at_risk(m);
         /* It reports, but nothing of what we answer reaches it: its lease runs out though it is not silent. */
-        if (m->up && m->ignored_responses >= 3) {
+        if (m->liveness.up && m->liveness.ignored_responses >= 3) {
             log_info("machine %s: its heartbeats arrive, our responses don't reach it; returning it", m->id);
-            m->return_wanted = true;
+            m->retirement.return_wanted = true;
         }
         /* When a cut zone is heard again, its machines come one after the other: 65 healthy ones were once returned in
          * the moment in which the first of them answered. */
         if (z >= 0 && clock_seconds_since(zone_back[k][z]) < silent_limit()) silent = false;
-        if (m->up && cut) silent = !wait_for_zone(m, &zones[z]);
-        if (m->up && silent && hears) {
-            log_info("machine %s: unreachable for %.0f s, returning it", m->id, clock_seconds_since(m->last_heard));
-            m->return_wanted = true;
+        if (m->liveness.up && cut) silent = !wait_for_zone(m, &zones[z]);
+        if (m->liveness.up && silent && hears) {
+            log_info("machine %s: unreachable for %.0f s, returning it", m->id,
+                     clock_seconds_since(m->liveness.last_heard));
+            m->retirement.return_wanted = true;
         }
-        if (m->up && faulty_for_long(m)) {
+        if (m->liveness.up && faulty_for_long(m)) {
             log_info("machine %s: cordoned, different jobs fail on it, returning it", m->id);
-            m->return_wanted = true;
+            m->retirement.return_wanted = true;
         }
-        if (!m->up && clock_time_of_day() - m->created_at > provisioning_give_up_s(m) &&
+        if (!m->liveness.up && clock_time_of_day() - m->created_at > provisioning_give_up_s(m) &&
             clock_seconds_since(m->owned_since) > 20) {
             log_info("machine %s: never came up, returning it", m->id);
-            m->return_wanted = true;
+            m->retirement.return_wanted = true;
         }
-        if (m->up && holds_cancelled(m)) {
+        if (m->liveness.up && holds_cancelled(m)) {
             log_info("machine %s: does not stop a cancelled task, returning it", m->id);
-            m->return_wanted = true;
+            m->retirement.return_wanted = true;
         }
-        if (m->preemption_notice_s >= 0) {
-            double left = m->preemption_notice_s - clock_seconds_since(m->notice_received);
+        if (m->liveness.preemption_notice_s >= 0) {
+            double left = m->liveness.preemption_notice_s - clock_seconds_since(m->liveness.notice_received);
             for (guint b = 0; b < m->allocations->len; b++) {
                 struct allocation *x = m->allocations->pdata[b];
                 if (!x->stop_requested && x->job->spec.checkpoint_s > 0 && left < x->job->spec.checkpoint_flush_s + 6) {
@@ -253,14 +256,14 @@
                     }
                 }
             }
-            if (m->allocations->len == 0) m->return_wanted = true;
+            if (m->allocations->len == 0) m->retirement.return_wanted = true;
         }
-        if (m->draining && m->allocations->len == 0) {
+        if (m->retirement.draining && m->allocations->len == 0) {
             log_info("machine %s: drained, returning it", m->id);
-            m->return_wanted = true;
-        } else if (m->draining && clock_has_elapsed(m->drain_since, cfg->tuning.drain_reopen)) {
+            m->retirement.return_wanted = true;
+        } else if (m->retirement.draining && clock_has_elapsed(m->retirement.drain_since, cfg->tuning.drain_reopen)) {
             log_info("machine %s: still busy, drain cancelled", m->id);
-            m->draining = false;
+            m->retirement.draining = false;
         }
     }
 }
@@ -275,10 +278,10 @@
 void liveness_reset_silence(void) {
     for (guint i = 0; i < machines_all()->len; i++) {
         struct machine *m = machines_all()->pdata[i];
-        count_anew(&m->last_heard);
-        count_anew(&m->last_heartbeat);
+        count_anew(&m->liveness.last_heard);
+        count_anew(&m->liveness.last_heartbeat);
         count_anew(&m->owned_since); /* a boot that was over meanwhile has not been heard of */
-        m->unanswered_probes = 0;
+        m->liveness.unanswered_probes = 0;
     }
 }
 
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -53,7 +53,9 @@
     return machines_find(id) || g_hash_table_contains(unregistered, id) || g_hash_table_contains(gone, id);
 }
 
-bool machines_leaving(const struct machine *m) { return m->returning || m->return_wanted || m->released_by_cloud; }
+bool machines_leaving(const struct machine *m) {
+    return m->retirement.returning || m->retirement.return_wanted || m->retirement.released;
+}
 
 struct machine *machines_find_or_stub(const char *id) {
     struct machine *m = g_hash_table_lookup(by_id, id);
@@ -61,10 +63,10 @@
     m = g_new0(struct machine, 1);
     g_strlcpy(m->id, id, sizeof m->id);
     m->allocations = g_ptr_array_new();
-    m->unknown_tasks = g_array_new(FALSE, FALSE, sizeof(struct unknown_task));
+    m->agent.unknown_tasks = g_array_new(FALSE, FALSE, sizeof(struct unknown_task));
     m->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    m->preemption_notice_s = -1;
-    m->shard = m->rebalance_to = m->page = m->next_page = -1;
+    m->liveness.preemption_notice_s = -1;
+    m->shard = m->rebalance.to = m->page = m->round.next_page = -1;
     m->unrecorded_since = clock_now();
     g_hash_table_insert(by_id, m->id, m);
     g_ptr_array_add(machines, m);
@@ -76,8 +78,8 @@
     if (m->shard >= 0) g_ptr_array_remove_fast(of_shard[m->shard], m);
     m->shard = shard;
     m->owned_token = 0;
-    m->rebalance_to = m->next_page = -1;
-    m->leaves_page = false;
+    m->rebalance.to = m->round.next_page = -1;
+    m->round.leaves_page = false;
     if (shard >= 0) g_ptr_array_add(of_shard[shard], m);
 }
 
@@ -87,7 +89,7 @@
     g_hash_table_remove(by_id, m->id);
     g_ptr_array_remove_fast(machines, m);
     g_ptr_array_free(m->allocations, TRUE);
-    g_array_free(m->unknown_tasks, TRUE);
+    g_array_free(m->agent.unknown_tasks, TRUE);
     g_hash_table_destroy(m->images);
     quarantine_forget_machine(m);
     g_free(m);
@@ -107,7 +109,7 @@
     g_hash_table_add(gone, g_strdup(m->id));
     cloud_capacity_freed(m->type_name, m->zone, m->spot);
     m->known = false;
-    m->released_by_cloud = true;
+    m->retirement.released = true;
     m->unrecorded_since = clock_now();
     release_all(m);
     set_shard(m, -1);
@@ -117,7 +119,7 @@
 
 static struct machine *machine_here(const char *id, int shard, int page) {
     struct machine *m = machines_find_or_stub(id);
-    if (!m->known) m->released_by_cloud = m->returning = m->return_wanted = false;
+    if (!m->known) m->retirement.released = m->retirement.returning = m->retirement.return_wanted = false;
     /* The page that it was on still lists it, unless that is written without it at the same time. */
     if (m->known && m->shard >= 0 && m->page >= 0 && m->page < MACHINE_PAGES_MAX &&
         (m->shard != shard || m->page != page))
@@ -171,7 +173,7 @@
     g_strlcpy(m->zone, entry(names->sites, f[ENTRY_SITE]), sizeof m->zone);
     int flags = cJSON_IsNumber(f[ENTRY_FLAGS]) ? f[ENTRY_FLAGS]->valueint : 0;
     m->spot = flags & 1;
-    m->returning = flags & 2;
+    m->retirement.returning = flags & 2;
     m->fencing_token = cJSON_IsNumber(f[ENTRY_FENCE]) ? (int64_t)f[ENTRY_FENCE]->valuedouble : 0;
     m->created_at = cJSON_IsNumber(f[ENTRY_BORN]) ? f[ENTRY_BORN]->valuedouble : 0;
     read_images(m, f[ENTRY_IMAGE_LIST], names->images);
@@ -269,7 +271,7 @@
     if ((v = json_get_string(data, "flavour"))) g_strlcpy(m->type_name, v, sizeof m->type_name);
     if ((v = json_get_string(data, "site"))) g_strlcpy(m->zone, v, sizeof m->zone);
     m->spot = json_get_bool(data, "spot");
-    m->returning = false;
+    m->retirement.returning = false;
     m->created_at = json_get_double(data, "born", 0);
     scheduler_wake();
 }
@@ -280,15 +282,15 @@
     if (!membership_owns(m->shard)) return false;
     if (m->owned_token == f) return true;
     m->owned_token = f;
-    m->last_heard = m->last_heartbeat = m->owned_since = clock_now();
-    m->outcome_unknown = m->needs_token_raise = m->draining = m->return_wanted = m->released_by_cloud =
-        m->heartbeat_acknowledged = false;
-    m->rebalance_to = -1;
-    m->seen_token = m->start_incarnation = 0;
-    m->ignored_responses = m->unanswered_probes = 0;
-    m->up = m->allocations->len > 0;
-    m->n_samples = 0;
-    m->needs_token_probe = m->wake = m->address[0] != 0;
+    m->liveness.last_heard = m->liveness.last_heartbeat = m->owned_since = clock_now();
+    m->commands.outcome_unknown = m->commands.needs_token_raise = m->retirement.draining = m->retirement.return_wanted =
+        m->retirement.released = m->liveness.heartbeat_acknowledged = false;
+    m->rebalance.to = -1;
+    m->agent.seen_token = m->commands.start_incarnation = 0;
+    m->liveness.ignored_responses = m->liveness.unanswered_probes = 0;
+    m->liveness.up = m->allocations->len > 0;
+    m->occupancy.n_samples = 0;
+    m->commands.needs_token_probe = m->commands.wake = m->address[0] != 0;
     for (guint i = 0; i < m->allocations->len; i++) {
         struct allocation *b = m->allocations->pdata[i];
         b->seen = b->released = b->stop_sent = false;
@@ -316,11 +318,11 @@
     }
     const struct machine_type *f = m->type ? m->type : (m->type = cloud_machine_type(m->type_name));
     if (!f) return;
-    double *row = m->occupancy_samples[m->n_samples % MACHINE_OCCUPANCY_SAMPLES];
+    double *row = m->occupancy.samples[m->occupancy.n_samples % MACHINE_OCCUPANCY_SAMPLES];
     row[0] = f->vcpus > 0 ? c / f->vcpus : 0;
     row[1] = f->memory_gb > 0 ? r / f->memory_gb : 0;
     row[2] = f->gpus > 0 ? g / f->gpus : 0;
-    m->n_samples++;
+    m->occupancy.n_samples++;
 }
 
 static void add_unregistered(int shard, const char *id, const char *address, const char *type_name, const char *site,
@@ -352,7 +354,7 @@
 void machines_returned(const char *id) {
     struct machine *m = g_hash_table_lookup(by_id, id);
     if (!m) return;
-    m->released_by_cloud = true;
+    m->retirement.released = true;
     release_all(m);
     scheduler_wake();
 }
@@ -402,14 +404,14 @@
 }
 
 /* The page that a machine is on, or will be once this round is written. */
-static int page_of(const struct machine *m) { return m->next_page >= 0 ? m->next_page : m->page; }
+static int page_of(const struct machine *m) { return m->round.next_page >= 0 ? m->round.next_page : m->page; }
 
 static void fill_pages(int k, struct page_fill *pages) {
     memset(pages, 0, MACHINE_PAGES_MAX * sizeof *pages);
     for (guint i = 0; i < of_shard[k]->len; i++) {
         const struct machine *m = of_shard[k]->pdata[i];
         int p = page_of(m);
-        if (p >= 0 && p < MACHINE_PAGES_MAX) fill_add(&pages[p], m->id, !m->released_by_cloud);
+        if (p >= 0 && p < MACHINE_PAGES_MAX) fill_add(&pages[p], m->id, !m->retirement.released);
     }
     GHashTableIter it;
     gpointer v;
@@ -506,10 +508,10 @@
     *count = 0;
     for (guint i = 0; i < of_shard[k]->len; i++) {
         const struct machine *m = of_shard[k]->pdata[i];
-        if (page_of(m) != page || m->leaves_page || m->released_by_cloud) continue;
+        if (page_of(m) != page || m->round.leaves_page || m->retirement.released) continue;
         add_entry(list, &l, m->id, m->address, m->type_name, m->zone,
-                  m->spot + (m->returning || m->return_wanted ? 2 : 0), MAX(m->fencing_token, m->next_token),
-                  m->created_at, m->images);
+                  m->spot + (m->retirement.returning || m->retirement.return_wanted ? 2 : 0),
+                  MAX(m->fencing_token, m->round.next_token), m->created_at, m->images);
         (*count)++;
     }
     GHashTableIter it;
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -74,7 +74,7 @@
     assert_string_equal(m->zone, "za");
     assert_string_equal(m->type_name, "g48");
     /* Returned: off its page, and a late copy or a stale list does not bring it back. */
-    m->next_page = -1;
+    m->round.next_page = -1;
     machines_returned("i-000003");
     int page = m->page;
     cJSON *x = machines_page_value(1, page, &n);
@@ -93,7 +93,7 @@
     int page = m->page, n;
     char key[64];
     for (int order = 0; order < 2; order++) { /* the watch may bring one transaction's changes in either order */
-        m->leaves_page = true;
+        m->round.leaves_page = true;
         cJSON *x = machines_page_value(1, page, &n), *single = machines_single_value(m, 0, 77);
         g_snprintf(key, sizeof key, "fleet/1/%d", page);
         if (order == 0) put("machine/i-000004", single);
@@ -106,8 +106,8 @@
         assert_int_equal(m->shard, 0);
         assert_int_equal(m->page, -1);
         assert_int_equal(m->fencing_token, 77);
-        m->next_page = machines_page_for(0, m->id);
-        x = machines_page_value(0, m->next_page, &n);
+        m->round.next_page = machines_page_for(0, m->id);
+        x = machines_page_value(0, m->round.next_page, &n);
         assert_int_equal(page_len(x), 1);
         put("fleet/0/0", x);
         put("machine/i-000004", NULL);
@@ -117,15 +117,15 @@
         assert_int_equal(m->page, 0);
         assert_int_equal(m->fencing_token, 77);
         /* and back, for the other order */
-        m->leaves_page = true;
-        m->next_page = -1;
+        m->round.leaves_page = true;
+        m->round.next_page = -1;
         single = machines_single_value(m, 1, 78);
         put("machine/i-000004", single);
         cJSON_Delete(single);
         put("fleet/0/0", NULL);
         m = machines_find("i-000004");
-        m->leaves_page = false;
-        m->next_page = page;
+        m->round.leaves_page = false;
+        m->round.next_page = page;
         x = machines_page_value(1, page, &n);
         g_snprintf(key, sizeof key, "fleet/1/%d", page);
         put(key, x);
@@ -133,7 +133,7 @@
         cJSON_Delete(x);
         m = machines_find("i-000004");
         assert_int_equal(m->shard, 1);
-        m->next_page = -1;
+        m->round.next_page = -1;
     }
 }
 
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -13,55 +13,108 @@
 #define MACHINE_TASKS_MAX 200 /* allocated on a machine at a time: reports and answers stay far below 64 KiB */
 #define MACHINE_PAGES_MAX 256 /* a shard's pages are numbered below this */
 
+/* What the machine's agent has shown of itself. Kept by workers. */
+struct machine_agent {
+    int64_t incarnation, sequence; /* of the newest message; 0: none yet */
+    int64_t seen_token;            /* the highest token that it has shown */
+    GArray *unknown_tasks;         /* struct unknown_task: what it lists that has no allocation */
+};
+
+/* Whether it can be reached, in both directions. Kept by workers, read by liveness. */
+struct machine_liveness {
+    bool up;
+    struct timespec last_heard;     /* by a heartbeat or a direct answer */
+    struct timespec last_heartbeat; /* by a heartbeat */
+    int unanswered_probes;          /* in a row, since it was last heard */
+    bool heartbeat_acknowledged;    /* its last heartbeat got a 200 under the token it should show by now */
+    int ignored_responses;          /* heartbeats in a row that show nothing of what we answered */
+    double preemption_notice_s;     /* the cloud takes it back in so many seconds; < 0: no notice */
+    struct timespec notice_received;
+};
+
+/* Directives sent straight to it. Kept by workers. */
+struct machine_commands {
+    bool wake;              /* something is to be sent */
+    bool needs_token_probe; /* it is to be shown our token, and asked for its tasks */
+    bool in_flight;
+    bool probe_in_flight; /* what is in flight carries no directives */
+    struct timespec last_probe;
+    bool outcome_unknown; /* a start's outcome is not known: it may yet be carried out, under these two */
+    int64_t unknown_token, unknown_incarnation;
+    bool needs_token_raise;    /* only a higher token rules that start out */
+    int64_t start_incarnation; /* the latest of it in which a response to a heartbeat carried starts; 0: none */
+    struct timespec stops_requested_at; /* when, not being its owner, we last asked it to stop tasks */
+};
+
+/* Window of the latest samples: per component (vcpus, memory, gpus), the part that is allocated. */
+struct machine_occupancy {
+    double samples[MACHINE_OCCUPANCY_SAMPLES][3];
+    int n_samples; /* so far; the latest overwrite the oldest */
+};
+
+/* On its way back to the cloud. Kept by the autoscaler and liveness. */
+struct machine_retirement {
+    bool draining; /* takes no more tasks; returned once empty */
+    struct timespec drain_since;
+    bool return_wanted;
+    bool returning; /* recorded so */
+    bool released;  /* the cloud has confirmed its return */
+};
+
+/* On its way to another shard. Kept by rebalancing. */
+struct machine_rebalance {
+    int to; /* -1: no */
+    struct timespec since;
+};
+
+/* Scratch of one scheduling round. Kept by the scheduler. */
+struct machine_round {
+    bool schedulable;
+    bool dirty;         /* the round allocates on it or releases from it */
+    bool leaves_page;   /* its page is written without it */
+    int64_t next_token; /* its page is written with this one; 0: as it is */
+    int next_page;      /* it is written to this page; -1: as it is */
+    double occupancy;
+    double used_vcpus, used_gpus, used_memory_gb; /* by allocations and plans */
+    int used_tasks;
+};
+
 struct machine {
     char id[64];
+    char address[64], type_name[64], zone[64];
+    const struct machine_type *type; /* NULL: not known yet */
+    bool spot;
+    double created_at;      /* time of day of the rental */
+    GPtrArray *allocations; /* struct allocation */
+    bool had_task;
+    GHashTable *images; /* names of those that it has cached */
+
+    /* Its record. Kept by machines. */
     bool known;                       /* false: only heard of through an allocation; no record means that it is gone */
     struct timespec unrecorded_since; /* where it is not known: since when */
     int shard;                        /* -1: none */
     int page;                         /* of its shard; -1: in a record of its own, on its way between shards */
     int64_t placement_revision;       /* mod revision of the record that says so */
-    int64_t fencing_token;            /* its own token from adoption or a raise; the shard's may be higher */
-    char address[64], type_name[64], zone[64];
-    const struct machine_type *type;
-    bool spot, returning;
-    double created_at; /* time of day of the rental */
-    GPtrArray *allocations;
-    /* owner's side */
-    int64_t owned_token; /* the shard fence under which the rest holds */
-    bool up;
-    int64_t incarnation, sequence, seen_token;
-    struct timespec stops_requested_at; /* when, not being its owner, we last asked tasks of it to end */
-    struct timespec last_heard, last_heartbeat, owned_since, last_probe; /* heard: by a report or a direct answer */
-    double preemption_notice_s;                                          /* < 0: none */
-    struct timespec notice_received;
-    bool outcome_unknown; /* a direct command's outcome is not known */
-    int64_t unknown_token, unknown_incarnation;
-    bool command_in_flight, probe_in_flight, needs_token_raise, wake,
-        needs_token_probe;     /* asking: what is being sent carries no orders */
-    int64_t start_incarnation; /* the latest incarnation of it in which an answer to a report carried our run orders; 0:
-                                  none */
-    int unanswered_probes;     /* questions in a row that it did not answer since it was heard */
-    bool heartbeat_acknowledged; /* its last report got a 200 under the token it should show by now */
-    int ignored_responses;       /* reports in a row that show nothing of what we answered */
-    bool address_unrecorded;     /* its address is known, but not on record */
-    GArray *unknown_tasks;
-    double occupancy_samples[MACHINE_OCCUPANCY_SAMPLES][3];
-    int n_samples;
-    GHashTable *images;
+    int64_t fencing_token;            /* its own, from adoption or a raise; the shard's may be higher */
+    bool address_unrecorded;          /* its address is known, but not on record */
+
+    /* What the owner of its shard knows: valid under this token of the shard only. */
+    int64_t owned_token;
+    struct timespec owned_since;
+    struct machine_agent agent;
+    struct machine_liveness liveness;
+    struct machine_commands commands;
+    struct machine_occupancy occupancy;
+    struct machine_retirement retirement;
+    struct machine_rebalance rebalance;
+    struct machine_round round;
+
+    /* Kept by quarantine. */
     struct timespec faulty_since; /* zero: it is not */
-    GPtrArray *failed_jobs;       /* struct job, kept by failures; NULL: none */
-    bool draining, return_wanted, released_by_cloud, had_task;
-    int rebalance_to; /* shard that it is to pass to, -1: none */
-    struct timespec rebalance_since;
-    struct timespec drain_since;
-    /* scratch of a round */
-    bool schedulable, dirty, leaves_page;
-    int64_t next_token;
-    int next_page;
-    double occupancy, used_cpu, used_gpu, used_mem;
-    int used_tasks;
+    GPtrArray *failed_jobs;       /* struct job; NULL: none */
 };
 
+/* A machine that was rented or found, and is not recorded yet. */
 struct unregistered_machine { /* rented or found, not yet recorded */
     char id[64], address[64], type_name[64], zone[64];
     bool spot;
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -8,9 +8,9 @@
 
 bool placement_fits(const struct machine *m, const struct job_spec *j) {
     const struct machine_type *f = m->type;
-    if (!f || m->used_tasks >= MACHINE_TASKS_MAX) return false;
-    return m->used_cpu + j->vcpus <= f->vcpus + 1e-6 && m->used_gpu + j->gpus <= f->gpus + 1e-6 &&
-           m->used_mem + j->memory_gb <= f->memory_gb + 1e-6;
+    if (!f || m->round.used_tasks >= MACHINE_TASKS_MAX) return false;
+    return m->round.used_vcpus + j->vcpus <= f->vcpus + 1e-6 && m->round.used_gpus + j->gpus <= f->gpus + 1e-6 &&
+           m->round.used_memory_gb + j->memory_gb <= f->memory_gb + 1e-6;
 }
 
 const char *placement_zone(const struct job *j) {
@@ -46,11 +46,11 @@
 
 double placement_occupancy(const struct machine *m, int window) {
     double sum[3] = {0, 0, 0}, most = 0;
-    int n = MIN(m->n_samples, window);
+    int n = MIN(m->occupancy.n_samples, window);
     if (n == 0) return 0;
     for (int i = 0; i < n; i++)
         for (int k = 0; k < 3; k++)
-            sum[k] += m->occupancy_samples[(m->n_samples - 1 - i) % MACHINE_OCCUPANCY_SAMPLES][k];
+            sum[k] += m->occupancy.samples[(m->occupancy.n_samples - 1 - i) % MACHINE_OCCUPANCY_SAMPLES][k];
     for (int k = 0; k < 3; k++) most = MAX(most, sum[k] / n);
     return most;
 }
@@ -77,16 +77,16 @@
     for (guint i = 0; i < machines->len; i++) {
         struct machine *m = machines->pdata[i];
         machines_examined++;
-        if (!m->schedulable || (zone && strcmp(zone, m->zone) != 0)) continue;
+        if (!m->round.schedulable || (zone && strcmp(zone, m->zone) != 0)) continue;
         if (!placement_fits(m, &j->spec) || !placement_allowed(m, j, together, plans)) continue;
         bool reception = m == r->reception_machine;
         /* Reception first under its threshold, then the least occupied under the admission threshold. */
-        double score = reception && m->occupancy < r->reception ? 3
-                       : m->occupancy < r->admission            ? 2 - m->occupancy
-                                                                : 0.5 - m->occupancy / 4;
-        if (!reception && m->occupancy >= r->admission) score = 0.2;
+        double score = reception && m->round.occupancy < r->reception ? 3
+                       : m->round.occupancy < r->admission            ? 2 - m->round.occupancy
+                                                                      : 0.5 - m->round.occupancy / 4;
+        if (!reception && m->round.occupancy >= r->admission) score = 0.2;
         /* An empty machine is opened last: headroom in scattered pieces starves gangs and can't be given back. */
-        if (m->used_gpu <= 0 && m->used_cpu <= 0) score -= 5;
+        if (m->round.used_gpus <= 0 && m->round.used_vcpus <= 0) score -= 5;
         /* Cheap machines for those who may use them; then an image at hand, which is worth more than the order
          * among machines that all have room: a fetch lasts longer than the whole wait a user accepts. */
         if (j->spec.allows_spot) score += m->spot ? 40 : 0;
@@ -102,8 +102,8 @@
 }
 
 void placement_reserve(struct machine *m, const struct job_spec *s, int sign) {
-    m->used_cpu += sign * s->vcpus;
-    m->used_gpu += sign * s->gpus;
-    m->used_mem += sign * s->memory_gb;
-    m->used_tasks += sign;
+    m->round.used_vcpus += sign * s->vcpus;
+    m->round.used_gpus += sign * s->gpus;
+    m->round.used_memory_gb += sign * s->memory_gb;
+    m->round.used_tasks += sign;
 }
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -14,8 +14,8 @@
     g_strlcpy(m->type_name, "g4", sizeof m->type_name);
     m->type = &type;
     m->spot = spot;
-    m->schedulable = true;
-    m->used_gpu = gpu_used;
+    m->round.schedulable = true;
+    m->round.used_gpus = gpu_used;
     m->allocations = g_ptr_array_new();
     m->images = g_hash_table_new(g_str_hash, g_str_equal);
     return m;
@@ -42,9 +42,9 @@
     struct machine *m = machine("za", false, 0);
     assert_float_equal(placement_occupancy(m, 6), 0, 1e-9); /* no rows: it admits */
     for (int i = 0; i < 8; i++) {
-        m->occupancy_samples[i][0] = i < 2 ? 1 : 0.25;
-        m->occupancy_samples[i][2] = i < 5 ? 0.5 : 0;
-        m->n_samples++;
+        m->occupancy.samples[i][0] = i < 2 ? 1 : 0.25;
+        m->occupancy.samples[i][2] = i < 5 ? 0.5 : 0;
+        m->occupancy.n_samples++;
     }
     /* Averages over the last six first, then the largest: cpu 0.25, gpu 0.25. */
     assert_float_equal(placement_occupancy(m, 6), 0.25, 1e-9);
@@ -82,7 +82,7 @@
         g_ptr_array_add(ms, machine("za", true, 0));
         g_ptr_array_add(ms, machine("zc", false, 4));
         static const double occ[] = {0.25, 0.5, 0, 0, 1};
-        for (int k = 0; k < 5; k++) ((struct machine *)ms->pdata[k])->occupancy = occ[k];
+        for (int k = 0; k < 5; k++) ((struct machine *)ms->pdata[k])->round.occupancy = occ[k];
         struct job j;
         memset(&j, 0, sizeof j);
         j.spec = (struct job_spec){.image = (char *)"i",
--- a/src/preemption/preemption.c
+++ b/src/preemption/preemption.c
@@ -65,10 +65,10 @@
     for (guint i = 0; i < mine->len; i++) {
         struct machine *m = mine->pdata[i];
         const char *together = placement_zone(j);
-        if (!m->schedulable || !(f = m->type) || (zone && strcmp(zone, m->zone) != 0) ||
+        if (!m->round.schedulable || !(f = m->type) || (zone && strcmp(zone, m->zone) != 0) ||
             !placement_allowed(m, j, together, NULL))
             continue;
-        double cpu = m->used_cpu, gpu = m->used_gpu, mem = m->used_mem, cost = 0;
+        double cpu = m->round.used_vcpus, gpu = m->round.used_gpus, mem = m->round.used_memory_gb, cost = 0;
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
             if (!preemption_evictable(x, j, within)) continue;
@@ -105,7 +105,7 @@
                  j->spec.job_id);
     }
     placement_reserve(best, &j->spec, 1); /* kept free for the rest of this round */
-    best->wake = true;
+    best->commands.wake = true;
     return true;
 }
 
@@ -117,7 +117,8 @@
 }
 
 int preemption_tasks_that_fit(const struct machine *m, const struct job_spec *s) {
-    return times(m->type->vcpus - m->used_cpu, m->type->gpus - m->used_gpu, m->type->memory_gb - m->used_mem, s);
+    return times(m->type->vcpus - m->round.used_vcpus, m->type->gpus - m->round.used_gpus,
+                 m->type->memory_gb - m->round.used_memory_gb, s);
 }
 
 const char *preemption_gang_zone(const struct job *j, bool within, GPtrArray *mine, int *now, int *with) {
@@ -125,12 +126,12 @@
         best = 0;
     for (guint i = 0; i < mine->len; i++) {
         const struct machine *m = mine->pdata[i];
-        if (!m->schedulable || !m->type || !placement_allowed(m, j, NULL, NULL)) continue;
+        if (!m->round.schedulable || !m->type || !placement_allowed(m, j, NULL, NULL)) continue;
         int z = 0;
         while (z < zones && j->spec.single_zone && strcmp(cfg->zones[z], m->zone) != 0) z++;
         if (z == zones) continue;
-        double cpu = m->type->vcpus - m->used_cpu, gpu = m->type->gpus - m->used_gpu,
-               mem = m->type->memory_gb - m->used_mem;
+        double cpu = m->type->vcpus - m->round.used_vcpus, gpu = m->type->gpus - m->round.used_gpus,
+               mem = m->type->memory_gb - m->round.used_memory_gb;
         here[z] += times(cpu, gpu, mem, &j->spec);
         for (guint b = 0; b < m->allocations->len; b++) {
             const struct allocation *x = m->allocations->pdata[b];
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -70,7 +70,8 @@
 }
 
 bool provisioning_overdue(const struct machine *m) {
-    return !m->up && clock_time_of_day() - m->created_at > provisioning_expected_s(cloud_machine_type(m->type_name));
+    return !m->liveness.up &&
+           clock_time_of_day() - m->created_at > provisioning_expected_s(cloud_machine_type(m->type_name));
 }
 
 double provisioning_give_up_s(const struct machine *m) {
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -170,9 +170,9 @@
         for (int i = 0; rows[r].elsewhere && i < 2; i++) quarantine_record_failure(jobs[i], machines[1]);
         if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[r].s;
         scheduler_prepare_machines(0);
-        bool open = machines[0]->schedulable;
+        bool open = machines[0]->round.schedulable;
         liveness_check_machines(0, &all_heard);
-        bool back = machines[0]->return_wanted;
+        bool back = machines[0]->retirement.return_wanted;
         owned_clear();
         store_unlock();
         if (open != rows[r].open) fail_msg("%s: open is %d", rows[r].what, open);
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -20,7 +20,7 @@
 
 /* An ordinary machine whose tasks would all make way. */
 bool rebalancing_possible(const struct machine *m) {
-    if (m->spot || machines_leaving(m) || m->preemption_notice_s >= 0 || !m->address[0]) return false;
+    if (m->spot || machines_leaving(m) || m->liveness.preemption_notice_s >= 0 || !m->address[0]) return false;
     for (guint b = 0; b < m->allocations->len; b++) {
         const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
         if (!s->allows_spot || s->kind != JOB_ARRAY) return false;
@@ -31,9 +31,9 @@
 /* Not in a round that allocates on it or releases from it: the plan is not in its list yet. A machine was once passed
  * together with a task of its old shard's, which then counted nowhere against the team's limit. */
 bool rebalancing_allowed(const struct machine *m) {
-    return m->rebalance_to >= 0 && m->allocations->len == 0 && m->page >= 0 && !m->dirty && !m->outcome_unknown &&
-           !m->command_in_flight && !m->needs_token_raise && !m->return_wanted && !m->returning &&
-           !m->released_by_cloud;
+    return m->rebalance.to >= 0 && m->allocations->len == 0 && m->page >= 0 && !m->round.dirty &&
+           !m->commands.outcome_unknown && !m->commands.in_flight && !m->commands.needs_token_raise &&
+           !m->retirement.return_wanted && !m->retirement.returning && !m->retirement.released;
 }
 
 /* A spread job's part in the zone is used up. */
@@ -75,7 +75,7 @@
     GArray *vms = g_array_new(FALSE, FALSE, sizeof(struct planned_machine));
     for (guint i = 0; i < machines_all()->len; i++) {
         struct machine *m = machines_all()->pdata[i];
-        if ((m->shard != s && m->rebalance_to != s) || m->returning || (m->spot && !reclaimable) ||
+        if ((m->shard != s && m->rebalance.to != s) || m->retirement.returning || (m->spot && !reclaimable) ||
             (m->shard == s && full(m)))
             continue;
         guint before = vms->len;
@@ -148,16 +148,16 @@
     if (claims ? own_guarantee_first(k, j) : own_work_first(k, j)) return NULL;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
-        if (m == reception || m->dirty || clock_seconds_since(m->owned_since) < 5 || m->rebalance_to >= 0 || !m->up ||
-            !machines_owned(m) || !m->type)
+        if (m == reception || m->round.dirty || clock_seconds_since(m->owned_since) < 5 || m->rebalance.to >= 0 ||
+            !m->liveness.up || !machines_owned(m) || !m->type)
             continue;
-        if (machines_leaving(m) || m->preemption_notice_s >= 0 || !m->address[0]) continue;
-        if (clock_seconds_since(m->last_heard) > clock_to_seconds(cfg->heartbeat_interval) * 2 + 1 ||
+        if (machines_leaving(m) || m->liveness.preemption_notice_s >= 0 || !m->address[0]) continue;
+        if (clock_seconds_since(m->liveness.last_heard) > clock_to_seconds(cfg->heartbeat_interval) * 2 + 1 ||
             !scale_out_type_fits(&j->spec, m->type))
             continue;
         if (!placement_allowed(m, j, site, NULL)) continue;
         /* For work that could use cheap machines a dear one goes only if it is surplus here. */
-        if (j->spec.allows_spot && !within && !m->spot && !m->draining) continue;
+        if (j->spec.allows_spot && !within && !m->spot && !m->retirement.draining) continue;
         if (j->spec.allows_spot && m->allocations->len == 0 && shard_states[k].fit_nowhere && !within) continue;
         bool all = true;
         for (guint b = 0; b < m->allocations->len; b++)
@@ -176,7 +176,7 @@
 void rebalancing_plan(int k) {
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
-        if (m->rebalance_to >= 0 && clock_seconds_since(m->rebalance_since) > 12) m->rebalance_to = -1;
+        if (m->rebalance.to >= 0 && clock_seconds_since(m->rebalance.since) > 12) m->rebalance.to = -1;
     }
     /* A look at every other shard's needs is the dearest part of a round, and nothing passes faster than this. */
     if (clock_seconds_since(shard_states[k].rebalanced_at) < machines_all()->len * 0.0008) return;
@@ -191,8 +191,8 @@
             if (j) m = donation(k, j, within);
         }
         if (!m) continue;
-        m->rebalance_to = s;
-        m->rebalance_since = clock_now();
+        m->rebalance.to = s;
+        m->rebalance.since = clock_now();
         log_info("machine %s: rebalancing from shard %d to shard %d for job %s", m->id, k, s, j->spec.job_id);
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
--- a/src/scheduler/commit_pages.c
+++ b/src/scheduler/commit_pages.c
@@ -31,37 +31,39 @@
     for (int urgent = 1; urgent >= (tidy ? 0 : 1); urgent--)
         for (guint i = 0; i < machines_of_shard(k)->len; i++) {
             struct machine *m = machines_of_shard(k)->pdata[i];
-            if (m->page < 0 || m->page >= MACHINE_PAGES_MAX || !p->large[m->page] || m->next_page >= 0) continue;
-            bool change = m->needs_token_raise || (m->return_wanted && !m->returning) || m->rebalance_to >= 0;
-            if (m->released_by_cloud || (urgent && !change)) continue;
+            if (m->page < 0 || m->page >= MACHINE_PAGES_MAX || !p->large[m->page] || m->round.next_page >= 0) continue;
+            bool change = m->commands.needs_token_raise || (m->retirement.return_wanted && !m->retirement.returning) ||
+                          m->rebalance.to >= 0;
+            if (m->retirement.released || (urgent && !change)) continue;
             int to = machines_page_fills_add(fills, m->id);
             if (to < 0 || (!opened[to] && pages == MOVES_PAGES)) return;
             pages += !opened[to];
             opened[to] = true;
-            m->next_page = to;
+            m->round.next_page = to;
             p->need[to] |= PAGE_NOW;
         }
 }
 
 /* A machine that came from another shard, or whose record is to change. */
 static void plan_machine(struct machine *m, struct page_plan *p) {
-    int page = m->next_page >= 0 ? m->next_page : m->page;
+    int page = m->round.next_page >= 0 ? m->round.next_page : m->page;
     if (page < 0 || page >= MACHINE_PAGES_MAX || p->large[page]) return;
     bool pass = rebalancing_allowed(m);
-    if (pass || m->needs_token_raise) {
+    if (pass || m->commands.needs_token_raise) {
         int writes = pass + ((p->need[page] & PAGE_RAISE) == 0);
         if (p->raise_writes + writes <= scheduler_settings->txn_ops) {
             p->raise_writes += writes;
-            m->next_token = p->fencing_token;
-            m->leaves_page = pass;
+            m->round.next_token = p->fencing_token;
+            m->round.leaves_page = pass;
             p->raised = true;
             p->need[page] |= PAGE_RAISE;
         }
     }
     /* What runs there starts elsewhere only once it is returned; idle machines go by the dozen, a page each otherwise.
      */
-    if (m->return_wanted && !m->returning) p->need[page] |= m->allocations->len > 0 ? PAGE_NOW : PAGE_LATER;
-    if (m->released_by_cloud || m->address_unrecorded) p->need[page] |= PAGE_LATER;
+    if (m->retirement.return_wanted && !m->retirement.returning)
+        p->need[page] |= m->allocations->len > 0 ? PAGE_NOW : PAGE_LATER;
+    if (m->retirement.released || m->address_unrecorded) p->need[page] |= PAGE_LATER;
 }
 
 static void plan_machines(int k, struct page_plan *p, struct shard_page_fills *fills) {
@@ -72,8 +74,9 @@
             plan_machine(m, p);
             continue;
         }
-        if (incoming++ < scheduler_settings->txn_ops / 2 && (m->next_page = machines_page_fills_add(fills, m->id)) >= 0)
-            p->need[m->next_page] |= PAGE_NOW;
+        if (incoming++ < scheduler_settings->txn_ops / 2 &&
+            (m->round.next_page = machines_page_fills_add(fills, m->id)) >= 0)
+            p->need[m->round.next_page] |= PAGE_NOW;
     }
 }
 
@@ -115,15 +118,15 @@
     }
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
-        if (!m->leaves_page) continue;
+        if (!m->round.leaves_page) continue;
         snprintf(key, sizeof key, "machine/%s", m->id);
         store_txn_compare(t, key, 0);
-        store_txn_put(t, key, machines_single_value(m, m->rebalance_to, p->fencing_token), 0);
+        store_txn_put(t, key, machines_single_value(m, m->rebalance.to, p->fencing_token), 0);
     }
 }
 
 /* Comes from another shard, to this page: its own record goes with the write. */
-static bool arrives_at(const struct machine *m, int page) { return m->page < 0 && m->next_page == page; }
+static bool arrives_at(const struct machine *m, int page) { return m->page < 0 && m->round.next_page == page; }
 
 static void write_page(struct scheduling_round *r, int k, int page) {
     char key[96];
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -42,7 +42,7 @@
     struct machine *best = NULL;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
-        if (m->spot || machines_leaving(m) || !m->up || m->preemption_notice_s >= 0) continue;
+        if (m->spot || machines_leaving(m) || !m->liveness.up || m->liveness.preemption_notice_s >= 0) continue;
         if (!best || m->created_at < best->created_at ||
             (m->created_at == best->created_at && strcmp(m->id, best->id) < 0))
             best = m;
@@ -56,28 +56,30 @@
         struct machine *m = machines_of_shard(k)->pdata[i];
         if (!machines_owned(m)) continue;
         if (!m->type) m->type = cloud_machine_type(m->type_name);
-        m->dirty = m->leaves_page = false;
-        m->next_token = 0;
-        m->next_page = -1;
-        m->occupancy = placement_occupancy(m, (int)scheduler_settings->tuning.window);
-        m->used_cpu = m->used_gpu = m->used_mem = 0;
-        m->used_tasks = 0;
+        m->round.dirty = m->round.leaves_page = false;
+        m->round.next_token = 0;
+        m->round.next_page = -1;
+        m->round.occupancy = placement_occupancy(m, (int)scheduler_settings->tuning.window);
+        m->round.used_vcpus = m->round.used_gpus = m->round.used_memory_gb = 0;
+        m->round.used_tasks = 0;
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
             if (x->released) {
-                m->dirty = true;
+                m->round.dirty = true;
                 continue;
             }
-            m->used_cpu += x->job->spec.vcpus;
-            m->used_gpu += x->job->spec.gpus;
-            m->used_mem += x->job->spec.memory_gb;
-            m->used_tasks++;
+            m->round.used_vcpus += x->job->spec.vcpus;
+            m->round.used_gpus += x->job->spec.gpus;
+            m->round.used_memory_gb += x->job->spec.memory_gb;
+            m->round.used_tasks++;
         }
-        m->schedulable = m->up && m->page >= 0 && m->type && !machines_leaving(m) && !m->draining &&
-                         m->rebalance_to < 0 && m->preemption_notice_s < 0 && !m->needs_token_raise &&
-                         !m->outcome_unknown && m->ignored_responses == 0 && !quarantine_machine_faulty(m) &&
-                         m->seen_token >= machines_fencing_token(m) && clock_seconds_since(m->last_heartbeat) < quiet &&
-                         m->allocations->len < MACHINE_TASKS_MAX && !liveness_zone_unreachable(k, m->zone);
+        m->round.schedulable = m->liveness.up && m->page >= 0 && m->type && !machines_leaving(m) &&
+                               !m->retirement.draining && m->rebalance.to < 0 && m->liveness.preemption_notice_s < 0 &&
+                               !m->commands.needs_token_raise && !m->commands.outcome_unknown &&
+                               m->liveness.ignored_responses == 0 && !quarantine_machine_faulty(m) &&
+                               m->agent.seen_token >= machines_fencing_token(m) &&
+                               clock_seconds_since(m->liveness.last_heartbeat) < quiet &&
+                               m->allocations->len < MACHINE_TASKS_MAX && !liveness_zone_unreachable(k, m->zone);
     }
 }
 
@@ -184,12 +186,13 @@
             struct allocation *b = j->allocations->pdata[i];
             if (!b->inherited || b->attempt <= r->first) continue;
             b->inherited = false;
-            b->machine->wake = true;
+            b->machine->commands.wake = true;
         }
     }
     for (guint i = 0; i < machines_of_shard(r->shard)->len; i++) {
         struct machine *m = machines_of_shard(r->shard)->pdata[i];
-        if (m->needs_token_raise && machines_fencing_token(m) > m->unknown_token) m->needs_token_raise = false;
+        if (m->commands.needs_token_raise && machines_fencing_token(m) > m->commands.unknown_token)
+            m->commands.needs_token_raise = false;
     }
 }
 
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -62,7 +62,7 @@
         if (attempt && x->attempt != attempt) return 0;
         attempt = x->attempt;
         if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
-        if (clock_seconds_since(x->machine->last_heartbeat) >
+        if (clock_seconds_since(x->machine->liveness.last_heartbeat) >
             clock_to_seconds(scheduler_settings->heartbeat_interval) * 1.25 + 1)
             return 0;
     }
@@ -72,8 +72,8 @@
 static bool holds_ended(const struct machine *m, const char *job_id, int task, int64_t attempt) {
     char name[96];
     snprintf(name, sizeof name, "%s/%d", job_id, task);
-    for (guint i = 0; i < m->unknown_tasks->len; i++) {
-        const struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
+    for (guint i = 0; i < m->agent.unknown_tasks->len; i++) {
+        const struct unknown_task *s = &g_array_index(m->agent.unknown_tasks, struct unknown_task, i);
         if (s->attempt == attempt && strcmp(s->task, name) == 0) return true;
     }
     return false;
@@ -219,7 +219,7 @@
         guint kept = 0;
         for (guint i = 0; i < mine->len && kept < (guint)j->spec.tasks; i++) {
             struct machine *m = mine->pdata[i];
-            if (!m->schedulable || (zone && strcmp(zone, m->zone) != 0) || !placement_allowed(m, j, NULL, NULL))
+            if (!m->round.schedulable || (zone && strcmp(zone, m->zone) != 0) || !placement_allowed(m, j, NULL, NULL))
                 continue;
             for (int n = preemption_tasks_that_fit(m, &j->spec); n > 0 && kept < (guint)j->spec.tasks; n--, kept++)
                 placement_reserve(m, &j->spec, 1);
@@ -264,7 +264,7 @@
     }
     for (guint i = 0; i < mine->len; i++) {
         struct machine *m = mine->pdata[i];
-        if (m->schedulable && placement_fits(m, &smallest)) g_ptr_array_add(room, m);
+        if (m->round.schedulable && placement_fits(m, &smallest)) g_ptr_array_add(room, m);
     }
     return room;
 }
@@ -278,8 +278,8 @@
     struct free_room free = {0, 0};
     for (guint i = 0; i < room->len; i++) {
         const struct machine *m = room->pdata[i];
-        free.cpu += m->type->vcpus - m->used_cpu;
-        free.gpu += m->type->gpus - m->used_gpu;
+        free.cpu += m->type->vcpus - m->round.used_vcpus;
+        free.gpu += m->type->gpus - m->round.used_gpus;
     }
     return free;
 }
@@ -358,7 +358,8 @@
         if (j->unplaced) shard_states[k].fit_nowhere = true;
     }
     /* Only what stays planned is written: a gang's tries that came to nothing are not. */
-    for (guint i = 0; i < r->plans->len; i++) g_array_index(r->plans, struct planned_task, i).machine->dirty = true;
+    for (guint i = 0; i < r->plans->len; i++)
+        g_array_index(r->plans, struct planned_task, i).machine->round.dirty = true;
     g_free(missing);
     g_array_free(order, TRUE);
     g_ptr_array_free(room, TRUE);
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -193,9 +193,9 @@
 }
 
 static void ago(struct machine *m, double s) {
-    m->last_heard = m->last_heartbeat = clock_instant_in(clock_from_seconds(0));
-    m->last_heard.tv_sec -= (time_t)s;
-    m->last_heartbeat.tv_sec -= (time_t)s;
+    m->liveness.last_heard = m->liveness.last_heartbeat = clock_instant_in(clock_from_seconds(0));
+    m->liveness.last_heard.tv_sec -= (time_t)s;
+    m->liveness.last_heartbeat.tv_sec -= (time_t)s;
 }
 
 /* Which of the machines that are not heard are given back: one alone, one in a cut zone, one whose zone is just back.
@@ -237,21 +237,21 @@
         if (rows[i].booked) owned_book(j, all, rows[i].silent);
         for (int n = 0; n < rows[i].silent; n++) {
             ago(all[n], rows[i].s);
-            all[n]->unanswered_probes = rows[i].unanswered;
+            all[n]->liveness.unanswered_probes = rows[i].unanswered;
             for (guint b = 0; b < all[n]->allocations->len; b++)
                 ((struct allocation *)all[n]->allocations->pdata[b])->seen = rows[i].seen;
         }
         struct liveness_summary h = liveness_summary();
         liveness_check_machines(0, &h);
-        for (int n = 0; n < total; n++) back += all[n]->return_wanted;
+        for (int n = 0; n < total; n++) back += all[n]->retirement.return_wanted;
         /* The zone's first machine is heard again: the others get the time to be. */
         bool grace = true;
         if (rows[i].silent == rows[i].here && rows[i].there && rows[i].seen && rows[i].want == 0) {
-            all[0]->last_heard = all[0]->last_heartbeat = clock_now();
+            all[0]->liveness.last_heard = all[0]->liveness.last_heartbeat = clock_now();
             liveness_check_machines(0, &h);
-            for (int n = 0; n < total; n++) grace &= !all[n]->return_wanted;
+            for (int n = 0; n < total; n++) grace &= !all[n]->retirement.return_wanted;
         }
-        for (int n = 0; n < total; n++) all[n]->return_wanted = false;
+        for (int n = 0; n < total; n++) all[n]->retirement.return_wanted = false;
         owned_clear();
         store_unlock();
         if (back != rows[i].want) fail_msg("%s: %d", rows[i].what, back);
@@ -328,7 +328,7 @@
         int planned = scheduler_planned_tasks(scheduling_round, job_id),
             changes = scheduler_round_writes(scheduling_round), most = 0;
         unsigned long machines_examined = placement_machines_examined() - before;
-        for (int i = 0; i < FLEET; i++) most = MAX(most, all[i]->used_tasks);
+        for (int i = 0; i < FLEET; i++) most = MAX(most, all[i]->round.used_tasks);
         scheduler_round_free(scheduling_round);
         owned_clear();
         store_unlock();
@@ -399,7 +399,7 @@
             g_snprintf(id, sizeof id, "i-6%zu%03d", r, i);
             struct machine *m = owned_machine(id, "za", false);
             if (i < rows[r].booting) {
-                m->up = false;
+                m->liveness.up = false;
                 m->created_at = clock_time_of_day() - rows[r].age_s;
             }
         }
@@ -407,8 +407,8 @@
         struct job *full = owned_job("req-819999", "batch", "high", MAX(rows[r].up, 1), 16, 2, false, false, 300);
         for (int i = 0; i < rows[r].up; i++) {
             g_snprintf(id, sizeof id, "i-6%zu%03d", r, rows[r].booting + i);
-            machines_find(id)->schedulable = false;
-            machines_find(id)->preemption_notice_s = 100;
+            machines_find(id)->round.schedulable = false;
+            machines_find(id)->liveness.preemption_notice_s = 100;
         }
         if (!rows[r].up) full->retry_at = clock_instant_in(clock_from_seconds(60));
         owned_job(job_id, "batch", "high", rows[r].booting, 16, 2, false, false, 10);
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -56,10 +56,10 @@
 }
 
 static void keep_steady(struct machine *m) {
-    m->up = true;
-    m->seen_token = machines_fencing_token(m);
-    m->last_heartbeat = m->last_heard = clock_now();
-    m->n_samples = 6;
+    m->liveness.up = true;
+    m->agent.seen_token = machines_fencing_token(m);
+    m->liveness.last_heartbeat = m->liveness.last_heard = clock_now();
+    m->occupancy.n_samples = 6;
 }
 
 /* Machines of the shard on pages as full as the first version filled them. */
@@ -196,12 +196,12 @@
     machines_oversized_pages(0, large);
     assert_true(large[0] && large[1] && large[2]);
     for (int i = 0; i < n; i++) {
-        on[i]->needs_token_raise = i % 3 == 0;
-        on[i]->unknown_token = machines_fencing_token(on[i]);
+        on[i]->commands.needs_token_raise = i % 3 == 0;
+        on[i]->commands.unknown_token = machines_fencing_token(on[i]);
     }
-    on[RETURNED]->return_wanted = true;
-    on[PASSED]->rebalance_to = 1;
-    on[PASSED]->rebalance_since = clock_now();
+    on[RETURNED]->retirement.return_wanted = true;
+    on[PASSED]->rebalance.to = 1;
+    on[PASSED]->rebalance.since = clock_now();
     settle("large pages");
     machines_oversized_pages(0, large);
     for (int p = 0; p < MACHINE_PAGES_MAX; p++) {
@@ -213,9 +213,9 @@
         g_snprintf(id, sizeof id, "i-%06d", i);
         const struct machine *m = machines_find(id);
         if (!m || m->shard != (i == PASSED)) fail_msg("machine %d is lost", i);
-        assert_false(m->needs_token_raise);
+        assert_false(m->commands.needs_token_raise);
     }
-    assert_true(on[RETURNED]->returning);
+    assert_true(on[RETURNED]->retirement.returning);
     assert_int_equal(allocations_count(j), 8);
     owned_clear();
     owned_put("machine/i-000052", NULL);
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -230,12 +230,12 @@
         struct machine m;
         memset(&m, 0, sizeof m);
         m.allocations = g_ptr_array_new();
-        m.rebalance_to = rows[i].to;
-        m.dirty = rows[i].touched;
-        m.outcome_unknown = rows[i].unknown;
-        m.command_in_flight = rows[i].sending;
-        m.needs_token_raise = rows[i].raise;
-        m.return_wanted = rows[i].leaving;
+        m.rebalance.to = rows[i].to;
+        m.round.dirty = rows[i].touched;
+        m.commands.outcome_unknown = rows[i].unknown;
+        m.commands.in_flight = rows[i].sending;
+        m.commands.needs_token_raise = rows[i].raise;
+        m.retirement.return_wanted = rows[i].leaving;
         assert_int_equal(rebalancing_allowed(&m), rows[i].want);
         g_ptr_array_free(m.allocations, TRUE);
     }
@@ -262,7 +262,7 @@
         struct job j;
         memset(&m, 0, sizeof m);
         memset(&j, 0, sizeof j);
-        if (!rows[i].old) m.last_heartbeat = clock_now();
+        if (!rows[i].old) m.liveness.last_heartbeat = clock_now();
         struct allocation a = {.job = &j, .machine = &m, .attempt = 7, .seen = true, .state = rows[i].a}, b = a;
         b.state = rows[i].b;
         b.seen = rows[i].seen;
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -122,7 +122,8 @@
  * holds without it. */
 static void end_cancelled_elsewhere(struct machine *m) {
     cJSON *directives = NULL;
-    if (!m->address[0] || m->allocations->len == 0 || clock_seconds_since(m->stops_requested_at) < END_AGAIN_S) return;
+    if (!m->address[0] || m->allocations->len == 0 || clock_seconds_since(m->commands.stops_requested_at) < END_AGAIN_S)
+        return;
     for (guint i = 0; i < m->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *b = m->allocations->pdata[i];
         char task[96];
@@ -133,12 +134,12 @@
         b->stop_requests++;
     }
     if (!directives) return;
-    m->stops_requested_at = clock_now();
+    m->commands.stops_requested_at = clock_now();
     struct direct_command *l = g_new0(struct direct_command, 1);
     g_strlcpy(l->id, m->id, sizeof l->id);
     g_strlcpy(l->address, m->address, sizeof l->address);
     l->fencing_token = machines_fencing_token(m);
-    l->incarnation = m->incarnation > 0 ? m->incarnation : 1;
+    l->incarnation = m->agent.incarnation > 0 ? m->agent.incarnation : 1;
     l->ends = directives;
     post(&outbox, l);
 }
@@ -170,22 +171,22 @@
                          bool good, bool in_time) {
     store_lock();
     struct machine *m = machines_find(l->id);
-    if (m && m->command_in_flight) {
-        m->command_in_flight = false;
+    if (m && m->commands.in_flight) {
+        m->commands.in_flight = false;
         bool same = machines_owned(m) && m->owned_token == l->owned;
-        if (same && good && out != HTTP_ANSWERED && in_time && m->unanswered_probes++ == 0)
+        if (same && good && out != HTTP_ANSWERED && in_time && m->liveness.unanswered_probes++ == 0)
             shard_states[m->shard].suspicion_at = clock_now();
         bool answered = out == HTTP_ANSWERED && (status == 200 || status == 409);
         /* Only a start's outcome matters: a late stop or forget harms nobody, attempts are unique. */
         if (same && l->has_run) {
             if (!answered && out != HTTP_NOT_SENT)
                 log_info("machine %s: outcome of a command unknown, raising its fencing token", m->id);
-            else if (m->unknown_token == l->fencing_token && m->unknown_incarnation == l->incarnation)
-                m->outcome_unknown = false;
+            else if (m->commands.unknown_token == l->fencing_token && m->commands.unknown_incarnation == l->incarnation)
+                m->commands.outcome_unknown = false;
         }
         if (same && answered && answer) workers_reconcile(m, answer, false);
         /* It has the token now: what waited for that need not wait for its next report. */
-        if (same && (!good || (answered && !l->has_run))) m->wake = true;
+        if (same && (!good || (answered && !l->has_run))) m->commands.wake = true;
     }
     store_unlock();
 }
@@ -250,20 +251,21 @@
     for (guint i = 0; i < ms->len; i++) {
         struct machine *m = ms->pdata[i];
         if (store_unreachable() && m->known && !machines_owned(m)) end_cancelled_elsewhere(m);
-        if ((!m->wake && !m->needs_token_probe) || !machines_owned(m)) continue;
-        if (!m->address[0] || m->command_in_flight || (m->outcome_unknown && !m->needs_token_probe) ||
-            m->released_by_cloud || (!m->up && !m->needs_token_probe))
+        if ((!m->commands.wake && !m->commands.needs_token_probe) || !machines_owned(m)) continue;
+        if (!m->address[0] || m->commands.in_flight ||
+            (m->commands.outcome_unknown && !m->commands.needs_token_probe) || m->retirement.released ||
+            (!m->liveness.up && !m->commands.needs_token_probe))
             continue;
         if (!membership_may_answer()) continue;
         /* One that has just failed to answer is asked before it is ordered anything: orders to a hundred that hang at
          * once would hold up everybody's. */
-        bool hello = m->needs_token_probe || m->unanswered_probes > 0;
-        m->needs_token_probe = m->wake = false;
-        if (!hello && m->seen_token < machines_fencing_token(m)) hello = true;
+        bool hello = m->commands.needs_token_probe || m->liveness.unanswered_probes > 0;
+        m->commands.needs_token_probe = m->commands.wake = false;
+        if (!hello && m->agent.seen_token < machines_fencing_token(m)) hello = true;
         cJSON *directives = hello ? cJSON_CreateArray() : workers_directives(m, true);
         /* What must wait for a look at the store goes as soon as there is one. */
         for (guint b = 0; !may_start && b < m->allocations->len; b++)
-            m->wake |= workers_awaits_start(m->allocations->pdata[b]);
+            m->commands.wake |= workers_awaits_start(m->allocations->pdata[b]);
         if (!hello && cJSON_GetArraySize(directives) == 0) {
             cJSON_Delete(directives);
             continue;
@@ -274,17 +276,17 @@
         g_strlcpy(l->id, m->id, sizeof l->id);
         g_strlcpy(l->address, m->address, sizeof l->address);
         l->fencing_token = machines_fencing_token(m);
-        l->incarnation = m->incarnation > 0 ? m->incarnation : 1;
+        l->incarnation = m->agent.incarnation > 0 ? m->agent.incarnation : 1;
         l->owned = m->owned_token;
         l->decided = clock_now();
         l->body = command_body(l->fencing_token, l->incarnation, directives);
         cJSON_Delete(directives);
-        m->command_in_flight = true;
-        m->probe_in_flight = hello;
+        m->commands.in_flight = true;
+        m->commands.probe_in_flight = hello;
         if (l->has_run) {
-            m->outcome_unknown = true;
-            m->unknown_token = l->fencing_token;
-            m->unknown_incarnation = l->incarnation;
+            m->commands.outcome_unknown = true;
+            m->commands.unknown_token = l->fencing_token;
+            m->commands.unknown_incarnation = l->incarnation;
         }
         post(hello ? &probes : &outbox, l);
     }
--- a/src/workers/directives.c
+++ b/src/workers/directives.c
@@ -22,18 +22,18 @@
 /* Booked by us and not yet shown by the worker. */
 bool workers_awaits_start(const struct allocation *b) {
     return !b->released && !b->stop_requested && !b->seen && !b->inherited && b->job->state == JOB_QUEUED &&
-           !dependencies_unmet(b->job) && !b->machine->returning && !b->machine->return_wanted;
+           !dependencies_unmet(b->job) && !b->machine->retirement.returning && !b->machine->retirement.return_wanted;
 }
 
 cJSON *workers_directives(struct machine *m, bool direct) {
     cJSON *list = cJSON_CreateArray();
-    bool ours =
-        m->seen_token >= machines_fencing_token(m); /* first the token, then orders, but for stops that can't wait */
+    bool ours = m->agent.seen_token >=
+                machines_fencing_token(m); /* first the token, then orders, but for stops that can't wait */
     bool may_start = membership_may_start_tasks();
-    for (guint i = 0; i < m->unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
-        struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
+    for (guint i = 0; i < m->agent.unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
+        struct unknown_task *s = &g_array_index(m->agent.unknown_tasks, struct unknown_task, i);
         /* As long as the worker lists an attempt, a start of it that still comes does nothing. */
-        if (s->ended && (!ours || m->outcome_unknown || workers_start_in_flight(m))) continue;
+        if (s->ended && (!ours || m->commands.outcome_unknown || workers_start_in_flight(m))) continue;
         if (s->ended)
             workers_add_directive(list, "forget", s->task, s->attempt, -1);
         else
@@ -52,7 +52,7 @@
             workers_add_directive(list, "run", task, b->attempt, -1);
             if (!direct) {
                 b->starts_sent++;
-                m->start_incarnation = m->incarnation;
+                m->commands.start_incarnation = m->agent.incarnation;
             }
         }
     }
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -53,8 +53,8 @@
 cJSON *workers_proxy_answer(struct machine *m, const cJSON *heartbeat) {
     cJSON *a = cJSON_CreateObject(), *directives = cJSON_CreateArray();
     workers_list_cancelled(m, heartbeat);
-    for (guint i = 0; i < m->unknown_tasks->len; i++) {
-        const struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
+    for (guint i = 0; i < m->agent.unknown_tasks->len; i++) {
+        const struct unknown_task *s = &g_array_index(m->agent.unknown_tasks, struct unknown_task, i);
         workers_add_directive(directives, "stop", s->task, s->attempt, 0);
     }
     cJSON_AddNumberToObject(a, "fence", (double)machines_fencing_token(m));
@@ -95,9 +95,10 @@
 static void answer_heartbeat(struct http_request *r, struct machine *m, const cJSON *heartbeat, int64_t fencing_token) {
     bool newest = workers_reconcile(m, heartbeat, true);
     if (newest && fencing_token >= machines_fencing_token(m)) machines_add_occupancy_sample(m);
-    if (m->outcome_unknown && !workers_start_in_flight(m) && machines_fencing_token(m) <= m->unknown_token) {
+    if (m->commands.outcome_unknown && !workers_start_in_flight(m) &&
+        machines_fencing_token(m) <= m->commands.unknown_token) {
         /* A command may still be on its way: this machine's lease is renewed under a higher token only. */
-        m->needs_token_raise = true;
+        m->commands.needs_token_raise = true;
         scheduler_wake();
         http_reply(r, 503, NULL, 1);
         return;
@@ -106,7 +107,7 @@
     cJSON_AddNumberToObject(a, "fence", (double)machines_fencing_token(m));
     cJSON_AddItemToObject(a, "orders", newest ? workers_directives(m, false) : cJSON_CreateArray());
     http_reply_json(r, 200, a, 0);
-    m->heartbeat_acknowledged = true;
+    m->liveness.heartbeat_acknowledged = true;
 }
 
 static void on_ours(struct http_request *r, struct machine *m, const cJSON *heartbeat, const char *address) {
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -21,7 +21,7 @@
 
 /* A command that may carry starts is on its way. One that only asks does not count: a machine whose last start is in
  * doubt is asked all the same, else those that hang with a start in doubt were found 5 s later than the others. */
-bool workers_start_in_flight(const struct machine *m) { return m->command_in_flight && !m->probe_in_flight; }
+bool workers_start_in_flight(const struct machine *m) { return m->commands.in_flight && !m->commands.probe_in_flight; }
 
 static enum task_state state_of(const char *s) {
     static const char *const names[] = {"", "fetching", "gathering", "running", "flushing", "ended"};
@@ -72,7 +72,7 @@
  * again and again, each for the first time, and a cancelled task ran on beyond cancel_s. */
 void workers_list_cancelled(struct machine *m, const cJSON *heartbeat) {
     const cJSON *x;
-    g_array_set_size(m->unknown_tasks, 0);
+    g_array_set_size(m->agent.unknown_tasks, 0);
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks")) {
         const char *task = json_get_string(x, "task"), *slash = task ? strrchr(task, '/') : NULL;
         struct unknown_task st = {"", 0, false};
@@ -82,7 +82,7 @@
         const struct job *j = jobs_find(job_id);
         if (!j || j->state != JOB_CANCELLED || state_of(json_get_string(x, "state")) == TASK_ENDED) continue;
         g_strlcpy(st.task, task, sizeof st.task);
-        g_array_append_val(m->unknown_tasks, st);
+        g_array_append_val(m->agent.unknown_tasks, st);
     }
 }
 
@@ -102,10 +102,10 @@
  * proves nothing: no sign of life, no occupancy row, nothing about its tasks. Asked directly, a live one takes the
  * token up at once. One whose reports arrive but which never does is out of reach of our answers. */
 static void take_outdated(struct machine *m, const cJSON *heartbeat, bool is_heartbeat) {
-    if (is_heartbeat && m->heartbeat_acknowledged) m->ignored_responses++;
-    if (is_heartbeat && clock_seconds_since(m->last_probe) > PROBE_S) {
-        m->last_probe = clock_now();
-        m->needs_token_probe = m->wake = true;
+    if (is_heartbeat && m->liveness.heartbeat_acknowledged) m->liveness.ignored_responses++;
+    if (is_heartbeat && clock_seconds_since(m->commands.last_probe) > PROBE_S) {
+        m->commands.last_probe = clock_now();
+        m->commands.needs_token_probe = m->commands.wake = true;
         workers_wake();
     }
     workers_list_cancelled(m, heartbeat);
@@ -120,41 +120,41 @@
         waiting += !b->seen && !b->stop_requested && b->starts_sent >= 2;
     }
     const cJSON *tasks = cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks");
-    if (new_incarnation && m->heartbeat_acknowledged &&
-        clock_seconds_since(m->last_heartbeat) < clock_to_seconds(workers_settings->lease) * 0.7)
-        m->ignored_responses += 2;
+    if (new_incarnation && m->liveness.heartbeat_acknowledged &&
+        clock_seconds_since(m->liveness.last_heartbeat) < clock_to_seconds(workers_settings->lease) * 0.7)
+        m->liveness.ignored_responses += 2;
     else if (waiting && cJSON_GetArraySize(tasks) < waiting)
-        m->ignored_responses++;
+        m->liveness.ignored_responses++;
     else
-        m->ignored_responses = 0;
+        m->liveness.ignored_responses = 0;
 }
 
 static void take_sign_of_life(struct machine *m, int64_t fencing_token, bool is_heartbeat) {
-    m->seen_token = fencing_token;
-    m->last_heard = clock_now();
-    m->unanswered_probes = 0;
+    m->agent.seen_token = fencing_token;
+    m->liveness.last_heard = clock_now();
+    m->liveness.unanswered_probes = 0;
     /* The first answer may be to a question of ours, long after it was rented: its reports are due from now on. One in
      * sixteen machines was once returned the moment it came up, for not having reported. */
-    if (is_heartbeat || !m->up) m->last_heartbeat = m->last_heard;
-    if (!m->up) {
+    if (is_heartbeat || !m->liveness.up) m->liveness.last_heartbeat = m->liveness.last_heard;
+    if (!m->liveness.up) {
         log_info("machine %s: up", m->id);
         /* Only who owned it all the while knows that this is its first word. */
         if (!m->had_task && clock_time_of_day() - m->created_at < clock_seconds_since(m->owned_since) + RENTAL_S)
             provisioning_record_boot(m->type_name, clock_time_of_day() - m->created_at);
     }
-    m->up = true;
+    m->liveness.up = true;
 }
 
 static void take_notice(struct machine *m, const cJSON *heartbeat) {
     const cJSON *warning = cJSON_GetObjectItemCaseSensitive(heartbeat, "warning_s");
     if (!cJSON_IsNumber(warning)) {
-        m->preemption_notice_s = -1;
+        m->liveness.preemption_notice_s = -1;
         return;
     }
-    if (m->preemption_notice_s < 0)
+    if (m->liveness.preemption_notice_s < 0)
         log_info("machine %s: preemption notice, reclaimed in %.0f s", m->id, warning->valuedouble);
-    m->preemption_notice_s = warning->valuedouble;
-    m->notice_received = m->last_heard;
+    m->liveness.preemption_notice_s = warning->valuedouble;
+    m->liveness.notice_received = m->liveness.last_heard;
 }
 
 static void log_start(const struct allocation *b, const char *task) {
@@ -168,7 +168,7 @@
 /* One task of the list. True if that ended it. */
 static bool take_state(struct allocation *b, const char *task, enum task_state state, const char *cause) {
     b->seen = true;
-    if (b->state != state) b->state_since = b->machine->last_heard;
+    if (b->state != state) b->state_since = b->machine->liveness.last_heard;
     if (state == TASK_RUNNING && b->state != state) log_start(b, task);
     b->state = state;
     if (state == TASK_RUNNING && b->job->spec.kind == JOB_SERVICE && clock_seconds_since(b->state_since) > PROVEN_S)
@@ -184,7 +184,7 @@
 static bool take_listed(struct machine *m, const cJSON *heartbeat, bool *listed) {
     bool change = false;
     const cJSON *x;
-    g_array_set_size(m->unknown_tasks, 0);
+    g_array_set_size(m->agent.unknown_tasks, 0);
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(heartbeat, "tasks")) {
         const char *task = json_get_string(x, "task");
         int64_t attempt = 0;
@@ -194,7 +194,7 @@
         if (!b) {
             struct unknown_task unknown = {"", attempt, state == TASK_ENDED};
             g_strlcpy(unknown.task, task, sizeof unknown.task);
-            g_array_append_val(m->unknown_tasks, unknown);
+            g_array_append_val(m->agent.unknown_tasks, unknown);
             continue;
         }
         if (b->index_in_machine < BOOKINGS_MAX) listed[b->index_in_machine] = true;
@@ -206,7 +206,7 @@
 /* allocations that the report does not list: gone, if nothing is under way that may still start them. */
 static bool release_absent(struct machine *m, const bool *listed) {
     bool change = false;
-    if (m->outcome_unknown || workers_start_in_flight(m)) return false;
+    if (m->commands.outcome_unknown || workers_start_in_flight(m)) return false;
     for (guint i = 0; i < m->allocations->len && i < BOOKINGS_MAX; i++) {
         struct allocation *b = m->allocations->pdata[i];
         if (listed[i] || b->released) continue;
@@ -232,10 +232,11 @@
     }
     json_get_int64(heartbeat, "fence", &fencing_token);
     /* A copy of what is known already, or of something older. */
-    if (incarnation < m->incarnation || (incarnation == m->incarnation && sequence <= m->sequence)) return false;
-    bool new_incarnation = m->incarnation > 0 && incarnation > m->incarnation;
-    m->incarnation = incarnation;
-    m->sequence = sequence;
+    if (incarnation < m->agent.incarnation || (incarnation == m->agent.incarnation && sequence <= m->agent.sequence))
+        return false;
+    bool new_incarnation = m->agent.incarnation > 0 && incarnation > m->agent.incarnation;
+    m->agent.incarnation = incarnation;
+    m->agent.sequence = sequence;
     if (fencing_token < machines_fencing_token(m)) {
         take_outdated(m, heartbeat, is_heartbeat);
         return true;
@@ -243,17 +244,17 @@
     if (is_heartbeat) count_ignored(m, heartbeat, new_incarnation);
     take_sign_of_life(m, fencing_token, is_heartbeat);
     take_notice(m, heartbeat);
-    if (m->outcome_unknown && !workers_start_in_flight(m) &&
-        (fencing_token > m->unknown_token || incarnation > m->unknown_incarnation)) {
-        m->outcome_unknown = false;
-        m->needs_token_raise = false;
+    if (m->commands.outcome_unknown && !workers_start_in_flight(m) &&
+        (fencing_token > m->commands.unknown_token || incarnation > m->commands.unknown_incarnation)) {
+        m->commands.outcome_unknown = false;
+        m->commands.needs_token_raise = false;
     }
     bool listed[BOOKINGS_MAX] = {false};
     bool change = take_listed(m, heartbeat, listed);
     /* A report follows every answer of ours. A direct answer does not, unless none of this incarnation carried a start:
      * others' and earlier ones' answers are ruled out by the token and the incarnation that it shows. So a takeover
      * knows what runs as soon as it has asked; waiting for reports took 20 s after a cut. */
-    bool proves = is_heartbeat || m->start_incarnation < incarnation;
+    bool proves = is_heartbeat || m->commands.start_incarnation < incarnation;
     if (proves) change |= release_absent(m, listed);
     if (change) scheduler_wake();
     return true;
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -123,11 +123,11 @@
         struct machine *m = fresh(id, 0, "req-10001", at, rows[i].inherited);
         struct allocation *b = m->allocations->pdata[0];
         if (rows[i].first) assert_true(heartbeat(m, 1, 2, f, rows[i].first, true));
-        m->start_incarnation = rows[i].ordered;
+        m->commands.start_incarnation = rows[i].ordered;
         if (rows[i].unknown) {
-            m->outcome_unknown = true;
-            m->unknown_token = f;
-            m->unknown_incarnation = 1;
+            m->commands.outcome_unknown = true;
+            m->commands.unknown_token = f;
+            m->commands.unknown_incarnation = 1;
         }
         heartbeat(m, rows[i].incarnation, rows[i].sequence, f - rows[i].less, rows[i].second, rows[i].is_heartbeat);
         if (b->released != rows[i].over) fail_msg("%s: over is %d", rows[i].what, b->released);
@@ -166,12 +166,12 @@
     struct machine *m = fresh("i-000901", 0, "req-10001", BOOKED("i-000901"), false);
     struct allocation *b = m->allocations->pdata[0];
     heartbeat(m, 1, 1, f, "", true);
-    m->outcome_unknown = true;
-    m->unknown_token = f;
-    m->unknown_incarnation = 1;
+    m->commands.outcome_unknown = true;
+    m->commands.unknown_token = f;
+    m->commands.unknown_incarnation = 1;
     b->stop_requested = true;
     heartbeat(m, 1, 2, f, "", true);
-    assert_true(m->outcome_unknown);
+    assert_true(m->commands.outcome_unknown);
     assert_false(b->released);
     char json[300];
     g_snprintf(json, sizeof json, "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-000901\",\"\",0,0,0,%lld,1,\"\"]]}",
@@ -180,7 +180,7 @@
     assert_int_equal(machines_fencing_token(m), f + 7);
     assert_true(machines_find("i-000901")->allocations->pdata[0] == b); /* what is known of it stays */
     heartbeat(m, 1, 3, f + 7, "", true);
-    assert_false(m->outcome_unknown);
+    assert_false(m->commands.outcome_unknown);
     assert_true(b->released);
     away("req-10001");
     store_unlock();
@@ -239,8 +239,8 @@
     struct machine *m = fresh("i-000920", 0, "req-10001", BOOKED("i-000920"), false);
     struct allocation *b = m->allocations->pdata[0];
     assert_true(heartbeat(m, 2, 8, f, T("running"), true));
-    m->last_heard.tv_sec -= 20;
-    struct timespec heard = m->last_heard;
+    m->liveness.last_heard.tv_sec -= 20;
+    struct timespec heard = m->liveness.last_heard;
     static const struct {
         int incarnation, sequence, less;
         const char *tasks;
@@ -249,22 +249,22 @@
         assert_false(
             heartbeat(m, copies[i].incarnation, copies[i].sequence, f - copies[i].less, copies[i].tasks, true));
     assert_false(b->released);
-    assert_int_equal(m->incarnation, 2);
-    assert_int_equal(m->sequence, 8);
-    assert_int_equal(m->last_heard.tv_sec, heard.tv_sec);
+    assert_int_equal(m->agent.incarnation, 2);
+    assert_int_equal(m->agent.sequence, 8);
+    assert_int_equal(m->liveness.last_heard.tv_sec, heard.tv_sec);
     /* To an owner that knows nothing of the machine yet the copy is new, but its token is old. */
     m->owned_token = 0;
-    m->incarnation = m->sequence = 0;
+    m->agent.incarnation = m->agent.sequence = 0;
     assert_true(machines_owned(m));
-    heard = m->last_heard;
-    m->up = false;
+    heard = m->liveness.last_heard;
+    m->liveness.up = false;
     heartbeat(m, 2, 4, f - 1, "", true);
     assert_false(b->released);
-    assert_false(m->up);
-    assert_true(m->last_heard.tv_sec == heard.tv_sec && m->last_heard.tv_nsec == heard.tv_nsec);
-    assert_true(m->needs_token_probe); /* it is asked */
+    assert_false(m->liveness.up);
+    assert_true(m->liveness.last_heard.tv_sec == heard.tv_sec && m->liveness.last_heard.tv_nsec == heard.tv_nsec);
+    assert_true(m->commands.needs_token_probe); /* it is asked */
     heartbeat(m, 2, 9, f, T("running"), true);
-    assert_true(m->up);
+    assert_true(m->liveness.up);
     assert_false(b->released);
     away("req-10001");
     store_unlock();
@@ -276,14 +276,14 @@
     int64_t f = membership_shard(0)->fencing_token;
     store_lock();
     struct machine *m = fresh("i-000950", 0, "req-10001", BOOKED("i-000950"), false);
-    m->up = false;
-    m->last_heartbeat.tv_sec -= 300;
+    m->liveness.up = false;
+    m->liveness.last_heartbeat.tv_sec -= 300;
     heartbeat(m, 1, 1, f, "", false);
-    assert_true(m->up);
-    assert_true(clock_seconds_since(m->last_heartbeat) < 5);
-    m->last_heartbeat.tv_sec -= 300;
+    assert_true(m->liveness.up);
+    assert_true(clock_seconds_since(m->liveness.last_heartbeat) < 5);
+    m->liveness.last_heartbeat.tv_sec -= 300;
     heartbeat(m, 1, 2, f, "", false); /* once up, only reports count */
-    assert_true(clock_seconds_since(m->last_heartbeat) > 200);
+    assert_true(clock_seconds_since(m->liveness.last_heartbeat) > 200);
     away("req-10001");
     store_unlock();
 }
@@ -308,14 +308,15 @@
         struct machine *m = fresh("i-000930", 0, "req-10001", BOOKED("i-000930"), false);
         struct allocation *b = m->allocations->pdata[0];
         heartbeat(m, 1, 1, f, rows[i].ordered ? "" : T("running"), true);
-        m->heartbeat_acknowledged = true;
+        m->liveness.heartbeat_acknowledged = true;
         b->starts_sent = rows[i].ordered;
         for (int n = 0; n < 4; n++) {
-            m->last_heartbeat = clock_now();
+            m->liveness.last_heartbeat = clock_now();
             heartbeat(m, 1 + rows[i].tenure_step * (n + 1), 2 + n, f - rows[i].less,
                       rows[i].ordered ? "" : T("running"), true);
         }
-        if (m->ignored_responses != rows[i].ignored) fail_msg("%s: %d", rows[i].what, m->ignored_responses);
+        if (m->liveness.ignored_responses != rows[i].ignored)
+            fail_msg("%s: %d", rows[i].what, m->liveness.ignored_responses);
         away("req-10001");
     }
     store_unlock();
@@ -383,11 +384,11 @@
         struct machine *m = fresh("i-000970", 0, "req-10001", BOOKED("i-000970"), false);
         struct allocation *b = m->allocations->pdata[0];
         heartbeat(m, 1, 1, f, T("running"), true);
-        m->command_in_flight = rows[i].sending;
-        m->probe_in_flight = rows[i].asking;
-        m->outcome_unknown = rows[i].unknown;
-        m->unknown_token = f;
-        m->unknown_incarnation = 1;
+        m->commands.in_flight = rows[i].sending;
+        m->commands.probe_in_flight = rows[i].asking;
+        m->commands.outcome_unknown = rows[i].unknown;
+        m->commands.unknown_token = f;
+        m->commands.unknown_incarnation = 1;
         heartbeat(m, 1, 2, f, "", true);
         bool over = b->released;
         away("req-10001");
@@ -420,7 +421,7 @@
         struct machine *m = fresh("i-000980", 0, "req-10001", BOOKED("i-000980"), false);
         struct allocation *b = m->allocations->pdata[0];
         assert_true(heartbeat(m, 1, 1, f, T("running"), true));
-        m->last_heard.tv_sec -= 20;
+        m->liveness.last_heard.tv_sec -= 20;
         char json[300];
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wformat-nonliteral"
@@ -430,7 +431,7 @@
         assert_non_null(o);
         bool news = workers_reconcile(m, o, true);
         if (news != rows[i].news || b->released != rows[i].news ||
-            (clock_seconds_since(m->last_heard) < 10) != rows[i].news)
+            (clock_seconds_since(m->liveness.last_heard) < 10) != rows[i].news)
             fail_msg("%s: news %d, over %d", rows[i].what, news, b->released);
         cJSON_Delete(o);
         away("req-10001");
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -50,10 +50,10 @@
     struct machine *m = machines_find(id);
     assert_non_null(m);
     assert_true(machines_owned(m));
-    m->up = true;
-    m->seen_token = machines_fencing_token(m);
-    m->last_heartbeat = m->last_heard = clock_now();
-    m->n_samples = 6;
+    m->liveness.up = true;
+    m->agent.seen_token = machines_fencing_token(m);
+    m->liveness.last_heartbeat = m->liveness.last_heard = clock_now();
+    m->occupancy.n_samples = 6;
     return m;
 }
 
@@ -86,10 +86,10 @@
     for (int i = 0; i < n; i++) {
         struct machine *m = all[i] = machines_of_shard(0)->pdata[i];
         assert_true(machines_owned(m));
-        m->up = true;
-        m->seen_token = machines_fencing_token(m);
-        m->last_heartbeat = m->last_heard = clock_now();
-        m->n_samples = 6;
+        m->liveness.up = true;
+        m->agent.seen_token = machines_fencing_token(m);
+        m->liveness.last_heartbeat = m->liveness.last_heard = clock_now();
+        m->occupancy.n_samples = 6;
     }
 }
 
