--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -8,35 +8,14 @@
 #include <string.h>
 
 #include "../clock/clock.h"
+#include "../events/events.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../quarantine/quarantine.h"
-#include "../scheduler/scheduler.h"
 #include "../schema_version/schema_version.h"
-#include "../workers/workers.h"
 
 static const struct settings *cfg;
 
-/* An entry takes up to 24 bytes with names of usual length; what is longer is cut off by allocations_value's caller,
- * who plans no more for a chunk that is full. */
-#define ENTRY_BYTES 24
-#define RECORD_BYTES 256 /* all else in a record */
-#define STRETCH_MIN 8    /* bits of done tasks are kept in whole bytes */
-#define STRETCH_MAX 4096
-
-static int stretch_for(double value_kb) {
-    int entries = (int)((value_kb * 1024 - RECORD_BYTES) / ENTRY_BYTES);
-    return CLAMP(entries, STRETCH_MIN, STRETCH_MAX) / STRETCH_MIN * STRETCH_MIN;
-}
-
-int allocations_legacy_chunk_size(void) { return stretch_for(cfg->value_kb); }
-int allocations_chunk_size(const struct job *j) {
-    return j->chunk_size ? j->chunk_size : allocations_legacy_chunk_size();
-}
-int allocations_chunks_of_size(const struct job *j, int chunk_size) {
-    return (j->spec.tasks + chunk_size - 1) / chunk_size;
-}
-int allocations_chunks(const struct job *j) { return allocations_chunks_of_size(j, allocations_chunk_size(j)); }
 double allocations_value_bytes_max(void) {
     return 1024 * (schema_version_active() ? cfg->next_value_kb : cfg->value_kb);
 }
@@ -44,9 +23,9 @@
 /* All records of a job change their chunk size in one transaction, which also replaces what is on record in the old
  * one. A job for which that is too many keeps its chunk size; its records are filled up to the next limit only. */
 int allocations_next_chunk_size(const struct job *j) {
-    int now = allocations_chunk_size(j), next = stretch_for(cfg->next_value_kb);
+    int now = chunks_size(j), next = chunks_size_for(cfg->next_value_kb);
     if (!schema_version_active() || now <= next) return now;
-    return j->n_recorded_chunks == 0 || allocations_chunks_of_size(j, next) <= cfg->txn_ops ? next : now;
+    return j->n_recorded_chunks == 0 || chunks_count_of_size(j, next) <= cfg->txn_ops ? next : now;
 }
 
 void allocations_key(const struct job *j, int chunk, char *key, size_t n) {
@@ -74,6 +53,30 @@
     return n;
 }
 
+int allocations_missing_tasks(const struct job *j) {
+    int n = j->spec.tasks - j->n_reported_done;
+    for (guint i = 0; i < j->allocations->len; i++) {
+        const struct allocation *b = j->allocations->pdata[i];
+        n -= !b->released && !jobs_bit(j->reported_done, b->task);
+    }
+    return n;
+}
+
+int64_t allocations_open_gang_attempt(const struct job *j) {
+    int64_t attempt = 0;
+    for (guint b = 0; b < j->allocations->len; b++) {
+        const struct allocation *x = j->allocations->pdata[b];
+        if (x->released) return 0; /* on record still, perhaps on the very machine that would be picked */
+        if (attempt && x->attempt != attempt) return 0;
+        attempt = x->attempt;
+        if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
+        if (clock_seconds_since(x->machine->liveness.last_heartbeat) >
+            clock_to_seconds(cfg->heartbeat_interval) * 1.25 + 1)
+            return 0;
+    }
+    return attempt;
+}
+
 /* Asks a task to end; the first to ask decides with how much grace. */
 void allocations_request_stop(struct allocation *b, double grace_s) {
     if (b->stop_requested) return;
@@ -82,7 +85,7 @@
     b->machine->commands.wake = true;
 }
 
-void allocations_job_changed(struct job *j) {
+static void job_applied(struct job *j) {
     if (j->state != JOB_QUEUED)
         for (guint i = 0; i < j->allocations->len; i++) {
             struct allocation *b = j->allocations->pdata[i];
@@ -91,8 +94,8 @@
             b->grace_s = 0;
             b->machine->commands.wake = true;
         }
-    scheduler_wake();
-    workers_wake();
+    events_publish(EVENT_SCHEDULE);
+    events_publish(EVENT_DISPATCH);
 }
 
 bool allocations_parse_entry(const char **text, int64_t base, int *task, char *machine, size_t n, int64_t *attempt) {
@@ -143,8 +146,7 @@
     }
     cJSON *o = cJSON_CreateObject();
     /* From the second layout on every record names it, so that none depends on what the settings say some day. */
-    if (chunk_size != allocations_legacy_chunk_size() || schema_version_active())
-        cJSON_AddNumberToObject(o, "n", chunk_size);
+    if (chunk_size != chunks_legacy_size() || schema_version_active()) cJSON_AddNumberToObject(o, "n", chunk_size);
     if (any) cJSON_AddStringToObject(o, "d", done);
     if (failed_tries) cJSON_AddNumberToObject(o, "e", failed_tries);
     if (b->len) {
@@ -178,7 +180,7 @@
 }
 
 bool allocations_chunk_dirty(const struct job *j, int chunk) {
-    int chunk_size = allocations_chunk_size(j), from = chunk * chunk_size, n = MIN(chunk_size, j->spec.tasks - from);
+    int chunk_size = chunks_size(j), from = chunk * chunk_size, n = MIN(chunk_size, j->spec.tasks - from);
     bool live = false;
     for (guint i = 0; i < j->allocations->len; i++) {
         const struct allocation *b = j->allocations->pdata[i];
@@ -195,10 +197,11 @@
 /* The chunk size that a record names; the first layout's names none. One that is gone had that of the job's others. */
 static int record_stretch(const struct job *j, const cJSON *data) {
     int64_t chunk_size = 0;
-    if (!data) return allocations_chunk_size(j);
-    if (!json_get_int64(data, "n", &chunk_size)) return allocations_legacy_chunk_size();
-    return chunk_size >= STRETCH_MIN && chunk_size <= STRETCH_MAX && chunk_size % STRETCH_MIN == 0 ? (int)chunk_size
-                                                                                                   : 0;
+    if (!data) return chunks_size(j);
+    if (!json_get_int64(data, "n", &chunk_size)) return chunks_legacy_size();
+    return chunk_size >= CHUNK_SIZE_MIN && chunk_size <= CHUNK_SIZE_MAX && chunk_size % CHUNK_SIZE_MIN == 0
+               ? (int)chunk_size
+               : 0;
 }
 
 static void apply_run(const char *rest, const cJSON *data, int64_t mod_revision) {
@@ -270,5 +273,6 @@
 
 void allocations_init(const struct settings *s) {
     cfg = s;
+    jobs_subscribe((struct jobs_observer){.applied = job_applied});
     store_observe_prefix("run/", apply_run);
 }
--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -6,6 +6,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#include "../jobs/chunks.h"
 #include "../jobs/jobs.h"
 #include "../json/json.h"
 #include "../machines/machines.h"
@@ -15,19 +16,18 @@
 /* The chunk size of a job: how many of its tasks one record holds. The first layout fixed it by the size of a value,
  * and its records don't name it. Once the second layout is active, records that would not fit the service's next limit
  * hold shorter chunk sizes and name them: the two versions must never read one record as different tasks. */
-int allocations_legacy_chunk_size(void);
-int allocations_chunk_size(const struct job *j);      /* that of the records there are */
 int allocations_next_chunk_size(const struct job *j); /* that of the records its next write leaves */
-int allocations_chunks(const struct job *j);          /* records of its present chunk size */
-int allocations_chunks_of_size(const struct job *j, int chunk_size);
-double allocations_value_bytes_max(void); /* bytes that a record written now may take */
+double allocations_value_bytes_max(void);             /* bytes that a record written now may take */
 
 /* With store_lock held. */
 uint8_t *allocations_task_bits(const struct job *j); /* which tasks are allocated, not counting what is over; free it */
 int allocations_count(const struct job *j);          /* likewise */
 int allocations_on_machine(const struct machine *m); /* likewise */
+int allocations_missing_tasks(const struct job *j);  /* neither done nor allocated */
+/* The attempt of a gang that has not started and whose remaining tasks were all just reported as fetching or waiting; 0
+ * otherwise. Such a gang can be completed under the same attempt. */
+int64_t allocations_open_gang_attempt(const struct job *j);
 void allocations_request_stop(struct allocation *b, double grace_s);
-void allocations_job_changed(struct job *j);
 /* The value of a chunk: done tasks (but not of a job whose end is recorded with it), allocations that are not over, and
  * the plans. NULL: nothing to keep. */
 cJSON *allocations_value(const struct job *j, int chunk, int chunk_size, const GArray *plans, bool final);
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -9,6 +9,8 @@
 #include "dependencies/dependencies.h"
 #include "json/json.h"
 #include "membership/membership.h"
+#include "placement/placement.h"
+#include "priority/priority.h"
 #include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
@@ -77,7 +79,7 @@
     struct job *j = jobs_find("req-20001");
     assert_int_equal(j->n_done, 1);
     assert_int_equal(j->allocations->len, 2);
-    assert_int_equal(scheduler_missing_tasks(j), 6);
+    assert_int_equal(allocations_missing_tasks(j), 6);
     assert_int_equal(j->n_recorded_chunks, 1);
     assert_int_equal(j->n_dirty_chunks, 0);
     struct allocation *b = j->allocations->pdata[0];
@@ -85,11 +87,11 @@
     b->released = true;
     jobs_mark_done(j, 1);
     assert_int_equal(j->n_dirty_chunks, 1);
-    assert_int_equal(scheduler_missing_tasks(j), 6);
+    assert_int_equal(allocations_missing_tasks(j), 6);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     struct planned_task p = {machines_find("i-1"), j, 4, 60};
     g_array_append_val(plans, p);
-    cJSON *v = allocations_value(j, 0, allocations_chunk_size(j), plans, false);
+    cJSON *v = allocations_value(j, 0, chunks_size(j), plans, false);
     assert_string_equal(json_get_string(v, "d"), "0300");
     assert_string_equal(json_get_string(v, "b"), "2@i-2+0 4@i-1+7");
     store_lock();
@@ -113,7 +115,7 @@
     assert_int_equal(jobs_active_of(0)->len, 0);
     assert_int_equal(jobs_ended_of(0)->len, 1); /* until its record is gone as well */
     assert_true(allocations_chunk_dirty(j, 0));
-    assert_null(allocations_value(j, 0, allocations_chunk_size(j), NULL, false));
+    assert_null(allocations_value(j, 0, chunks_size(j), NULL, false));
     put("run/req-20001/0", NULL);
     assert_int_equal(jobs_ended_of(0)->len, 0);
     assert_int_equal(j->allocations->len, 0);
@@ -126,7 +128,7 @@
     (void)state;
     put("job/req-20002", JOB("req-20002", "100000", "queued"));
     struct job *j = jobs_find("req-20002");
-    int chunk = allocations_chunk_size(j), n = allocations_chunks(j);
+    int chunk = chunks_size(j), n = chunks_count(j);
     assert_true(n > 1 && n * chunk >= 100000 && chunk % 8 == 0);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     struct machine *m = machines_find_or_stub("i-000231");
@@ -155,23 +157,23 @@
     put("job/req-20020", JOB("req-20020", "40", "queued"));
     put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
     struct job *j = jobs_find("req-20020");
-    assert_int_equal(allocations_chunk_size(j), allocations_legacy_chunk_size());
+    assert_int_equal(chunks_size(j), chunks_legacy_size());
     assert_int_equal(allocations_count(j), 4);
     const struct allocation *kept = j->allocations->pdata[2];
     static const char *const pieces[] = {"{\"n\":16,\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3\"}",
                                          "{\"n\":16,\"f\":54,\"b\":\"30@i-1+0\"}",
                                          "{\"n\":16,\"f\":55,\"b\":\"39@i-2+0\"}"};
-    static const int directives[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 0, 2}};
+    static const int sequences[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 0, 2}};
     char key[64];
-    for (size_t o = 0; o < G_N_ELEMENTS(directives); o++) {
+    for (size_t o = 0; o < G_N_ELEMENTS(sequences); o++) {
         put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
         for (int i = 0; i < 3; i++) {
-            g_snprintf(key, sizeof key, "run/req-20020/%d", directives[o][i]);
-            put(key, pieces[directives[o][i]]);
+            g_snprintf(key, sizeof key, "run/req-20020/%d", sequences[o][i]);
+            put(key, pieces[sequences[o][i]]);
             assert_int_equal(allocations_count(j), 4);
         }
-        assert_int_equal(allocations_chunk_size(j), 16);
-        assert_int_equal(allocations_chunks(j), 3);
+        assert_int_equal(chunks_size(j), 16);
+        assert_int_equal(chunks_count(j), 3);
         assert_int_equal(j->n_recorded_chunks, 3);
         assert_ptr_equal(j->allocations->pdata[2], kept);
     }
@@ -228,6 +230,8 @@
     schema_version_init(&cfg);
     machines_init(&cfg);
     allocations_init(&cfg);
+    priority_init(&cfg);
+    placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(entries), cmocka_unit_test(round_trip), cmocka_unit_test(large),
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -12,11 +12,11 @@
 #include <time.h>
 
 #include "../clock/clock.h"
-#include "../cloud/cloud.h"
 #include "../dependencies/dependencies.h"
 #include "../http/client.h"
 #include "../http/server.h"
 #include "../json/json.h"
+#include "../machine_types/machine_types.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "../quota/quota.h"
@@ -173,11 +173,11 @@
     store_lock();
     struct job *j = jobs_find(a->job_id);
     bool terminal = j && j->known && j->state != JOB_QUEUED, known = j && j->known;
-    bool away = store_unreachable(), ready = !away && (known || refusal || cloud_machine_types_known());
+    bool away = store_unreachable(), ready = !away && (known || refusal || machine_types_known());
     if (terminal) answer_known(a, j);
     if (!known && ready && !refusal)
-        a->refusal = (unsigned)job_spec_check_feasible(&spec, cfg, cloud_machine_types(), cloud_machine_types_count(),
-                                                       why, sizeof why);
+        a->refusal =
+            (unsigned)job_spec_check_feasible(&spec, cfg, machine_types_all(), machine_types_count(), why, sizeof why);
     store_unlock();
     a->team = refusal ? -1 : spec.team;
     a->prerequisites = spec.prerequisites;
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -12,7 +12,6 @@
 #include "../placement/placement.h"
 #include "../preemption/preemption.h"
 #include "../provisioning/provisioning.h"
-#include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
 
@@ -37,7 +36,7 @@
  * again at once where their image is. Without them a drain that holds a replica would be paid for until it gives up.
  * All or none: a machine that keeps one task is not given back. */
 static void move_off(struct machine *m) {
-    scheduler_prepare_machines(m->shard);
+    placement_prepare_machines(m->shard);
     for (guint b = 0; b < m->allocations->len; b++) {
         struct allocation *x = m->allocations->pdata[b];
         const struct job_spec *s = &x->job->spec;
@@ -71,7 +70,7 @@
 
 /* One ledger for each kind: headroom on cheap machines is none for work that may not use them. */
 void scale_in_run(int k, bool spot) {
-    struct machine *reception = scheduler_reception(k);
+    struct machine *reception = placement_reception(k);
     GArray *order = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     double occupied = 0;
     int n = 0, draining = 0, unsteady = 0;
@@ -135,7 +134,7 @@
     GPtrArray *jobs = jobs_active_of(k);
     for (guint i = 0; i < jobs->len; i++) {
         struct job *j = jobs->pdata[i];
-        waiting[j->priority] += MAX(0, scheduler_missing_tasks(j));
+        waiting[j->priority] += MAX(0, allocations_missing_tasks(j));
     }
     log_info(
         "shard %d: pending %d/%d/%d/%d tasks (production to idle), up %d on-demand %d spot, booting %d+%d, draining "
--- a/src/autoscaler/scale_in_test.c
+++ b/src/autoscaler/scale_in_test.c
@@ -17,7 +17,7 @@
         {320, 150, 25, 0}, {320, 4, 0, 4},  {320, -30, 0, 0},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        int got = scale_in_drains(rows[i].n, rows[i].headroom, 1.5, 0.8, rows[i].retirement.draining);
+        int got = scale_in_drains(rows[i].n, rows[i].headroom, 1.5, 0.8, rows[i].draining);
         if (got != rows[i].want) fail_msg("row %zu: %d", i, got);
     }
 }
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -11,12 +11,14 @@
 #include "../cloud/cloud.h"
 #include "../liveness/liveness.h"
 #include "../logging/logging.h"
+#include "../machine_types/machine_types.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
+#include "../preemption/preemption.h"
+#include "../priority/priority.h"
 #include "../provisioning/provisioning.h"
 #include "../quota/quota.h"
-#include "../rebalancing/rebalancing.h"
-#include "../scheduler/scheduler.h"
+#include "../schema_version/schema_version.h"
 
 static const struct settings *cfg;
 
@@ -39,7 +41,7 @@
 }
 
 void planned_machine_add(GArray *vms, const char *type_name, const char *site, bool spot) {
-    const struct machine_type *f = cloud_machine_type(type_name);
+    const struct machine_type *f = machine_types_find(type_name);
     if (!f) return;
     struct planned_machine v = {{"", "", spot, 0, 0, 0}, f->vcpus, f->gpus, f->memory_gb, false, false};
     g_strlcpy(v.o.type_name, type_name, sizeof v.o.type_name);
@@ -63,8 +65,8 @@
     for (int spot = j->spec.allows_spot ? 1 : 0; spot >= (j->spec.allows_spot && !dear ? 1 : 0); spot--) {
         double best = 0;
         bool found = false;
-        for (int i = 0; i < cloud_machine_types_count(); i++) {
-            const struct machine_type *f = &cloud_machine_types()[i];
+        for (int i = 0; i < machine_types_count(); i++) {
+            const struct machine_type *f = &machine_types_all()[i];
             if (!scale_out_type_fits(&j->spec, f)) continue;
             double price = spot ? f->spot_price : f->hourly_price;
             for (int z = 0; z < f->n_zones; z++) {
@@ -125,7 +127,7 @@
     int whole = 0;
     for (guint y = 0; y < vms->len; y++) {
         const struct planned_machine *v = &g_array_index(vms, struct planned_machine, y);
-        const struct machine_type *f = cloud_machine_type(v->o.type_name);
+        const struct machine_type *f = machine_types_find(v->o.type_name);
         whole += f && !v->foreign && !v->o.spot && v->cpu >= f->vcpus - 1e-6 && v->gpu >= f->gpus - 1e-6;
     }
     for (int n = MIN(steady / SPARE_IN - whole, most); like && n > 0; n--) {
@@ -153,7 +155,7 @@
     if (zone_of(m->zone)) ++*zone_of(m->zone);
     if (machines_leaving(m)) return;
     p->have++;
-    const struct machine_type *f = cloud_machine_type(m->type_name);
+    const struct machine_type *f = machine_types_find(m->type_name);
     if (f && m->spot) p->slots += f->gpus;
     for (guint b = 0; !m->spot && b < m->allocations->len; b++) {
         const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
@@ -208,7 +210,7 @@
     }
     for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
         const struct machine *m = machines_all()->pdata[i];
-        if (m->shard == p->shard || m->shard < 0 || !rebalancing_possible(m) || m->rebalance.to >= 0) continue;
+        if (m->shard == p->shard || m->shard < 0 || !preemption_clears_machine(m) || m->rebalance.to >= 0) continue;
         guint before = p->vms->len;
         planned_machine_add(p->vms, m->type_name, m->zone, false);
         if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).foreign = true;
@@ -254,7 +256,7 @@
     if (p->have + p->requested >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
     add_order(p->vms, &o, weights[j->priority]);
     p->requested++;
-    if (j->spec.allows_spot && cloud_machine_type(o.type_name)) p->slots += cloud_machine_type(o.type_name)->gpus;
+    if (j->spec.allows_spot && machine_types_find(o.type_name)) p->slots += machine_types_find(o.type_name)->gpus;
     planned_machine_take(&g_array_index(p->vms, struct planned_machine, p->vms->len - 1), j, want);
     if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.zone, n);
 }
@@ -262,8 +264,8 @@
 #define TASKS_MAX 128 /* of a job that a plan looks at */
 
 static void rent_for_job(struct shard_plan *p, struct job *j, bool within) {
-    int left =
-        j->spec.kind == JOB_GANG ? j->spec.tasks : (j->unplaced ? scheduler_missing_tasks(j) : 0) + j->replicas_at_risk;
+    int left = j->spec.kind == JOB_GANG ? j->spec.tasks
+                                        : (j->unplaced ? allocations_missing_tasks(j) : 0) + j->replicas_at_risk;
     char site[64] = "";
     if (placement_zone(j))
         g_strlcpy(site, placement_zone(j), sizeof site);
@@ -322,14 +324,14 @@
 }
 
 static void rent_for_shard(int k, struct rental_request *out, int most, int *n) {
-    struct shard_plan p = {.shard = k, .reception = scheduler_reception(k)};
+    struct shard_plan p = {.shard = k, .reception = placement_reception(k)};
     p.vms = g_array_new(FALSE, FALSE, sizeof(struct planned_machine));
     count_machines(&p);
-    GArray *order = scheduler_order_jobs(k);
+    GArray *order = priority_order_shard(k);
     int waiting = 0;
     for (guint i = 0; i < order->len; i++) {
         const struct job *j = g_array_index(order, struct ranked_job, i).job;
-        if (j->unplaced) waiting += scheduler_missing_tasks(j);
+        if (j->unplaced) waiting += allocations_missing_tasks(j);
     }
     zone_lot = CLAMP(waiting / 8, 1, 48);
     count_transfers(&p, order);
@@ -366,7 +368,7 @@
  * answer proves that it is gone, and a name that it does not know is ignored. */
 static int unrecorded_machines(char ids[][64], int most, int *busy) {
     int n = 0;
-    if (machines_layout_unreadable() || !membership_may_answer()) return 0;
+    if (schema_version_store_unreadable() || !membership_may_answer()) return 0;
     for (guint i = 0; i < machines_all()->len && n < most; i++) {
         const struct machine *m = machines_all()->pdata[i];
         if (!machines_unrecorded(m)) continue;
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -9,24 +9,21 @@
 #include <string.h>
 #include <time.h>
 
-#include "../autoscaler/scale_out.h"
 #include "../clock/clock.h"
+#include "../events/events.h"
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
+#include "../machine_types/machine_types.h"
 #include "../machines/machines.h"
 #include "../membership/membership.h"
 #include "../quota/quota.h"
-#include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 
-#define MACHINE_TYPES_MAX 64
 #define RENTAL_REQUESTS_MAX \
     128 /* by shard, type, zone and kind; one controller may own all shards. Those beyond come next time */
 
 static const struct settings *cfg;
-static struct machine_type machine_types[MACHINE_TYPES_MAX];
-static int n_flavours;
 
 struct capacity_backoff {
     struct timespec until;
@@ -36,16 +33,6 @@
 
 static struct sync_wakeup wakeup;
 
-bool cloud_machine_types_known(void) { return n_flavours > 0; }
-const struct machine_type *cloud_machine_types(void) { return machine_types; }
-int cloud_machine_types_count(void) { return n_flavours; }
-
-const struct machine_type *cloud_machine_type(const char *type_name) {
-    for (int i = 0; i < n_flavours; i++)
-        if (strcmp(machine_types[i].type_name, type_name) == 0) return &machine_types[i];
-    return NULL;
-}
-
 static char *place_key(const char *type_name, const char *site, bool spot) {
     return g_strdup_printf("%s %s %d", type_name, site, spot);
 }
@@ -57,8 +44,9 @@
     return !c || clock_seconds_since(c->until) >= 0;
 }
 
-void cloud_capacity_freed(const char *type_name, const char *site, bool spot) {
-    char *key = place_key(type_name, site, spot);
+/* A machine of this kind was given back: the next one may be had at once. */
+static void capacity_freed(const struct machine *machine) {
+    char *key = place_key(machine->type_name, machine->zone, machine->spot);
     g_hash_table_remove(capacity_backoffs, key);
     g_free(key);
 }
@@ -85,7 +73,9 @@
              o->spot ? "spot" : "on-demand", c->pause);
 }
 
-void cloud_wake(void) { sync_wakeup_signal(&wakeup); }
+static struct cloud_planner planner;
+
+void cloud_set_planner(struct cloud_planner chosen) { planner = chosen; }
 
 /* The cloud counts the calls of all controllers: each keeps to its part. */
 static double tokens;
@@ -130,41 +120,13 @@
 
 /* The types are read by one controller and kept in the state service for all: each asking for itself would use up the
  * cloud's calls just when the first machines are to be rented. */
-static void apply_types(const char *rest, const cJSON *data, int64_t mod_revision) {
-    (void)mod_revision;
-    const cJSON *x;
-    if (*rest || !data) return;
-    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(data, "flavours")) {
-        const char *type_name = json_get_string(x, "sku");
-        if (!type_name || strlen(type_name) >= sizeof machine_types[0].type_name) continue;
-        struct machine_type *f = (struct machine_type *)cloud_machine_type(type_name);
-        if (!f && n_flavours == MACHINE_TYPES_MAX) continue;
-        if (!f) f = &machine_types[n_flavours++];
-        g_strlcpy(f->type_name, type_name, sizeof f->type_name);
-        f->vcpus = json_get_double(x, "vcpus", 0);
-        f->gpus = json_get_double(x, "gpus", 0);
-        f->memory_gb = json_get_double(x, "memory_gb", 0);
-        f->local_gb = json_get_double(x, "local_gb", 0);
-        f->fetch_rate = json_get_double(x, "fetch_gb_per_s", 1);
-        f->hourly_price = json_get_double(x, "hourly", 1);
-        f->spot_price = json_get_double(x, "market_price", f->hourly_price);
-        f->startup_s = json_get_double(x, "startup_s", 60);
-        const cJSON *s;
-        for (int i = 0; i < f->n_zones; i++) g_free(f->zones[i]);
-        f->n_zones = 0;
-        cJSON_ArrayForEach(s, cJSON_GetObjectItemCaseSensitive(x, "sites")) if (cJSON_IsString(s) &&
-                                                                                f->n_zones < MACHINE_TYPE_ZONES_MAX)
-            f->zones[f->n_zones++] = g_strdup(s->valuestring);
-    }
-}
-
 static void read_machine_types(struct http_client *c) {
     cJSON *a = NULL;
     long status;
     if (call(c, "GET", "/flavors", NULL, &a, &status) == HTTP_ANSWERED && status == 200) {
         char *text = cJSON_PrintUnformatted(a);
         store_lock();
-        apply_types("", a, 0);
+        machine_types_apply(a);
         store_unlock();
         if (text && strlen(text) < cfg->next_value_kb * 1024 - 64) {
             struct store_txn t;
@@ -200,7 +162,7 @@
                 if (strcmp(state, "failed") == 0 && !m->retirement.return_wanted) {
                     log_info("machine %s: listed as failed, returning it", id);
                     m->retirement.return_wanted = true;
-                    scheduler_wake();
+                    events_publish(EVENT_SCHEDULE);
                 }
                 if (!m->address[0] && address && *address) {
                     g_strlcpy(m->address, address, sizeof m->address);
@@ -290,7 +252,7 @@
     for (;;) {
         sync_wakeup_wait(&wakeup, clock_from_seconds(0.25));
         store_lock();
-        bool leads = membership_is_leader(), typed_once = n_flavours > 0;
+        bool leads = membership_is_leader(), typed_once = machine_types_known();
         double list_every = MAX(2.5, 6 * membership_live_controllers() / cfg->cloud_rps);
         store_unlock();
         if ((!typed_once && (leads || clock_seconds_since(began) > 6)) || (leads && clock_seconds_since(typed) > 120)) {
@@ -301,10 +263,10 @@
         }
         if (!typed_once) continue;
         char ids[100][64];
-        struct rental_request directives[RENTAL_REQUESTS_MAX];
+        struct rental_request requests[RENTAL_REQUESTS_MAX];
         int busy, wants = 0;
         store_lock();
-        int back = scale_in_plan_returns(ids, 100, &busy);
+        int back = planner.plan_returns(ids, 100, &busy);
         store_unlock();
         /* A plan for a whole shard is worth its time only when a call can be made. */
         if (!may_call(busy > 0)) continue;
@@ -313,7 +275,7 @@
         /* Returns are few calls for many machines; they must not wait for rentals without end, and tasks that can start
          * elsewhere only once their silent machine is returned wait for nothing. */
         bool back_first = busy || back >= 20 || (back && clock_seconds_since(returned) > 12);
-        if (!pending.open && !back_first && !list_first) wants = scale_out_plan(directives, RENTAL_REQUESTS_MAX);
+        if (!pending.open && !back_first && !list_first) wants = planner.plan_rentals(requests, RENTAL_REQUESTS_MAX);
         store_unlock();
         if (back && (back_first || !(pending.open || wants || list_first))) {
             return_machines(c, ids, back);
@@ -321,12 +283,12 @@
         } else if (pending.open || wants) {
             if (!pending.open) {
                 pending.open = true;
-                pending.order = directives[0];
+                pending.order = requests[0];
                 g_snprintf(pending.claim, sizeof pending.claim, "%s-%s-%u", cfg->node, membership_incarnation(),
                            ++claims);
             }
             rent(c);
-            if (wants > 1) cloud_wake();
+            if (wants > 1) sync_wakeup_signal(&wakeup);
         } else if (clock_seconds_since(listed) > list_every) {
             read_list(c);
             listed = clock_now();
@@ -339,11 +301,11 @@
 
 void cloud_init(const struct settings *s) {
     cfg = s;
+    machines_on_returned(capacity_freed);
     capacity_backoffs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     tokens_at = clock_now();
     tokens = 1;
     sync_wakeup_init(&wakeup);
-    store_observe_prefix("types", apply_types);
 }
 
 void cloud_start(void) { sync_start_thread(cloud_main, NULL); }
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,19 +1,23 @@
-/* The cloud: machine types, rentals, returns, and the lagging list. */
+/* The cloud: machine types, rentals, returns, and the lagging list of machines. */
 #ifndef FF_CLOUD_H
 #define FF_CLOUD_H
 #include <stdbool.h>
 
-#include "../jobs/jobs.h"
+#include "../model/machine.h"
+#include "../settings/settings.h"
 
 void cloud_init(const struct settings *s);
 void cloud_start(void);
-void cloud_wake(void);
+
+/* What is to be rented and returned is decided above: asked with store_lock held, on the cloud's thread. */
+struct cloud_planner {
+    /* Fills at most `most` requests, the most pressing first; their number. */
+    int (*plan_rentals)(struct rental_request *out, int most);
+    /* Fills at most `most` ids of machines to return, and in *busy how many of them hold tasks; their number. */
+    int (*plan_returns)(char ids[][64], int most, int *busy);
+};
+void cloud_set_planner(struct cloud_planner planner); /* before cloud_start */
+
 /* With store_lock held. */
-bool cloud_machine_types_known(void);
-const struct machine_type *cloud_machine_types(void);
-int cloud_machine_types_count(void);
-const struct machine_type *cloud_machine_type(const char *type_name);
-void cloud_capacity_freed(const char *type_name, const char *site,
-                          bool spot);                                    /* a machine of this kind was given back */
 bool cloud_may_rent(const char *type_name, const char *site, bool spot); /* has not just refused */
 #endif
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -7,11 +7,11 @@
 #include <string.h>
 
 #include "../clock/clock.h"
+#include "../events/events.h"
 #include "../http/client.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
-#include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 
 static const struct settings *cfg;
@@ -130,7 +130,7 @@
         }
 }
 
-void dependencies_job_added(struct job *j) {
+static void job_added(struct job *j) {
     link_prerequisites(j);
     reset_urgency(j);
     update_waiting(j);
@@ -144,7 +144,7 @@
     check_cancelled(j);
 }
 
-void dependencies_job_ended(struct job *j) {
+static void job_ended(struct job *j) {
     for (guint i = 0; j->dependents && i < j->dependents->len; i++) {
         struct job *dependent = j->dependents->pdata[i];
         if (!dependent->known) continue;
@@ -152,7 +152,7 @@
         if (j->state == JOB_CANCELLED) mark_to_cancel(dependent);
     }
     if (j->state == JOB_CANCELLED) withdraw_urgency(j);
-    if (j->dependents) scheduler_wake();
+    if (j->dependents) events_publish(EVENT_SCHEDULE);
 }
 
 bool dependencies_any_cancelled(char *const *prerequisites) {
@@ -297,6 +297,7 @@
 
 void dependencies_init(const struct settings *s) {
     cfg = s;
+    jobs_subscribe((struct jobs_observer){.added = job_added, .ended = job_ended});
     to_cancel = g_ptr_array_new();
     sync_wakeup_init(&wakeup);
 }
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -18,10 +18,6 @@
 
 /* All with store_lock held. */
 
-/* Its record was read for the first time. Records come in any order. */
-void dependencies_job_added(struct job *j);
-/* Its record says done or cancelled now. */
-void dependencies_job_ended(struct job *j);
 /* A prerequisite is not recorded as done: nothing of the job may start, and it takes part in nothing. */
 bool dependencies_unmet(const struct job *j);
 /* Its record still has to be changed to cancelled: its user is told nothing else any more. */
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -13,6 +13,8 @@
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
+#include "placement/placement.h"
+#include "priority/priority.h"
 #include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
@@ -51,7 +53,7 @@
 
 static int ranked(const char *job_id) {
     int n = 0;
-    GArray *order = scheduler_order_jobs(0);
+    GArray *order = priority_order_shard(0);
     for (guint i = 0; i < order->len; i++)
         n += strcmp(g_array_index(order, struct ranked_job, i).job->spec.job_id, job_id) == 0;
     g_array_free(order, TRUE);
@@ -244,6 +246,8 @@
     dependencies_init(&cfg);
     allocations_init(&cfg);
     machines_init(&cfg);
+    priority_init(&cfg);
+    placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(waiting), cmocka_unit_test(urgency), cmocka_unit_test(cascade),
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -8,18 +8,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../allocations/allocations.h"
 #include "../clock/clock.h"
-#include "../dependencies/dependencies.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
+#include "../model/allocation.h"
+#include "chunks.h"
 
 static const struct settings *cfg;
 static GHashTable *all;   /* uid -> job */
 static GPtrArray *active; /* oldest first */
 static GPtrArray *active_of[64], *ended_of[64];
 
+#define OBSERVERS_MAX 4
+
+static struct jobs_observer observers[OBSERVERS_MAX];
+static int n_observers;
+
+void jobs_subscribe(struct jobs_observer observer) {
+    g_assert(n_observers < OBSERVERS_MAX);
+    observers[n_observers++] = observer;
+}
+
 bool jobs_bit(const uint8_t *bits, int i) { return bits && (bits[i / 8] >> (i % 8) & 1); }
 
 char *jobs_bits_text(const uint8_t *bits, int from, int n) {
@@ -102,12 +112,12 @@
 }
 
 static bool runs_ready(struct job *j) {
-    if (!j->chunk_flags && j->spec.tasks > 0) j->chunk_flags = g_malloc0((gsize)allocations_chunks(j));
+    if (!j->chunk_flags && j->spec.tasks > 0) j->chunk_flags = g_malloc0((gsize)chunks_count(j));
     return j->chunk_flags != NULL;
 }
 
 void jobs_set_chunk_size(struct job *j, int chunk_size) {
-    if (allocations_chunk_size(j) == chunk_size) return;
+    if (chunks_size(j) == chunk_size) return;
     bool touched = j->n_dirty_chunks > 0;
     g_free(j->chunk_flags);
     j->chunk_flags = NULL;
@@ -117,7 +127,7 @@
 }
 
 void jobs_set_chunk_recorded(struct job *j, int chunk, bool there) {
-    if (!runs_ready(j) || chunk >= allocations_chunks(j)) return;
+    if (!runs_ready(j) || chunk >= chunks_count(j)) return;
     j->n_recorded_chunks += there - (j->chunk_flags[chunk] & 1);
     j->n_dirty_chunks -= (j->chunk_flags[chunk] & 2) != 0;
     j->chunk_flags[chunk] = there;
@@ -125,7 +135,7 @@
 
 void jobs_mark_dirty(struct job *j, int task) {
     if (!runs_ready(j) || task < 0 || task >= j->spec.tasks) return;
-    uint8_t *r = &j->chunk_flags[task / allocations_chunk_size(j)];
+    uint8_t *r = &j->chunk_flags[task / chunks_size(j)];
     if (*r & 2) return;
     if (j->n_dirty_chunks == 0) j->dirty_since = clock_now();
     *r |= 2;
@@ -218,8 +228,8 @@
     j->done = j->reported_done = NULL;
     j->spec_text = NULL;
     /* What is left on record of its allocations goes once they are proven gone. */
-    for (int c = 0; j->n_recorded_chunks > 0 && c < allocations_chunks(j); c++)
-        if (j->chunk_flags[c] & 1) jobs_mark_dirty(j, c * allocations_chunk_size(j));
+    for (int c = 0; j->n_recorded_chunks > 0 && c < chunks_count(j); c++)
+        if (j->chunk_flags[c] & 1) jobs_mark_dirty(j, c * chunks_size(j));
 }
 
 static void apply_job(const char *job_id, const cJSON *data, int64_t mod_revision) {
@@ -235,10 +245,13 @@
         j->finished = state == JOB_DONE ? json_get_double(data, "end", 0) : 0;
         enter_final_state(j, state);
     }
-    if (first) dependencies_job_added(j);
-    if (ends) dependencies_job_ended(j);
+    for (int i = 0; first && i < n_observers; i++)
+        if (observers[i].added) observers[i].added(j);
+    for (int i = 0; ends && i < n_observers; i++)
+        if (observers[i].ended) observers[i].ended(j);
     jobs_list(j);
-    allocations_job_changed(j);
+    for (int i = 0; i < n_observers; i++)
+        if (observers[i].applied) observers[i].applied(j);
 }
 
 void jobs_mark_done(struct job *j, int task) {
@@ -322,6 +335,7 @@
 
 void jobs_init(const struct settings *s) {
     cfg = s;
+    chunks_init(s);
     all = g_hash_table_new(g_str_hash, g_str_equal);
     active = g_ptr_array_new();
     for (int k = 0; k < 64; k++) {
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -15,6 +15,16 @@
 void jobs_bits_read(const char *text, uint8_t *bits, int from, int n);
 
 void jobs_init(const struct settings *s);
+
+/* Those who want to know when a job's record was taken in. Called with store_lock held, in the order of subscription;
+ * a member may be NULL. */
+struct jobs_observer {
+    void (*added)(struct job *job);   /* its record was read for the first time; records come in any order */
+    void (*ended)(struct job *job);   /* its record says done or cancelled now */
+    void (*applied)(struct job *job); /* it is in the lists that it belongs to by now */
+};
+void jobs_subscribe(struct jobs_observer observer); /* before the mirror is started */
+
 /* With store_lock held. */
 struct job *jobs_find(const char *job_id);
 struct job *jobs_find_or_stub(const char *job_id);
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -11,6 +11,8 @@
 #include "dependencies/dependencies.h"
 #include "json/json.h"
 #include "membership/membership.h"
+#include "placement/placement.h"
+#include "priority/priority.h"
 #include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
@@ -210,6 +212,8 @@
     schema_version_init(&cfg);
     allocations_init(&cfg);
     machines_init(&cfg);
+    priority_init(&cfg);
+    placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(admission), cmocka_unit_test(bits),
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -17,7 +17,6 @@
 #include "../membership/membership.h"
 #include "../provisioning/provisioning.h"
 #include "../quarantine/quarantine.h"
-#include "../workers/workers.h"
 
 static const struct settings *cfg;
 
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -8,12 +8,12 @@
 #include <string.h>
 
 #include "../clock/clock.h"
-#include "../cloud/cloud.h"
+#include "../events/events.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
+#include "../machine_types/machine_types.h"
 #include "../membership/membership.h"
-#include "../quarantine/quarantine.h"
-#include "../scheduler/scheduler.h"
+#include "../schema_version/schema_version.h"
 
 static const struct settings *cfg;
 static GHashTable *by_id;
@@ -21,11 +21,14 @@
 static GPtrArray *of_shard[SHARDS_MAX];
 static GHashTable *unregistered;
 static GHashTable *gone; /* ids that were recorded and are no more: a stale list must not bring them back */
-static bool refused;
 static bool stale[SHARDS_MAX][MACHINE_PAGES_MAX]; /* lists machines that a later record has moved to another page */
 
 struct shard_state shard_states[SHARDS_MAX];
 
+static void (*returned_handler)(const struct machine *machine);
+
+void machines_on_returned(void (*handler)(const struct machine *machine)) { returned_handler = handler; }
+
 struct machine *machines_find(const char *id) {
     struct machine *m = g_hash_table_lookup(by_id, id);
     return m && m->known ? m : NULL;
@@ -33,7 +36,6 @@
 GPtrArray *machines_all(void) { return machines; }
 GPtrArray *machines_of_shard(int k) { return of_shard[k]; }
 GHashTable *machines_unregistered(void) { return unregistered; }
-bool machines_layout_unreadable(void) { return refused; }
 
 int machines_shard_of(const char *id) {
     const struct machine *unrecorded = g_hash_table_lookup(by_id, id);
@@ -91,7 +93,7 @@
     g_ptr_array_free(m->allocations, TRUE);
     g_array_free(m->agent.unknown_tasks, TRUE);
     g_hash_table_destroy(m->images);
-    quarantine_forget_machine(m);
+    if (m->failed_jobs) g_ptr_array_free(m->failed_jobs, TRUE);
     g_free(m);
 }
 
@@ -107,14 +109,14 @@
 /* A machine leaves its record only when the cloud has confirmed its return: whatever was allocated on it is gone. */
 static void machine_gone(struct machine *m) {
     g_hash_table_add(gone, g_strdup(m->id));
-    cloud_capacity_freed(m->type_name, m->zone, m->spot);
+    if (returned_handler) returned_handler(m);
     m->known = false;
     m->retirement.released = true;
     m->unrecorded_since = clock_now();
     release_all(m);
     set_shard(m, -1);
     machines_drop_stub(m);
-    scheduler_wake();
+    events_publish(EVENT_SCHEDULE);
 }
 
 static struct machine *machine_here(const char *id, int shard, int page) {
@@ -253,9 +255,9 @@
     int64_t shard = 0;
     if (cJSON_GetObjectItemCaseSensitive(data, "b")) {
         /* The first layout kept allocations in records like this one. Reading half of it would start tasks twice. */
-        if (!refused)
+        if (!schema_version_store_unreadable())
             log_error("machine/%s has the first layout, which this version does not read: no shard is taken", id);
-        refused = true;
+        schema_version_mark_store_unreadable();
         return;
     }
     if (strlen(id) >= sizeof((struct machine *)0)->id || !json_get_int64(data, "share", &shard) || shard < 0 ||
@@ -273,7 +275,7 @@
     m->spot = json_get_bool(data, "spot");
     m->retirement.returning = false;
     m->created_at = json_get_double(data, "born", 0);
-    scheduler_wake();
+    events_publish(EVENT_SCHEDULE);
 }
 
 bool machines_owned(struct machine *m) {
@@ -316,7 +318,7 @@
         g += s->gpus;
         r += s->memory_gb;
     }
-    const struct machine_type *f = m->type ? m->type : (m->type = cloud_machine_type(m->type_name));
+    const struct machine_type *f = m->type ? m->type : (m->type = machine_types_find(m->type_name));
     if (!f) return;
     double *row = m->occupancy.samples[m->occupancy.n_samples % MACHINE_OCCUPANCY_SAMPLES];
     row[0] = f->vcpus > 0 ? c / f->vcpus : 0;
@@ -337,7 +339,7 @@
     n->page = -1;
     n->created_at = clock_time_of_day();
     g_hash_table_replace(unregistered, n->id, n);
-    scheduler_wake();
+    events_publish(EVENT_SCHEDULE);
 }
 
 void machines_adopt(const char *id, const char *address, const char *type_name, const char *site, bool spot) {
@@ -356,7 +358,7 @@
     if (!m) return;
     m->retirement.released = true;
     release_all(m);
-    scheduler_wake();
+    events_publish(EVENT_SCHEDULE);
 }
 
 #define UNRECORDED_S 5.0 /* a page or a transfer between shards is in the mirror long before */
--- a/src/machines/machines.h
+++ b/src/machines/machines.h
@@ -14,6 +14,9 @@
 extern struct shard_state shard_states[SHARDS_MAX];
 
 void machines_init(const struct settings *s);
+/* Called with store_lock held when the cloud has confirmed that the machine is gone. One handler, set before the start.
+ */
+void machines_on_returned(void (*handler)(const struct machine *machine));
 
 /* All with store_lock held. */
 struct machine *machines_find(const char *id);
@@ -60,5 +63,4 @@
 void machines_oversized_pages(int k, bool *large);
 bool machines_page_stale(int k, int page);
 cJSON *machines_single_value(const struct machine *machine, int shard, int64_t fencing_token);
-bool machines_layout_unreadable(void); /* the store holds records of a layout that is not ours to read */
 #endif
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -12,7 +12,10 @@
 #include "dependencies/dependencies.h"
 #include "json/json.h"
 #include "logging/logging.h"
+#include "machine_types/machine_types.h"
 #include "membership/membership.h"
+#include "placement/placement.h"
+#include "priority/priority.h"
 #include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
@@ -140,12 +143,12 @@
 /* Records of the first layout are refused as a whole, not half read. */
 static void first_layout(void **state) {
     (void)state;
-    assert_false(machines_layout_unreadable());
+    assert_false(schema_version_store_unreadable());
     cJSON *x = cJSON_Parse(
         "{\"share\":0,\"fence\":0,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\",\"b\":[[\"req-10001\",0,5]]}");
     put("machine/i-900000", x);
     cJSON_Delete(x);
-    assert_true(machines_layout_unreadable());
+    assert_true(schema_version_store_unreadable());
     assert_null(machines_find("i-900000"));
 }
 
@@ -246,9 +249,12 @@
     jobs_init(&cfg);
     dependencies_init(&cfg);
     schema_version_init(&cfg);
+    machine_types_init();
     cloud_init(&cfg);
     machines_init(&cfg);
     allocations_init(&cfg);
+    priority_init(&cfg);
+    placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(pages),          cmocka_unit_test(passes),
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -11,10 +11,7 @@
 #include "../clock/clock.h"
 #include "../http/client.h"
 #include "../json/json.h"
-#include "../liveness/liveness.h"
 #include "../logging/logging.h"
-#include "../machines/machines.h"
-#include "../quota/quota.h"
 #include "../schema_version/schema_version.h"
 #include "../sync/sync.h"
 
@@ -228,10 +225,29 @@
     return NULL;
 }
 
+#define ANNOUNCEMENTS_MAX 4
+
+static membership_announcement announcements[ANNOUNCEMENTS_MAX];
+static int n_announcements;
+static membership_worker_probe worker_probe;
+
+void membership_add_announcement(membership_announcement announcement) {
+    g_assert(n_announcements < ANNOUNCEMENTS_MAX);
+    announcements[n_announcements++] = announcement;
+}
+
+void membership_set_worker_probe(membership_worker_probe probe) { worker_probe = probe; }
+
+static bool add_announcement(struct store_txn *t) {
+    for (int i = 0; i < n_announcements; i++)
+        if (announcements[i](t)) return true;
+    return false;
+}
+
 /* One step of the duties that need the store: become leader, take back, give. True if something is to be sent. */
 static bool next_step(struct store_txn *t) {
     struct node *me = find_node(cfg->node);
-    if (machines_layout_unreadable() || !store_synced() || !me || !me->live ||
+    if (schema_version_store_unreadable() || !store_synced() || !me || !me->live ||
         strcmp(me->incarnation, my_incarnation) != 0)
         return false;
     for (int k = 0; k < cfg->size; k++) /* Ours from before a restart: no need to wait for anyone. */
@@ -239,7 +255,7 @@
             assign_shard(t, k, me);
             return true;
         }
-    if (quota_announce(t) || schema_version_announce(t)) return true;
+    if (add_announcement(t)) return true;
     if (me->workers_unreachable != my_workers_unreachable) {
         char key[96];
         snprintf(key, sizeof key, "node/%s", cfg->node);
@@ -347,7 +363,7 @@
         bool try_again = my_workers_unreachable &&
                          clock_seconds_since(workers_unreachable_since) > membership_workers_retry_s(times_unreachable);
         store_unlock();
-        if (try_again && liveness_probe_workers(c)) {
+        if (try_again && worker_probe && worker_probe(c)) {
             store_lock();
             membership_set_workers_unreachable(false);
             store_unlock();
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -16,6 +16,14 @@
 void membership_init(const struct settings *s);
 void membership_start(void);
 
+/* What else this node records of itself: each is asked in the order of registration, with store_lock held, and adds its
+ * record to the transaction, or returns false where it has nothing to write. Registered before membership_start. */
+typedef bool (*membership_announcement)(struct store_txn *txn);
+void membership_add_announcement(membership_announcement announcement);
+/* Whether one of a few workers answers: asked without store_lock while the workers are unreachable. */
+typedef bool (*membership_worker_probe)(struct http_client *client);
+void membership_set_worker_probe(membership_worker_probe probe);
+
 /* All of these with store_lock held. */
 const struct shard *membership_shard(int k);
 bool membership_owns(int k);             /* shard K is ours, and the mirror holds all that its former owner wrote */
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -4,8 +4,13 @@
 #include <stdbool.h>
 #include <string.h>
 
+#include "../clock/clock.h"
+#include "../liveness/liveness.h"
+#include "../machine_types/machine_types.h"
 #include "../quarantine/quarantine.h"
 
+static const struct settings *cfg;
+
 bool placement_fits(const struct machine *m, const struct job_spec *j) {
     const struct machine_type *f = m->type;
     if (!f || m->round.used_tasks >= MACHINE_TASKS_MAX) return false;
@@ -107,3 +112,50 @@
     m->round.used_memory_gb += sign * s->memory_gb;
     m->round.used_tasks += sign;
 }
+
+struct machine *placement_reception(int k) {
+    struct machine *best = NULL;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (m->spot || machines_leaving(m) || !m->liveness.up || m->liveness.preemption_notice_s >= 0) continue;
+        if (!best || m->created_at < best->created_at ||
+            (m->created_at == best->created_at && strcmp(m->id, best->id) < 0))
+            best = m;
+    }
+    return best;
+}
+
+void placement_prepare_machines(int k) {
+    double quiet = clock_to_seconds(cfg->heartbeat_interval) * 2 + 1;
+    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
+        struct machine *m = machines_of_shard(k)->pdata[i];
+        if (!machines_owned(m)) continue;
+        if (!m->type) m->type = machine_types_find(m->type_name);
+        m->round.dirty = m->round.leaves_page = false;
+        m->round.next_token = 0;
+        m->round.next_page = -1;
+        m->round.occupancy = placement_occupancy(m, (int)cfg->tuning.window);
+        m->round.used_vcpus = m->round.used_gpus = m->round.used_memory_gb = 0;
+        m->round.used_tasks = 0;
+        for (guint b = 0; b < m->allocations->len; b++) {
+            struct allocation *x = m->allocations->pdata[b];
+            if (x->released) {
+                m->round.dirty = true;
+                continue;
+            }
+            m->round.used_vcpus += x->job->spec.vcpus;
+            m->round.used_gpus += x->job->spec.gpus;
+            m->round.used_memory_gb += x->job->spec.memory_gb;
+            m->round.used_tasks++;
+        }
+        m->round.schedulable = m->liveness.up && m->page >= 0 && m->type && !machines_leaving(m) &&
+                               !m->retirement.draining && m->rebalance.to < 0 && m->liveness.preemption_notice_s < 0 &&
+                               !m->commands.needs_token_raise && !m->commands.outcome_unknown &&
+                               m->liveness.ignored_responses == 0 && !quarantine_machine_faulty(m) &&
+                               m->agent.seen_token >= machines_fencing_token(m) &&
+                               clock_seconds_since(m->liveness.last_heartbeat) < quiet &&
+                               m->allocations->len < MACHINE_TASKS_MAX && !liveness_zone_unreachable(k, m->zone);
+    }
+}
+
+void placement_init(const struct settings *s) { cfg = s; }
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -8,6 +8,13 @@
 #include "../jobs/jobs.h"
 #include "../machines/machines.h"
 
+void placement_init(const struct settings *s);
+
+/* The shard's oldest steady on-demand machine, which takes tasks first; NULL: none. */
+struct machine *placement_reception(int shard);
+/* Before a round: which of the shard's machines take tasks, and what is used on each. */
+void placement_prepare_machines(int shard);
+
 struct placement_rules {
     double reception, admission;
     const struct machine *reception_machine;
--- a/src/preemption/preemption.c
+++ b/src/preemption/preemption.c
@@ -159,4 +159,14 @@
            j->spec.image_gb / MAX(m->type->fetch_rate, 1e-3) > settings_within(cfg, AIM_WAIT, j->spec.job_class, 1e9);
 }
 
+/* An ordinary machine whose tasks would all make way. */
+bool preemption_clears_machine(const struct machine *m) {
+    if (m->spot || machines_leaving(m) || m->liveness.preemption_notice_s >= 0 || !m->address[0]) return false;
+    for (guint b = 0; b < m->allocations->len; b++) {
+        const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
+        if (!s->allows_spot || s->kind != JOB_ARRAY) return false;
+    }
+    return true;
+}
+
 void preemption_init(const struct settings *s) { cfg = s; }
--- a/src/preemption/preemption.h
+++ b/src/preemption/preemption.h
@@ -16,6 +16,8 @@
 void preemption_refresh(void);              /* before a round's questions */
 double preemption_over_guarantee(int team); /* what a team holds beyond its guarantee */
 bool preemption_evictable(const struct allocation *x, const struct job *j, bool within);
+/* An on-demand machine all of whose tasks would give way to others. */
+bool preemption_clears_machine(const struct machine *m);
 bool preemption_recently_started(const struct allocation *b);
 /* Makes room for one task of the job, in a zone or (NULL) anywhere. */
 bool preemption_make_room(struct job *j, bool within, GPtrArray *mine, const char *zone, const struct team_usage *u);
--- a/src/scheduler/priority.c
+++ b/src/priority/priority.c
@@ -1,4 +1,5 @@
-/* The order among a shard's unfinished jobs. */
+#include "priority.h"
+
 #include <glib.h>
 #include <stdbool.h>
 #include <string.h>
@@ -7,26 +8,24 @@
 #include "../clock/clock.h"
 #include "../dependencies/dependencies.h"
 #include "../quarantine/quarantine.h"
-#include "../quota/quota.h"
-#include "round.h"
+
+static const struct settings *cfg;
 
 #define WAIT_BOUND 75 /* nobody is to wait 90 s beside room that fits */
 
 #define NO_AIM_S 300.0 /* where no class has an aim */
 
-bool scheduler_has_objective(const struct job *j) {
+bool priority_has_objective(const struct job *j) {
     for (int kind = AIM_WAIT; kind <= AIM_DEADLINE; kind++)
-        if (kind != AIM_GUARANTEE && settings_has_aim(scheduler_settings, (enum settings_aim)kind, j->spec.job_class))
-            return true;
+        if (kind != AIM_GUARANTEE && settings_has_aim(cfg, (enum settings_aim)kind, j->spec.job_class)) return true;
     return false;
 }
 
 /* The longest time by which anything is expected to be done. */
 static double longest_aim(void) {
     double longest = 0;
-    for (int i = 0; i < scheduler_settings->n_objectives; i++)
-        if (scheduler_settings->objectives[i].kind == AIM_FINISHED)
-            longest = MAX(longest, scheduler_settings->objectives[i].within_s);
+    for (int i = 0; i < cfg->n_objectives; i++)
+        if (cfg->objectives[i].kind == AIM_FINISHED) longest = MAX(longest, cfg->objectives[i].within_s);
     return longest > 0 ? longest : NO_AIM_S;
 }
 
@@ -40,8 +39,8 @@
     if (age > WAIT_BOUND && j->allocations->len == 0 && j->n_reported_done == 0) return j->ready;
     for (double after = 0;;) {
         double next = -1;
-        for (int i = 0; i < scheduler_settings->n_objectives; i++) {
-            const struct settings_objective *o = &scheduler_settings->objectives[i];
+        for (int i = 0; i < cfg->n_objectives; i++) {
+            const struct settings_objective *o = &cfg->objectives[i];
             if (o->kind == AIM_FINISHED && strcmp(o->job_class, j->spec.job_class) == 0 && o->within_s > after &&
                 (next < 0 || o->within_s < next))
                 next = o->within_s;
@@ -50,8 +49,7 @@
         if (age + j->spec.runtime_s <= next) return j->ready + next;
         after = last = next;
     }
-    if (last <= 0 && scheduler_has_objective(j))
-        return j->ready + settings_within(scheduler_settings, AIM_WAIT, j->spec.job_class, 0);
+    if (last <= 0 && priority_has_objective(j)) return j->ready + settings_within(cfg, AIM_WAIT, j->spec.job_class, 0);
     /* Nobody expects it by a time: it takes turns with what is late for the last of all times. Due at once, a guest's
      * arrays without an aim once kept those with one waiting for 400 s. */
     if (last <= 0) last = longest_aim();
@@ -71,7 +69,7 @@
     return strcmp(x->job->spec.job_id, y->job->spec.job_id);
 }
 
-bool scheduler_has_guarantee(const struct settings_team *t) { return t->cpus > 0 || t->gpus > 0; }
+bool priority_has_guarantee(const struct settings_team *t) { return t->cpus > 0 || t->gpus > 0; }
 
 /* Which jobs are asked for. */
 struct rank_filter {
@@ -92,13 +90,13 @@
         struct job *j = jobs->pdata[i];
         if (j->spec.team < 0 || dependencies_unmet(j)) continue;
         if (filter->team >= 0 && j->spec.team != filter->team) continue;
-        const struct settings_team *t = &scheduler_settings->teams[j->spec.team];
+        const struct settings_team *t = &cfg->teams[j->spec.team];
         int left = quarantine_job_suspect(j) ? allocations_count(j) : j->spec.tasks - j->n_reported_done;
         cpu[j->spec.team] += left * j->spec.vcpus;
         gpu[j->spec.team] += left * j->spec.gpus;
         if (!asked_for(filter, j)) continue;
         struct ranked_job r = {j,
-                               scheduler_has_guarantee(t) && !quarantine_job_suspect(j) &&
+                               priority_has_guarantee(t) && !quarantine_job_suspect(j) &&
                                    (t->cpus <= 0 || cpu[j->spec.team] <= t->cpus + 1e-6) &&
                                    (t->gpus <= 0 || gpu[j->spec.team] <= t->gpus + 1e-6),
                                MIN(due_of(j, now), j->deadline)};
@@ -108,18 +106,16 @@
     return out;
 }
 
-GArray *scheduler_order_jobs(int k) {
+static bool teams_divided;
+
+void priority_set_teams_divided(bool any) { teams_divided = any; }
+
+GArray *priority_order_shard(int shard) {
     /* What is within a divided team's guarantee is decided over all its shards. */
-    return rank_jobs(quota_any_divided() ? jobs_active() : jobs_active_of(k), &(struct rank_filter){k, -1});
+    const GPtrArray *jobs = teams_divided ? jobs_active() : jobs_active_of(shard);
+    return rank_jobs(jobs, &(struct rank_filter){shard, -1});
 }
 
-GArray *scheduler_order_team_jobs(int team) { return rank_jobs(jobs_active(), &(struct rank_filter){-1, team}); }
+GArray *priority_order_team(int team) { return rank_jobs(jobs_active(), &(struct rank_filter){-1, team}); }
 
-int scheduler_missing_tasks(const struct job *j) {
-    int n = j->spec.tasks - j->n_reported_done;
-    for (guint b = 0; b < j->allocations->len; b++) {
-        const struct allocation *x = j->allocations->pdata[b];
-        n -= !x->released && !jobs_bit(j->reported_done, x->task);
-    }
-    return n;
-}
+void priority_init(const struct settings *s) { cfg = s; }
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "../clock/clock.h"
-#include "../cloud/cloud.h"
+#include "../machine_types/machine_types.h"
 
 #define STARTUP_UNKNOWN_S 60.0 /* for a type that promises no time */
 #define PROMISED_TIMES 1.6     /* of the promised time, while few boots were seen */
@@ -71,11 +71,11 @@
 
 bool provisioning_overdue(const struct machine *m) {
     return !m->liveness.up &&
-           clock_time_of_day() - m->created_at > provisioning_expected_s(cloud_machine_type(m->type_name));
+           clock_time_of_day() - m->created_at > provisioning_expected_s(machine_types_find(m->type_name));
 }
 
 double provisioning_give_up_s(const struct machine *m) {
-    return LIMIT_TIMES * startup_of(cloud_machine_type(m->type_name)) + LIMIT_MORE_S;
+    return LIMIT_TIMES * startup_of(machine_types_find(m->type_name)) + LIMIT_MORE_S;
 }
 
 int provisioning_replacements_max(int up) { return MAX(REPLACED_MIN, up / REPLACED_PART); }
--- a/src/quarantine/quarantine.c
+++ b/src/quarantine/quarantine.c
@@ -80,8 +80,3 @@
     /* What its owner knows may be newer than what is on record; all others know no more than the record. */
     if (!membership_owns(jobs_shard(j))) j->failed_tries = j->failed_tries_recorded;
 }
-
-void quarantine_forget_machine(struct machine *m) {
-    if (m->failed_jobs) g_ptr_array_free(m->failed_jobs, TRUE);
-    m->failed_jobs = NULL;
-}
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -34,6 +34,4 @@
 
 /* Pure: seconds until a suspect job is tried again, after so many tries that failed. */
 double quarantine_retry_s(int tries);
-/* Frees what is kept of a machine. */
-void quarantine_forget_machine(struct machine *m);
 #endif
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -13,6 +13,7 @@
 #include "clock/clock.h"
 #include "json/json.h"
 #include "liveness/liveness.h"
+#include "placement/placement.h"
 #include "scheduler/scheduler.h"
 
 enum { MACHINES = 4, JOBS = 3 };
@@ -121,10 +122,10 @@
     begin("batch", 30);
     struct job *j = jobs[0];
     quarantine_record_failure(j, machines[0]);
-    assert_null(allocations_value(j, 0, allocations_chunk_size(j), NULL, false));
+    assert_null(allocations_value(j, 0, chunks_size(j), NULL, false));
     quarantine_record_failure(j, machines[1]);
     assert_true(allocations_chunk_dirty(j, 0));
-    cJSON *value = allocations_value(j, 0, allocations_chunk_size(j), NULL, false);
+    cJSON *value = allocations_value(j, 0, chunks_size(j), NULL, false);
     int64_t tries = 0;
     assert_true(json_get_int64(value, "e", &tries));
     assert_int_equal(tries, 1);
@@ -169,7 +170,7 @@
         liveness_check_machines(0, &all_heard);
         for (int i = 0; rows[r].elsewhere && i < 2; i++) quarantine_record_failure(jobs[i], machines[1]);
         if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[r].s;
-        scheduler_prepare_machines(0);
+        placement_prepare_machines(0);
         bool open = machines[0]->round.schedulable;
         liveness_check_machines(0, &all_heard);
         bool back = machines[0]->retirement.return_wanted;
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -8,8 +8,8 @@
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
 #include "../logging/logging.h"
+#include "../priority/priority.h"
 #include "../quarantine/quarantine.h"
-#include "../scheduler/scheduler.h"
 
 #define DEMANDS_MAX 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
 
@@ -91,9 +91,9 @@
 static int tasks_waiting(const struct job *j) {
     if (clock_seconds_since(j->retry_at) < 0) return 0;
     if (j->spec.kind == JOB_GANG && allocations_count(j) > 0)
-        return scheduler_open_gang_attempt(j) ? scheduler_missing_tasks(j) : 0;
-    return quarantine_job_suspect(j) && j->spec.kind != JOB_GANG ? MIN(scheduler_missing_tasks(j), 1)
-                                                                 : scheduler_missing_tasks(j);
+        return allocations_open_gang_attempt(j) ? allocations_missing_tasks(j) : 0;
+    return quarantine_job_suspect(j) && j->spec.kind != JOB_GANG ? MIN(allocations_missing_tasks(j), 1)
+                                                                 : allocations_missing_tasks(j);
 }
 
 void quota_measure_demand(struct quota_team *t) {
@@ -102,7 +102,7 @@
     struct quota_amount lasting;
     int n = 0;
     count_used(t, &lasting);
-    GArray *order = scheduler_order_team_jobs(t->team);
+    GArray *order = priority_order_team(t->team);
     for (guint i = 0; i < order->len && n < DEMANDS_MAX; i++) {
         const struct job *j = g_array_index(order, struct ranked_job, i).job;
         int waiting = tasks_waiting(j);
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -8,6 +8,7 @@
 
 #include "../logging/logging.h"
 #include "../membership/membership.h"
+#include "../priority/priority.h"
 #include "demand.h"
 
 static int n_divided; /* teams with a record, readable or not */
@@ -44,6 +45,7 @@
         n_divided++;
         if (t->recorded) quota_measure_demand(t);
     }
+    priority_set_teams_divided(n_divided > 0);
 }
 
 static double bound_of(int64_t amount) { return amount == INT64_MAX ? INFINITY : (double)amount / QUOTA_UNIT; }
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -9,25 +9,16 @@
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../logging/logging.h"
+#include "../machine_types/machine_types.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preemption/preemption.h"
+#include "../priority/priority.h"
 #include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
-#include "../scheduler/scheduler.h"
 
 static const struct settings *cfg;
 
-/* An ordinary machine whose tasks would all make way. */
-bool rebalancing_possible(const struct machine *m) {
-    if (m->spot || machines_leaving(m) || m->liveness.preemption_notice_s >= 0 || !m->address[0]) return false;
-    for (guint b = 0; b < m->allocations->len; b++) {
-        const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
-        if (!s->allows_spot || s->kind != JOB_ARRAY) return false;
-    }
-    return true;
-}
-
 /* Not in a round that allocates on it or releases from it: the plan is not in its list yet. A machine was once passed
  * together with a task of its old shard's, which then counted nowhere against the team's limit. */
 bool rebalancing_allowed(const struct machine *m) {
@@ -46,7 +37,7 @@
 
 /* Nothing fits beside what is allocated: most machines of a busy shard, not worth a closer look. */
 static bool full(const struct machine *m) {
-    const struct machine_type *f = cloud_machine_type(m->type_name);
+    const struct machine_type *f = machine_types_find(m->type_name);
     double cpu = 0, gpu = 0;
     for (guint b = 0; f && b < m->allocations->len; b++) {
         const struct allocation *x = m->allocations->pdata[b];
@@ -91,16 +82,16 @@
         }
     }
     struct job *found = NULL;
-    GArray *order = scheduler_order_jobs(s);
+    GArray *order = priority_order_shard(s);
     for (guint i = 0; i < order->len && !found; i++) {
         struct job *j = g_array_index(order, struct ranked_job, i).job;
         if (j->spec.allows_spot != reclaimable || quarantine_job_suspect(j) ||
             clock_seconds_since(j->eligible_since) < 0.4)
             continue;
         /* A dear machine that nobody needs is given back rather than kept for work that nobody expects by a time. */
-        if (reclaimable && !scheduler_has_objective(j)) continue;
+        if (reclaimable && !priority_has_objective(j)) continue;
         const struct settings_team *t = &cfg->teams[j->spec.team];
-        int left = scheduler_missing_tasks(j), tasks = j->spec.kind == JOB_ARRAY ? 1 : left;
+        int left = allocations_missing_tasks(j), tasks = j->spec.kind == JOB_ARRAY ? 1 : left;
         if (left <= 0 || !quota_waits_for_machines(j, tasks) ||
             (t->gpus_max > 0 && preemption_over_guarantee(j->spec.team) + t->gpus + tasks * j->spec.gpus > t->gpus_max))
             continue;
@@ -128,7 +119,7 @@
  * in a shard that has few machines: it waited there for ever, though within its guarantee, while the shard that had
  * them all had work beyond its guarantees waiting. */
 static bool own_guarantee_first(int k, const struct job *j) {
-    GArray *order = scheduler_order_jobs(k);
+    GArray *order = priority_order_shard(k);
     bool first = false;
     for (guint i = 0; i < order->len && !first; i++) {
         const struct ranked_job *o = &g_array_index(order, struct ranked_job, i);
@@ -141,7 +132,7 @@
 /* The machine of shard K that is easiest to spare for the job: an empty one, else one whose tasks may all be stopped
  * for it. */
 static struct machine *donation(int k, const struct job *j, bool within) {
-    struct machine *best = NULL, *reception = scheduler_reception(k);
+    struct machine *best = NULL, *reception = placement_reception(k);
     double best_cost = 0;
     const char *site = placement_zone(j);
     bool claims = within && quota_divided(j->spec.team);
--- a/src/rebalancing/rebalancing.h
+++ b/src/rebalancing/rebalancing.h
@@ -7,6 +7,5 @@
 
 void rebalancing_init(const struct settings *s);
 void rebalancing_plan(int k);
-bool rebalancing_possible(const struct machine *m);
 bool rebalancing_allowed(const struct machine *m); /* in this round */
 #endif
--- a/src/scheduler/commit_jobs.c
+++ b/src/scheduler/commit_jobs.c
@@ -72,7 +72,7 @@
 /* Writes all records of a job in a new chunk size, in one transaction: each names it, and one with nothing to keep
  * stands as well, so that what the old records said of its tasks is replaced. */
 static void write_new_stretch(struct scheduling_round *r, struct job *j, int chunk_size) {
-    int chunks = allocations_chunks_of_size(j, chunk_size);
+    int chunks = chunks_count_of_size(j, chunk_size);
     struct store_txn *t = scheduling_round_txn(r, chunks, chunks + 1);
     for (int c = 0; c < chunks; c++) {
         cJSON *value = allocations_value(j, c, chunk_size, r->plans, false);
@@ -100,12 +100,12 @@
     if (scheduling_round_rejected_lately(key)) return;
     int chunk_size = allocations_next_chunk_size(j);
     if (j->n_recorded_chunks == 0) jobs_set_chunk_size(j, chunk_size);
-    if (chunk_size != allocations_chunk_size(j) && !final && keeps_allocations(r, j)) {
+    if (chunk_size != chunks_size(j) && !final && keeps_allocations(r, j)) {
         write_new_stretch(r, j, chunk_size);
         return;
     }
-    chunk_size = allocations_chunk_size(j);
-    int chunks = allocations_chunks(j);
+    chunk_size = chunks_size(j);
+    int chunks = chunks_count(j);
     uint8_t *need = g_malloc0((gsize)chunks + 1);
     for (int c = 0; j->chunk_flags && c < chunks; c++)
         need[c] = (j->chunk_flags[c] & 2) != 0 || (final && (j->chunk_flags[c] & 1));
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -12,6 +12,7 @@
 #include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../dependencies/dependencies.h"
+#include "../events/events.h"
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../liveness/liveness.h"
@@ -23,7 +24,6 @@
 #include "../quota/quota.h"
 #include "../rebalancing/rebalancing.h"
 #include "../sync/sync.h"
-#include "../workers/workers.h"
 #include "round.h"
 
 const struct settings *scheduler_settings;
@@ -36,52 +36,7 @@
 
 static struct sync_wakeup wakeup;
 
-void scheduler_wake(void) { sync_wakeup_signal(&wakeup); }
-
-struct machine *scheduler_reception(int k) {
-    struct machine *best = NULL;
-    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
-        struct machine *m = machines_of_shard(k)->pdata[i];
-        if (m->spot || machines_leaving(m) || !m->liveness.up || m->liveness.preemption_notice_s >= 0) continue;
-        if (!best || m->created_at < best->created_at ||
-            (m->created_at == best->created_at && strcmp(m->id, best->id) < 0))
-            best = m;
-    }
-    return best;
-}
-
-void scheduler_prepare_machines(int k) {
-    double quiet = clock_to_seconds(scheduler_settings->heartbeat_interval) * 2 + 1;
-    for (guint i = 0; i < machines_of_shard(k)->len; i++) {
-        struct machine *m = machines_of_shard(k)->pdata[i];
-        if (!machines_owned(m)) continue;
-        if (!m->type) m->type = cloud_machine_type(m->type_name);
-        m->round.dirty = m->round.leaves_page = false;
-        m->round.next_token = 0;
-        m->round.next_page = -1;
-        m->round.occupancy = placement_occupancy(m, (int)scheduler_settings->tuning.window);
-        m->round.used_vcpus = m->round.used_gpus = m->round.used_memory_gb = 0;
-        m->round.used_tasks = 0;
-        for (guint b = 0; b < m->allocations->len; b++) {
-            struct allocation *x = m->allocations->pdata[b];
-            if (x->released) {
-                m->round.dirty = true;
-                continue;
-            }
-            m->round.used_vcpus += x->job->spec.vcpus;
-            m->round.used_gpus += x->job->spec.gpus;
-            m->round.used_memory_gb += x->job->spec.memory_gb;
-            m->round.used_tasks++;
-        }
-        m->round.schedulable = m->liveness.up && m->page >= 0 && m->type && !machines_leaving(m) &&
-                               !m->retirement.draining && m->rebalance.to < 0 && m->liveness.preemption_notice_s < 0 &&
-                               !m->commands.needs_token_raise && !m->commands.outcome_unknown &&
-                               m->liveness.ignored_responses == 0 && !quarantine_machine_faulty(m) &&
-                               m->agent.seen_token >= machines_fencing_token(m) &&
-                               clock_seconds_since(m->liveness.last_heartbeat) < quiet &&
-                               m->allocations->len < MACHINE_TASKS_MAX && !liveness_zone_unreachable(k, m->zone);
-    }
-}
+static void wake(void) { sync_wakeup_signal(&wakeup); }
 
 static int longest_touched(gconstpointer a, gconstpointer b) {
     const struct job *x = *(struct job *const *)a, *y = *(struct job *const *)b;
@@ -102,7 +57,7 @@
 
 static void plan_round(struct scheduling_round *r) {
     int k = r->shard;
-    scheduler_prepare_machines(k);
+    placement_prepare_machines(k);
     r->first = shard_states[k].fencing_token * 1048576 + shard_states[k].next;
     /* Completions are what users wait for, those first that other jobs wait for; then starts; then what else is known,
      * longest first. */
@@ -294,7 +249,7 @@
          * anything for minutes, because what stood behind the raise was dropped with it. */
         if (rc != STORE_OK && rc != STORE_CONFLICT && rc != STORE_INVALID) break;
     }
-    workers_wake();
+    events_publish(EVENT_DISPATCH);
     again |= (r && r->more) || (mine && left < LEAST_CHANGES);
     if (r) scheduler_round_free(r);
     return again;
@@ -339,10 +294,10 @@
                     if (membership_owns(k)) scale_in_log_status(k);
             }
             store_unlock();
-            workers_wake();
+            events_publish(EVENT_DISPATCH);
         }
         clock_sleep(clock_from_seconds(0.03));
-        if (again) scheduler_wake();
+        if (again) wake();
     }
     return NULL;
 }
@@ -350,6 +305,7 @@
 void scheduler_init(const struct settings *s) {
     scheduler_settings = s;
     sync_wakeup_init(&wakeup);
+    events_subscribe(EVENT_SCHEDULE, wake);
 }
 
 void scheduler_start(void) { sync_start_thread(scheduler_main, NULL); }
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -11,6 +11,7 @@
 #include "../clock/clock.h"
 #include "../logging/logging.h"
 #include "../preemption/preemption.h"
+#include "../priority/priority.h"
 #include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "round.h"
@@ -52,23 +53,6 @@
     return false;
 }
 
-/* The attempt of a gang that has not started and whose remaining tasks were all just reported as fetching or waiting;
- * 0 otherwise. Such a gang can be completed under the same attempt. */
-int64_t scheduler_open_gang_attempt(const struct job *j) {
-    int64_t attempt = 0;
-    for (guint b = 0; b < j->allocations->len; b++) {
-        const struct allocation *x = j->allocations->pdata[b];
-        if (x->released) return 0; /* on record still, perhaps on the very machine that would be picked */
-        if (attempt && x->attempt != attempt) return 0;
-        attempt = x->attempt;
-        if (x->stop_requested || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
-        if (clock_seconds_since(x->machine->liveness.last_heartbeat) >
-            clock_to_seconds(scheduler_settings->heartbeat_interval) * 1.25 + 1)
-            return 0;
-    }
-    return attempt;
-}
-
 static bool holds_ended(const struct machine *m, const char *job_id, int task, int64_t attempt) {
     char name[96];
     snprintf(name, sizeof name, "%s/%d", job_id, task);
@@ -82,7 +66,7 @@
 /* Replaces what a gang lost before its start, so that the others need not fetch and wait again. */
 static bool replace_gang_tasks(struct scheduling_round *r, struct job *j, GPtrArray *mine,
                                const struct placement_rules *rules, struct team_usage *u) {
-    int64_t attempt = scheduler_open_gang_attempt(j);
+    int64_t attempt = allocations_open_gang_attempt(j);
     int missing = j->spec.tasks - allocations_count(j);
     if (!attempt || !preemption_quota_left(&u[j->spec.team], j, missing)) return false;
     guint from = r->plans->len;
@@ -305,18 +289,18 @@
 
 /* Of a job that fails wherever it runs one task at a time is tried, or the gang that it is. */
 static int tasks_to_place(const struct job *j) {
-    int missing = scheduler_missing_tasks(j);
+    int missing = allocations_missing_tasks(j);
     if (!quarantine_job_suspect(j) || j->spec.kind == JOB_GANG) return missing;
     return allocations_count(j) > 0 ? 0 : MIN(missing, 1);
 }
 
 void scheduling_round_plan_jobs(struct scheduling_round *r, int k) {
-    GArray *order = scheduler_order_jobs(k);
+    GArray *order = priority_order_shard(k);
     GPtrArray *mine = machines_of_shard(k);
     struct team_usage u[SETTINGS_TEAMS];
     memset(u, 0, sizeof u);
     struct placement_rules rules = {scheduler_settings->tuning.reception, scheduler_settings->tuning.admission,
-                                    scheduler_reception(k)};
+                                    placement_reception(k)};
     count_usage(k, u);
     quota_refresh();
     preemption_refresh();
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -17,6 +17,7 @@
 #include "membership/membership.h"
 #include "placement/placement.h"
 #include "preemption/preemption.h"
+#include "priority/priority.h"
 #include "rebalancing/rebalancing.h"
 #include "workers/workers.h"
 
@@ -366,7 +367,7 @@
         expected->spec.job_class = g_strdup("expected");
         plain->n_reported_done = 1; /* it has begun */
         (void)m;
-        GArray *order = scheduler_order_jobs(0);
+        GArray *order = priority_order_shard(0);
         bool first = g_array_index(order, struct ranked_job, 0).job == expected;
         g_array_free(order, TRUE);
         owned_clear();
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -159,7 +159,7 @@
     settle("a wide record");
     assert_int_equal(allocations_count(j), WIDE - 5);
     assert_int_equal(j->n_done, 5);
-    assert_int_equal(allocations_chunk_size(j), 72);
+    assert_int_equal(chunks_size(j), 72);
     assert_int_equal(j->n_recorded_chunks, 3);
     assert_int_equal(j->n_dirty_chunks, 0);
     end_allocations(j, 1);
--- a/src/schema_version/schema_version.c
+++ b/src/schema_version/schema_version.c
@@ -77,6 +77,11 @@
     return true;
 }
 
+static bool store_unreadable;
+
+void schema_version_mark_store_unreadable(void) { store_unreadable = true; }
+bool schema_version_store_unreadable(void) { return store_unreadable; }
+
 void schema_version_init(const struct settings *s) {
     cfg = s;
     store_observe_prefix("format/", apply_format);
--- a/src/schema_version/schema_version.h
+++ b/src/schema_version/schema_version.h
@@ -24,6 +24,9 @@
 bool schema_version_active(void);
 /* Whether every controller's latest record says that it reads, and its settings ask for, divided teams. */
 bool schema_version_divided_quota(void);
+/* The store holds records of a layout that this version does not read: no shard may be taken. */
+void schema_version_mark_store_unreadable(void);
+bool schema_version_store_unreadable(void);
 /* Adds the record of our own version to the transaction; false if it is on record already. */
 bool schema_version_announce(struct store_txn *t);
 #endif
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -18,10 +18,13 @@
 #include "../liveness/liveness.h"
 #include "../liveness/process_pause.h"
 #include "../logging/logging.h"
+#include "../machine_types/machine_types.h"
 #include "../machines/machines.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
+#include "../placement/placement.h"
 #include "../preemption/preemption.h"
+#include "../priority/priority.h"
 #include "../quota/quota.h"
 #include "../rebalancing/rebalancing.h"
 #include "../scheduler/scheduler.h"
@@ -60,15 +63,22 @@
     api_init(s);
     dependencies_init(s);
     workers_init(s);
+    machine_types_init();
     cloud_init(s);
     machines_init(s);
     allocations_init(s);
+    priority_init(s);
+    placement_init(s);
     scheduler_init(s);
     preemption_init(s);
     rebalancing_init(s);
     scale_out_init(s);
     scale_in_init(s);
     liveness_init(s);
+    membership_add_announcement(quota_announce);
+    membership_add_announcement(schema_version_announce);
+    membership_set_worker_probe(liveness_probe_workers);
+    cloud_set_planner((struct cloud_planner){scale_out_plan, scale_in_plan_returns});
 }
 
 /* The platform's limit is the one to keep to: the process's own may be far lower by default. */
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -10,6 +10,7 @@
 #include "../../tests/standin/fleet.h"
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
+#include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "cloud/cloud.h"
 #include "http/client.h"
@@ -272,7 +273,7 @@
         j.allocations = g_ptr_array_new();
         g_ptr_array_add(j.allocations, &a);
         g_ptr_array_add(j.allocations, &b);
-        assert_int_equal(scheduler_open_gang_attempt(&j), rows[i].want);
+        assert_int_equal(allocations_open_gang_attempt(&j), rows[i].want);
         g_ptr_array_free(j.allocations, TRUE);
     }
 }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -9,11 +9,11 @@
 #include <time.h>
 
 #include "../clock/clock.h"
+#include "../events/events.h"
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../membership/membership.h"
-#include "../scheduler/scheduler.h"
 #include "../sync/sync.h"
 #include "internal.h"
 
@@ -26,7 +26,7 @@
 const struct settings *workers_settings;
 static struct sync_wakeup wakeup;
 
-void workers_wake(void) { sync_wakeup_signal(&wakeup); }
+static void wake(void) { sync_wakeup_signal(&wakeup); }
 
 struct job_queue {
     pthread_mutex_t lock;
@@ -238,7 +238,7 @@
             inspect(c, l);
         else
             send_directives(c, l);
-        if (l->body && q == &probes) workers_wake();
+        if (l->body && q == &probes) wake();
         command_free(l);
     }
     return NULL;
@@ -306,6 +306,7 @@
 void workers_init(const struct settings *s) {
     workers_settings = s;
     sync_wakeup_init(&wakeup);
+    events_subscribe(EVENT_DISPATCH, wake);
     struct job_queue *const queues[] = {&outbox, &probes};
     for (int i = 0; i < 2; i++) {
         pthread_mutex_init(&queues[i]->lock, NULL);
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -5,11 +5,11 @@
 #include <stdio.h>
 #include <string.h>
 
+#include "../events/events.h"
 #include "../http/server.h"
 #include "../json/json.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
-#include "../scheduler/scheduler.h"
 #include "internal.h"
 
 static void go_elsewhere(struct http_request *r, const char *master) {
@@ -99,7 +99,7 @@
         machines_fencing_token(m) <= m->commands.unknown_token) {
         /* A command may still be on its way: this machine's lease is renewed under a higher token only. */
         m->commands.needs_token_raise = true;
-        scheduler_wake();
+        events_publish(EVENT_SCHEDULE);
         http_reply(r, 503, NULL, 1);
         return;
     }
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -7,11 +7,11 @@
 #include <string.h>
 
 #include "../clock/clock.h"
+#include "../events/events.h"
 #include "../json/json.h"
 #include "../logging/logging.h"
 #include "../provisioning/provisioning.h"
 #include "../quarantine/quarantine.h"
-#include "../scheduler/scheduler.h"
 #include "internal.h"
 
 #define BOOKINGS_MAX 256 /* of a machine */
@@ -106,7 +106,7 @@
     if (is_heartbeat && clock_seconds_since(m->commands.last_probe) > PROBE_S) {
         m->commands.last_probe = clock_now();
         m->commands.needs_token_probe = m->commands.wake = true;
-        workers_wake();
+        events_publish(EVENT_DISPATCH);
     }
     workers_list_cancelled(m, heartbeat);
 }
@@ -256,6 +256,6 @@
      * knows what runs as soon as it has asked; waiting for reports took 20 s after a cut. */
     bool proves = is_heartbeat || m->commands.start_incarnation < incarnation;
     if (proves) change |= release_absent(m, listed);
-    if (change) scheduler_wake();
+    if (change) events_publish(EVENT_SCHEDULE);
     return true;
 }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -9,7 +9,6 @@
 
 void workers_init(const struct settings *s);
 void workers_start(void);
-void workers_wake(void);
 bool workers_route(struct http_request *r);
 bool workers_may_proxy(const struct machine *m); /* with store_lock held: answer for an owner that the zone lost */
 bool workers_start_in_doubt(const struct machine *m, const cJSON *heartbeat);
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -120,7 +120,7 @@
         g_array_append_val(plans, p);
     }
     char key[96];
-    cJSON *v = allocations_value(j, 0, allocations_chunk_size(j), plans, false);
+    cJSON *v = allocations_value(j, 0, chunks_size(j), plans, false);
     allocations_key(j, 0, key, sizeof key);
     store_apply(key, v, owned_next_stamp());
     cJSON_Delete(v);
@@ -143,7 +143,7 @@
         g_snprintf(key, sizeof key, "job/%s", j->spec.job_id);
         owned_put(key, text);
         g_free(text);
-        for (int c = 0; c < allocations_chunks(j); c++) {
+        for (int c = 0; c < chunks_count(j); c++) {
             allocations_key(j, c, key, sizeof key);
             owned_put(key, NULL);
         }
