--- a/lint/layers_test.sh
+++ b/lint/layers_test.sh
@@ -80,6 +80,11 @@
 echo 'low' >>"$root/lint/layers.conf"
 expect_fail "a package listed twice" "lint/layers.conf:6: low is listed twice"
 
+fresh_tree
+echo 'other names' >>"$root/lint/layers.conf"
+mkdir "$root/src/other"
+expect_fail "two names on a line" "lint/layers.conf:6: not one package: other names"
+
 fresh_tree
 echo '#include "inner.h"' >>"$root/src/low/low.h"
 echo '#include "low.h"' >"$root/src/low/inner.h"
