--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -177,13 +177,19 @@
     size_t offset;
     bool span;
 };
-#define FIELD(f, lo, hi, sp) \
-    { #f, lo, hi, offsetof(struct settings_tuning, f), sp }
+#define FIELD(name, member, lo, hi, sp) \
+    { name, lo, hi, offsetof(struct settings_tuning, member), sp }
 static const struct tuning_field tuning_fields[] = {
-    FIELD(reception, 0, 1, false),      FIELD(admission, 0.05, 1.01, false), FIELD(margin, 0.5, 20, false),
-    FIELD(window, 1, 60, false),        FIELD(drain_reopen, 5, 3600, true),  FIELD(silent_return, 2, 3600, true),
-    FIELD(node_lease, 1, 60, true),     FIELD(watch_gap, 0, 5, true),        FIELD(machines_per_shard, 1, 10000, false),
-    FIELD(dear_backlog, 0, 100, false),
+    FIELD("reception", reception, 0, 1, false),
+    FIELD("admission", admission, 0.05, 1.01, false),
+    FIELD("margin", margin, 0.5, 20, false),
+    FIELD("window", window, 1, 60, false),
+    FIELD("drain_reopen", drain_reopen, 5, 3600, true),
+    FIELD("silent_return", silent_return, 2, 3600, true),
+    FIELD("node_lease", node_lease, 1, 60, true),
+    FIELD("watch_gap", watch_gap, 0, 5, true),
+    FIELD("machines_per_share", machines_per_shard, 1, 10000, false),
+    FIELD("dear_backlog", dear_backlog, 0, 100, false),
 };
 
 /* HCL's `name = value` lines, read by libconfig: no HCL reader is packaged for C, and this is its nearest kin. */
