--- a/src/service/service_meetings_test.c
+++ b/tests/cluster/compound_failures_test.c
@@ -1,4 +1,4 @@
-/* Meetings of troubles, two real controllers against stand-ins: docs/meetings.md says which is which. One row a run:
+/* Combinations of failures, two real controllers against stand-ins: docs/compound-failures.md says which is which. One row a run:
  * the stand-ins begin from nothing. Every row ends with what holds for all: no task ever on two machines. */
 #include <glib.h>
 #include <pthread.h>
@@ -7,10 +7,11 @@
 #include <string.h>
 #include <time.h>
 
-#include "../../tests/standin/fleet.h"
-#include "../../tests/standin/pair.h"
-#include "../../tests/standin/site.h"
-#include "../../tests/standin/state.h"
+#include "../standin/cases.h"
+#include "../standin/fleet.h"
+#include "../standin/pair.h"
+#include "../standin/site.h"
+#include "../standin/state.h"
 #include "clock/clock.h"
 
 static char last_state[32];
@@ -367,25 +368,25 @@
 }
 
 static const struct {
-    const char *what;
+    const char *name;
     void (*bring_about)(void);
     int leader;
 } rows[] = {
-    {"mute", mute, 0},
-    {"slow store", slow_store, 0},
-    {"ends far apart", ends_apart, 0},
-    {"held commands", held_commands, 0},
-    {"a zone cut off", zone_cut, 0},
-    {"at the end", at_the_end, 0},
-    {"a team at its limit", at_the_limit, 0},
-    {"a cut leader is asked", cut_leader_asked, 0},
-    {"deaf at a takeover", deaf_at_takeover, 0},
-    {"ten leaders", ten_leaders, 0},
-    {"late transactions", late_transactions, 0},
-    {"late reports", late_reports, 0},
-    {"all away", all_away, 0},
-    {"a stop not obeyed", stop_not_obeyed, 0},
-    {"a machine that no record names", unrecorded_machine, 0},
+    {"machine_cannot_report", mute, 0},
+    {"slow_store", slow_store, 0},
+    {"tasks_end_far_apart", ends_apart, 0},
+    {"delayed_commands", held_commands, 0},
+    {"zone_partition", zone_cut, 0},
+    {"cancel_at_completion", at_the_end, 0},
+    {"team_at_its_limit", at_the_limit, 0},
+    {"partitioned_leader_is_polled", cut_leader_asked, 0},
+    {"machine_deaf_at_failover", deaf_at_takeover, 0},
+    {"ten_leader_changes", ten_leaders, 0},
+    {"delayed_transactions", late_transactions, 0},
+    {"delayed_heartbeats", late_reports, 0},
+    {"all_controllers_down", all_away, 0},
+    {"stop_not_obeyed", stop_not_obeyed, 0},
+    {"machine_without_record", unrecorded_machine, 0},
 };
 static size_t row;
 
@@ -399,10 +400,10 @@
 }
 
 int main(int argc, char **argv) {
-    row = argc > 2 ? (size_t)atoi(argv[2]) : 0;
-    if (row >= G_N_ELEMENTS(rows) || argc < 2 || !pair_start(argv[1])) return 2;
+    if (cases_are_listed(argc, argv)) return cases_compare(CASES(rows), argc, argv);
+    if (argc < 3 || !cases_find(CASES(rows), argv[2], &row) || !pair_start(argv[1])) return 2;
     standin_cloud_willing();
-    const struct CMUnitTest tests[] = {{rows[row].what, meeting, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, meeting, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     pair_clear();
     return rc;
--- a/src/service/service_stall_test.c
+++ b/tests/cluster/controller_pause_test.c
@@ -10,25 +10,26 @@
 #include <string.h>
 #include <time.h>
 
-#include "../../tests/standin/fleet.h"
-#include "../../tests/standin/pair.h"
-#include "../../tests/standin/site.h"
-#include "../../tests/standin/state.h"
+#include "../standin/cases.h"
+#include "../standin/fleet.h"
+#include "../standin/pair.h"
+#include "../standin/site.h"
+#include "../standin/state.h"
 #include "clock/clock.h"
 #include "sync/sync.h"
 
 static const struct {
-    const char *what;
+    const char *name;
     int leader;
     double stood_s;
     double outage_s; /* of the store, from the stop on; 0: none */
     bool again;      /* it stops a second time, right after the first */
 } rows[] = {
-    {"for less than its lease in the store", 0, 1.5, 0, false},
-    {"for longer, and it leads", 0, 6, 0, false},
-    {"for longer than cancel_s, another leads", 1, PAIR_CANCEL_S + 2, 0, false},
-    {"the store is out over the end of it", 0, 4, 6, false},
-    {"twice in a row", 0, 5, 0, true},
+    {"shorter_than_lease", 0, 1.5, 0, false},
+    {"longer_than_lease_as_leader", 0, 6, 0, false},
+    {"longer_than_cancel_deadline", 1, PAIR_CANCEL_S + 2, 0, false},
+    {"store_outage_at_resume", 0, 4, 6, false},
+    {"paused_twice", 0, 5, 0, true},
 };
 static size_t row;
 
@@ -126,10 +127,10 @@
 }
 
 int main(int argc, char **argv) {
-    row = argc > 2 ? (size_t)atoi(argv[2]) : 0;
-    if (row >= G_N_ELEMENTS(rows) || argc < 2 || !pair_start(argv[1])) return 2;
+    if (cases_are_listed(argc, argv)) return cases_compare(CASES(rows), argc, argv);
+    if (argc < 3 || !cases_find(CASES(rows), argv[2], &row) || !pair_start(argv[1])) return 2;
     standin_cloud_willing();
-    const struct CMUnitTest tests[] = {{rows[row].what, stall, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, stall, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     pair_clear();
     return rc;
--- a/src/service/service_chains_test.c
+++ b/tests/cluster/dependency_failures_test.c
@@ -9,10 +9,11 @@
 #include <string.h>
 #include <time.h>
 
-#include "../../tests/standin/fleet.h"
-#include "../../tests/standin/pair.h"
-#include "../../tests/standin/site.h"
-#include "../../tests/standin/state.h"
+#include "../standin/cases.h"
+#include "../standin/fleet.h"
+#include "../standin/pair.h"
+#include "../standin/site.h"
+#include "../standin/state.h"
 #include "clock/clock.h"
 
 #define STAGE_S 20.0 /* by when a stage has followed the one before it, whatever happened */
@@ -216,16 +217,16 @@
 }
 
 static const struct {
-    const char *what;
+    const char *name;
     void (*run)(void);
 } rows[] = {
-    {"named a moment after the other accepted it", named_at_once},
-    {"the end meets a cancellation and a submission", end_meets_cancel},
-    {"the owner ends between two stages", ends_in_between},
-    {"the same with late writes and commands", ends_with_late_writes},
-    {"cancelled, then an outage", outage_after_cancel},
-    {"and the one that confirmed ends", outage_and_confirmer_ends},
-    {"an unknown name in an outage", unknown_in_outage},
+    {"prerequisite_just_accepted_elsewhere", named_at_once},
+    {"completion_meets_cancellation", end_meets_cancel},
+    {"owner_ends_between_stages", ends_in_between},
+    {"owner_ends_with_delayed_writes", ends_with_late_writes},
+    {"cancelled_then_store_outage", outage_after_cancel},
+    {"confirming_controller_ends_in_outage", outage_and_confirmer_ends},
+    {"unknown_prerequisite_in_outage", unknown_in_outage},
 };
 static size_t row;
 
@@ -236,10 +237,10 @@
 }
 
 int main(int argc, char **argv) {
-    row = argc > 2 ? (size_t)atoi(argv[2]) : 0;
-    if (row >= G_N_ELEMENTS(rows) || argc < 2 || !pair_start(argv[1])) return 2;
+    if (cases_are_listed(argc, argv)) return cases_compare(CASES(rows), argc, argv);
+    if (argc < 3 || !cases_find(CASES(rows), argv[2], &row) || !pair_start(argv[1])) return 2;
     standin_cloud_willing();
-    const struct CMUnitTest tests[] = {{rows[row].what, meeting, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, meeting, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     pair_clear();
     return rc;
--- a/src/service/service_quota_test.c
+++ b/tests/cluster/divided_teams_test.c
@@ -9,11 +9,12 @@
 #include <string.h>
 #include <time.h>
 
-#include "../../tests/standin/cluster.h"
-#include "../../tests/standin/fleet.h"
-#include "../../tests/standin/history.h"
-#include "../../tests/standin/site.h"
-#include "../../tests/standin/state.h"
+#include "../standin/cases.h"
+#include "../standin/cluster.h"
+#include "../standin/fleet.h"
+#include "../standin/history.h"
+#include "../standin/site.h"
+#include "../standin/state.h"
 #include "clock/clock.h"
 
 #define CONTROLLERS 3
@@ -379,29 +380,29 @@
 }
 
 static const struct row {
-    const char *what;
+    const char *name;
     void (*bring_about)(void);
     bool halted; /* the third controller begins without the file */
 } rows[] = {
-    {"a burst at every controller", burst, false},
-    {"an owner ends", owner_ends, false},
-    {"an owner is back in a fraction of a second", owner_is_back, false},
-    {"an owner stands still past its lease", owner_stands_still, false},
-    {"an owner is cut from store and peers", owner_is_cut, false},
-    {"the store refuses one owner", owner_is_refused, false},
-    {"transactions come late", transactions_late, false},
-    {"the store is out over transfers", store_out, false},
-    {"two gangs of more than half", two_gangs, false},
-    {"a gang and a flood", gang_and_flood, false},
-    {"a deaf machine", machine_is_deaf, false},
-    {"a machine that hangs", machine_hangs, false},
-    {"held commands", commands_are_held, false},
-    {"a team below its guarantee", one_team_below, false},
-    {"two teams below theirs", two_teams_below, false},
-    {"a limit lowered under load", limit_lowered, false},
-    {"controllers with different files", files_differ, false},
-    {"a division halted half-way", halted, true},
-    {"a division taken back", taken_back, false},
+    {"burst_at_every_controller", burst, false},
+    {"owner_ends", owner_ends, false},
+    {"owner_restarts_at_once", owner_is_back, false},
+    {"owner_paused_past_lease", owner_stands_still, false},
+    {"owner_cut_from_store_and_peers", owner_is_cut, false},
+    {"store_refuses_one_owner", owner_is_refused, false},
+    {"delayed_transactions", transactions_late, false},
+    {"store_outage_during_rebalance", store_out, false},
+    {"two_gangs_over_half", two_gangs, false},
+    {"gang_against_flood", gang_and_flood, false},
+    {"deaf_machine", machine_is_deaf, false},
+    {"hanging_machine", machine_hangs, false},
+    {"delayed_commands", commands_are_held, false},
+    {"team_below_guarantee", one_team_below, false},
+    {"two_teams_below_guarantee", two_teams_below, false},
+    {"limit_lowered_under_load", limit_lowered, false},
+    {"differing_settings", files_differ, false},
+    {"division_halted_midway", halted, true},
+    {"division_reverted", taken_back, false},
 };
 static size_t row;
 
@@ -449,11 +450,12 @@
 int main(int argc, char **argv) {
     static const struct cluster_site site = {
         .controllers = CONTROLLERS, .shards = 3, .teams = {TEAMS}, .first_sees_no_peer = true};
-    row = argc > 2 ? (size_t)atoi(argv[2]) : 0;
+    if (cases_are_listed(argc, argv)) return cases_compare(CASES(rows), argc, argv);
+    if (argc < 3 || !cases_find(CASES(rows), argv[2], &row)) return 2;
     production = argc > 3 ? argv[3] : NULL;
-    if (row >= G_N_ELEMENTS(rows) || argc < 2 || !cluster_start(argv[1], &site)) return 2;
+    if (!cluster_start(argv[1], &site)) return 2;
     standin_cloud_willing();
-    const struct CMUnitTest tests[] = {{rows[row].what, quota, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, quota, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     cluster_clear();
     return rc;
--- a/src/service/service_upgrade_test.c
+++ b/tests/cluster/rolling_upgrade_test.c
@@ -9,10 +9,11 @@
 #include <string.h>
 #include <time.h>
 
-#include "../../tests/standin/fleet.h"
-#include "../../tests/standin/pair.h"
-#include "../../tests/standin/site.h"
-#include "../../tests/standin/state.h"
+#include "../standin/cases.h"
+#include "../standin/fleet.h"
+#include "../standin/pair.h"
+#include "../standin/site.h"
+#include "../standin/state.h"
 #include "clock/clock.h"
 
 #define NEXT_LIMITS "{\"write_rps\":400,\"value_kb\":1,\"txn_ops\":4}"
@@ -32,20 +33,20 @@
     LATE_WRITES,   /* transactions come late */
 };
 static const struct {
-    const char *what;
+    const char *name;
     int first; /* which controller is upgraded first */
     enum trouble trouble;
     bool limits_at_once; /* they fall right after the last upgrade, before anything was written anew */
 } rows[] = {
-    {"nothing else happens", 0, NOTHING, false},
-    {"the other first", 1, NOTHING, true},
-    {"the old one is back in a fraction of a second", 0, OLD_CRASHES, false},
-    {"the new one ends: shares pass back to the old", 0, NEW_CRASHES, true},
-    {"both end in the middle", 1, BOTH_END, true},
-    {"cancelled at the new one", 0, CANCEL_AT_NEW, false},
-    {"cancelled at the old one", 0, CANCEL_AT_OLD, true},
-    {"the store is out in the middle", 1, OUTAGE, true},
-    {"transactions come late", 0, LATE_WRITES, false},
+    {"undisturbed", 0, NOTHING, false},
+    {"second_controller_first", 1, NOTHING, true},
+    {"old_controller_restarts", 0, OLD_CRASHES, false},
+    {"upgraded_controller_ends", 0, NEW_CRASHES, true},
+    {"both_end_midway", 1, BOTH_END, true},
+    {"cancelled_at_upgraded", 0, CANCEL_AT_NEW, false},
+    {"cancelled_at_old", 0, CANCEL_AT_OLD, true},
+    {"store_outage_midway", 1, OUTAGE, true},
+    {"delayed_transactions", 0, LATE_WRITES, false},
 };
 static size_t row;
 static const char *old_program, *new_program;
@@ -232,14 +233,14 @@
 }
 
 int main(int argc, char **argv) {
-    row = argc > 3 ? (size_t)atoi(argv[3]) : 0;
-    if (argc < 3 || row >= G_N_ELEMENTS(rows)) return 2;
+    if (cases_are_listed(argc, argv)) return cases_compare(CASES(rows), argc, argv);
+    if (argc < 4 || !cases_find(CASES(rows), argv[2], &row)) return 2;
     new_program = argv[1];
-    old_program = argv[2];
+    old_program = argv[3];
     pair_next_limits(NEXT_LIMITS);
     if (!pair_start(new_program)) return 2;
     standin_cloud_willing();
-    const struct CMUnitTest tests[] = {{rows[row].what, upgrade, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, upgrade, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     pair_clear();
     return rc;
--- a/src/service/service_gap_test.c
+++ b/tests/cluster/store_partition_test.c
@@ -9,17 +9,18 @@
 #include <string.h>
 #include <time.h>
 
-#include "../../tests/standin/fleet.h"
-#include "../../tests/standin/pair.h"
-#include "../../tests/standin/site.h"
-#include "../../tests/standin/state.h"
+#include "../standin/cases.h"
+#include "../standin/fleet.h"
+#include "../standin/pair.h"
+#include "../standin/site.h"
+#include "../standin/state.h"
 #include "clock/clock.h"
 
 #define REFUSED_S 0.8 /* from the refusal to the outage: less than a controller's lease in the store */
 #define KNOWN_S 3.5   /* by when a start that was under way at the confirmation has come, or does not */
 
 static const struct {
-    const char *what;
+    const char *name;
     int leader;
     bool of_other;  /* the cancelled jobs belong to the other controller's shard */
     bool turn;      /* workers turn to the other controller in the middle */
@@ -29,13 +30,13 @@
     bool island;    /* the refused one is cut off with the workers of its zone */
     double outage_s;
 } rows[] = {
-    {"the refused owner leads", 0, false, false, false, false, false, false, PAIR_CANCEL_S + 1},
-    {"another leads", 1, false, false, false, false, false, false, PAIR_CANCEL_S + 1},
-    {"workers turn to the other in the middle", 0, false, true, false, false, false, false, PAIR_CANCEL_S + 1},
-    {"the one that confirmed ends", 0, false, false, true, false, false, false, PAIR_CANCEL_S + 1},
-    {"a start is held up", 0, false, false, false, true, false, false, PAIR_CANCEL_S + 1},
-    {"a machine hangs", 0, false, false, false, false, true, false, PAIR_CANCEL_S + 1},
-    {"cut off with its zone, for the other's jobs", 1, true, false, false, false, false, true, PAIR_CANCEL_S + 1},
+    {"refused_owner_leads", 0, false, false, false, false, false, false, PAIR_CANCEL_S + 1},
+    {"other_controller_leads", 1, false, false, false, false, false, false, PAIR_CANCEL_S + 1},
+    {"workers_switch_controller", 0, false, true, false, false, false, false, PAIR_CANCEL_S + 1},
+    {"confirming_controller_ends", 0, false, false, true, false, false, false, PAIR_CANCEL_S + 1},
+    {"delayed_start", 0, false, false, false, true, false, false, PAIR_CANCEL_S + 1},
+    {"machine_hangs", 0, false, false, false, false, true, false, PAIR_CANCEL_S + 1},
+    {"zone_partition", 1, true, false, false, false, false, true, PAIR_CANCEL_S + 1},
 };
 static size_t row;
 
@@ -129,10 +130,10 @@
 }
 
 int main(int argc, char **argv) {
-    row = argc > 2 ? (size_t)atoi(argv[2]) : 0;
-    if (row >= G_N_ELEMENTS(rows) || argc < 2 || !pair_start(argv[1])) return 2;
+    if (cases_are_listed(argc, argv)) return cases_compare(CASES(rows), argc, argv);
+    if (argc < 3 || !cases_find(CASES(rows), argv[2], &row) || !pair_start(argv[1])) return 2;
     standin_cloud_willing();
-    const struct CMUnitTest tests[] = {{rows[row].what, gap, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, gap, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     pair_clear();
     return rc;
