--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -28,10 +28,6 @@
     return j->n_recorded_chunks == 0 || chunks_count_of_size(j, next) <= cfg->txn_ops ? next : now;
 }
 
-void allocations_key(const struct job *j, int chunk, char *key, size_t n) {
-    snprintf(key, n, "run/%s/%d", j->spec.job_id, chunk);
-}
-
 uint8_t *allocations_task_bits(const struct job *j) {
     uint8_t *bits = g_malloc0((gsize)j->spec.tasks / 8 + 1);
     for (guint i = 0; i < j->allocations->len; i++) {
@@ -274,5 +270,5 @@
 void allocations_init(const struct settings *s) {
     cfg = s;
     jobs_subscribe((struct jobs_observer){.applied = job_applied});
-    store_observe_prefix("run/", apply_run);
+    store_observe_prefix(STORE_PREFIX_ALLOCATIONS, apply_run);
 }
--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -32,7 +32,6 @@
  * the plans. NULL: nothing to keep. */
 cJSON *allocations_value(const struct job *j, int chunk, int chunk_size, const GArray *plans, bool final);
 bool allocations_chunk_dirty(const struct job *j, int chunk); /* what is known differs from the record */
-void allocations_key(const struct job *j, int chunk, char *key, size_t n);
 
 /* Pure: reads "task@machine+delta ..." one entry at a time; false at the end or where the text is broken. */
 bool allocations_parse_entry(const char **text, int64_t base, int *task, char *machine, size_t n, int64_t *attempt);
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -142,9 +142,7 @@
     assert_true(strlen(text) <= cfg.value_kb * 1024);
     put("run/req-20002/1", text);
     assert_int_equal(j->allocations->len, chunk);
-    char key[64];
-    allocations_key(j, 1, key, sizeof key);
-    assert_string_equal(key, "run/req-20002/1");
+    assert_string_equal(store_key_allocations(j->spec.job_id, 1).text, "run/req-20002/1");
     free(text);
     cJSON_Delete(v);
     g_array_free(plans, TRUE);
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -287,11 +287,10 @@
         refuse(a->req, 503, "the answer took too long", 1);
         return;
     }
-    char key[96];
-    snprintf(key, sizeof key, "job/%s", a->job_id);
+    struct store_key key = store_key_job(a->job_id);
     store_lock();
     const struct job *j = jobs_find(a->job_id);
-    if (not_read_again(t, answer, key))
+    if (not_read_again(t, answer, key.text))
         refuse(a->req, 503, "the state service did not answer", 1);
     else if (j && j->known)
         answer_known(a, j);
@@ -301,12 +300,11 @@
 }
 
 static void poll_fill(const GPtrArray *batch, struct store_txn *t) {
-    char key[96];
     store_lock();
     for (guint i = 0; i < batch->len; i++) {
         const struct api_request *a = batch->pdata[i];
-        snprintf(key, sizeof key, "job/%s", a->job_id);
-        store_txn_compare(t, key, store_key_revision(key));
+        struct store_key key = store_key_job(a->job_id);
+        store_txn_compare(t, key.text, store_key_revision(key.text));
     }
     store_unlock();
 }
@@ -349,22 +347,21 @@
 
 /* Fills the transaction for one round of submissions and cancels; a job known by now needs a compare only. */
 static void accept_fill(GPtrArray *batch, struct store_txn *t) {
-    char key[96];
     for (guint i = 0; i < batch->len; i++) {
         struct api_request *a = batch->pdata[i];
-        snprintf(key, sizeof key, "job/%s", a->job_id);
+        struct store_key key = store_key_job(a->job_id);
         struct job *j = jobs_find(a->job_id);
         bool twice = false;
         for (guint k = 0; k < i; k++) twice |= strcmp(((struct api_request *)batch->pdata[k])->job_id, a->job_id) == 0;
-        store_txn_compare(t, key, store_key_revision(key));
+        store_txn_compare(t, key.text, store_key_revision(key.text));
         a->was_known = j && j->known;
         if (twice) continue;
         if (a->kind == REQUEST_SUBMIT && !(j && j->known) && !a->refusal) {
             enum job_state state = dependencies_any_cancelled(a->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
-            store_txn_put(t, key, jobs_value(a->spec_text, state, clock_time_of_day(), shard_of_new(a)), 0);
+            store_txn_put(t, key.text, jobs_value(a->spec_text, state, clock_time_of_day(), shard_of_new(a)), 0);
         } else if (j && j->known && j->state == JOB_QUEUED &&
                    (a->kind == REQUEST_CANCEL || dependencies_must_cancel(j))) {
-            store_txn_put(t, key, jobs_final_value(j, JOB_CANCELLED), 0);
+            store_txn_put(t, key.text, jobs_final_value(j, JOB_CANCELLED), 0);
         }
     }
 }
@@ -377,8 +374,7 @@
     if (rc == STORE_OK && clock_seconds_since(asked) > CONFIRMED_S) rc = STORE_UNKNOWN;
     for (guint i = 0; i < batch->len; i++) {
         struct api_request *a = batch->pdata[i];
-        char key[96];
-        snprintf(key, sizeof key, "job/%s", a->job_id);
+        struct store_key key = store_key_job(a->job_id);
         if (rc != STORE_OK) {
             store_lock();
             bool away = store_unreachable();
@@ -393,7 +389,7 @@
         bool wrote = false;
         int running;
         const cJSON *x;
-        cJSON_ArrayForEach(x, t->operations) wrote |= strcmp(json_get_string(x, "set"), key) == 0;
+        cJSON_ArrayForEach(x, t->operations) wrote |= strcmp(json_get_string(x, "set"), key.text) == 0;
         store_lock();
         struct job *j = jobs_find(a->job_id);
         if (a->kind == REQUEST_SUBMIT) {
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -168,23 +168,21 @@
 enum name_status { NAME_GOOD, NAME_UNKNOWN, NAME_UNREADABLE, NAME_SERVICE };
 
 static enum name_status look_up(const char *job_id) {
-    char key[96];
-    snprintf(key, sizeof key, "job/%s", job_id);
+    struct store_key key = store_key_job(job_id);
     store_lock();
     const struct job *j = jobs_find(job_id);
-    enum name_status status = j && j->known             ? (j->spec.kind == JOB_SERVICE ? NAME_SERVICE : NAME_GOOD)
-                              : store_key_revision(key) ? NAME_UNREADABLE
-                                                        : NAME_UNKNOWN;
+    enum name_status status = j && j->known                  ? (j->spec.kind == JOB_SERVICE ? NAME_SERVICE : NAME_GOOD)
+                              : store_key_revision(key.text) ? NAME_UNREADABLE
+                                                             : NAME_UNKNOWN;
     store_unlock();
     return status;
 }
 
 static unsigned check_name(struct http_client *c, const char *name, char *why, size_t n) {
-    char key[96];
-    snprintf(key, sizeof key, "job/%s", name);
+    struct store_key key = store_key_job(name);
     enum name_status status = look_up(name);
     if (status == NAME_UNKNOWN) {
-        if (!store_refresh(c, key)) {
+        if (!store_refresh(c, key.text)) {
             snprintf(why, n, "the state service did not answer");
             return 503;
         }
@@ -264,10 +262,9 @@
     store_lock();
     int n = store_unreachable() ? 0 : dependencies_next_cancellations(jobs, MIN(CANCELS_MAX, cfg->txn_ops));
     for (int i = 0; i < n; i++) {
-        char key[96];
-        snprintf(key, sizeof key, "job/%s", jobs[i]->spec.job_id);
-        store_txn_compare(&t, key, store_key_revision(key));
-        store_txn_put(&t, key, jobs_final_value(jobs[i], JOB_CANCELLED), 0);
+        struct store_key key = store_key_job(jobs[i]->spec.job_id);
+        store_txn_compare(&t, key.text, store_key_revision(key.text));
+        store_txn_put(&t, key.text, jobs_final_value(jobs[i], JOB_CANCELLED), 0);
     }
     store_unlock();
     enum store_result result = n > 0 ? store_commit(c, STORE_PRIORITY_ACCEPT, &t, &a) : STORE_REJECTED;
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -342,5 +342,5 @@
         active_of[k] = g_ptr_array_new();
         ended_of[k] = g_ptr_array_new();
     }
-    store_observe_prefix("job/", apply_job);
+    store_observe_prefix(STORE_PREFIX_JOB, apply_job);
 }
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -217,9 +217,8 @@
     for (guint i = of_shard[k]->len; i-- > 0;) {
         struct machine *m = of_shard[k]->pdata[i];
         if (m->page != page || g_hash_table_contains(seen, m)) continue;
-        char key[96];
-        snprintf(key, sizeof key, "machine/%s", m->id);
-        if (store_key_revision(key)) continue; /* its own record says where it goes */
+        struct store_key key = store_key_machine(m->id);
+        if (store_key_revision(key.text)) continue; /* its own record says where it goes */
         machine_gone(m);
     }
 }
@@ -564,6 +563,6 @@
     unregistered = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     machines = g_ptr_array_new();
     for (int k = 0; k < SHARDS_MAX; k++) of_shard[k] = g_ptr_array_new();
-    store_observe_prefix("fleet/", apply_page);
-    store_observe_prefix("machine/", apply_single);
+    store_observe_prefix(STORE_PREFIX_MACHINE_PAGE, apply_page);
+    store_observe_prefix(STORE_PREFIX_MACHINE, apply_single);
 }
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -161,10 +161,10 @@
 void membership_init(const struct settings *s) {
     cfg = s;
     snprintf(my_incarnation, sizeof my_incarnation, "%08x%08x", g_random_int(), g_random_int());
-    store_observe_prefix("node/", apply_node);
-    store_observe_prefix("leader", apply_leader);
-    store_observe_prefix("fence", apply_fencing_counter);
-    store_observe_prefix("share/", apply_shard);
+    store_observe_prefix(STORE_PREFIX_NODE, apply_node);
+    store_observe_prefix(STORE_KEY_LEADER, apply_leader);
+    store_observe_prefix(STORE_KEY_FENCING_COUNTER, apply_fencing_counter);
+    store_observe_prefix(STORE_PREFIX_SHARD, apply_shard);
 }
 
 int membership_plan_assignment(int size, const int *owner, int n, int *to) {
@@ -201,21 +201,19 @@
 }
 
 static void add_me(struct store_txn *t) {
-    char key[96];
-    snprintf(key, sizeof key, "node/%s", cfg->node);
-    store_txn_compare(t, key, store_key_revision(key));
+    struct store_key key = store_key_node(cfg->node);
+    store_txn_compare(t, key.text, store_key_revision(key.text));
 }
 
 /* Gives shard K to a node, moving the fence up. Called with the lock held; fills the transaction only. */
 static void assign_shard(struct store_txn *t, int k, const struct node *to) {
-    char key[96];
-    snprintf(key, sizeof key, "share/%d", k);
-    store_txn_compare(t, key, shards[k].mod_revision);
-    store_txn_put(t, key, shard_value(to->name, to->incarnation, fencing_counter + 1), 0);
-    store_txn_compare(t, "fence", store_key_revision("fence"));
-    store_txn_put(t, "fence", cJSON_CreateNumber((double)(fencing_counter + 1)), 0);
-    snprintf(key, sizeof key, "node/%s", to->name);
-    store_txn_compare(t, key, to->mod_revision);
+    struct store_key key = store_key_shard(k);
+    store_txn_compare(t, key.text, shards[k].mod_revision);
+    store_txn_put(t, key.text, shard_value(to->name, to->incarnation, fencing_counter + 1), 0);
+    store_txn_compare(t, STORE_KEY_FENCING_COUNTER, store_key_revision(STORE_KEY_FENCING_COUNTER));
+    store_txn_put(t, STORE_KEY_FENCING_COUNTER, cJSON_CreateNumber((double)(fencing_counter + 1)), 0);
+    struct store_key node_key = store_key_node(to->name);
+    store_txn_compare(t, node_key.text, to->mod_revision);
     add_me(t);
 }
 
@@ -257,10 +255,8 @@
         }
     if (add_announcement(t)) return true;
     if (me->workers_unreachable != my_workers_unreachable) {
-        char key[96];
-        snprintf(key, sizeof key, "node/%s", cfg->node);
         add_me(t);
-        store_txn_put(t, key, node_value(), my_lease);
+        store_txn_put(t, store_key_node(cfg->node).text, node_value(), my_lease);
         return true;
     }
     struct node *lead = leader[0] ? find_node(leader) : NULL;
@@ -268,14 +264,12 @@
         cJSON *o = cJSON_CreateObject();
         cJSON_AddStringToObject(o, "node", cfg->node);
         cJSON_AddStringToObject(o, "inc", my_incarnation);
-        store_txn_compare(t, "leader", store_key_revision("leader"));
+        store_txn_compare(t, STORE_KEY_LEADER, store_key_revision(STORE_KEY_LEADER));
         add_me(t);
         if (lead) {
-            char key[96];
-            snprintf(key, sizeof key, "node/%s", lead->name);
-            store_txn_compare(t, key, lead->mod_revision);
+            store_txn_compare(t, store_key_node(lead->name).text, lead->mod_revision);
         }
-        store_txn_put(t, "leader", o, my_lease);
+        store_txn_put(t, STORE_KEY_LEADER, o, my_lease);
         return true;
     }
     if (lead != me) return false;
@@ -306,9 +300,7 @@
         return false;
     struct node *was = shards[k].owner[0] ? find_node(shards[k].owner) : NULL;
     if (orphans && shards[k].owner[0] && !(was && was->live)) {
-        char key[96];
-        snprintf(key, sizeof key, "node/%s", shards[k].owner);
-        store_txn_compare(t, key, 0);
+        store_txn_compare(t, store_key_node(shards[k].owner).text, 0);
     }
     assign_shard(t, k, target);
     log_info("shard %d: assigning it to %s", k, target->name);
@@ -318,16 +310,15 @@
 static void join(struct http_client *c) {
     int64_t lease;
     if (store_lease_grant(c, cfg->tuning.node_lease, &lease) != STORE_OK) return;
-    char key[96];
+    struct store_key key = store_key_node(cfg->node);
     struct store_txn t;
     struct store_response a;
-    snprintf(key, sizeof key, "node/%s", cfg->node);
-    store_refresh(c, key);
+    store_refresh(c, key.text);
     store_txn_init(&t);
     store_lock();
-    store_txn_compare(&t, key, store_key_revision(key));
+    store_txn_compare(&t, key.text, store_key_revision(key.text));
     store_unlock();
-    store_txn_put(&t, key, node_value(), lease);
+    store_txn_put(&t, key.text, node_value(), lease);
     if (store_commit(c, STORE_PRIORITY_LEASE, &t, &a) == STORE_OK) {
         store_lock();
         my_lease = lease;
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -129,19 +129,18 @@
     int64_t tries = 0;
     assert_true(json_get_int64(value, "e", &tries));
     assert_int_equal(tries, 1);
-    char key[96];
-    allocations_key(j, 0, key, sizeof key);
-    store_apply(key, value, owned_next_stamp());
+    const struct store_key key = store_key_allocations(j->spec.job_id, 0);
+    store_apply(key.text, value, owned_next_stamp());
     cJSON_Delete(value);
     assert_false(allocations_chunk_dirty(j, 0));
     /* Another owner: all that it knows is the record. */
     owned_put("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":77}");
     j->failed_tries = 0;
-    owned_put(key, "{\"e\":5}");
+    owned_put(key.text, "{\"e\":5}");
     int read = j->failed_tries;
-    owned_put(key, "{\"e\":-3}");
+    owned_put(key.text, "{\"e\":-3}");
     int damaged = j->failed_tries;
-    owned_put(key, NULL);
+    owned_put(key.text, NULL);
     int gone = j->failed_tries;
     assert_int_equal(read, 5);
     assert_int_equal(damaged, 0);
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -40,15 +40,14 @@
 /* A change of one team's record on its way. */
 struct change {
     struct store_txn txn;
-    char key[128];
+    struct store_key key;
     int shards[QUOTA_SHARES_MAX]; /* those that it is conditional on */
     int n_shards;
 };
 
 static void require_shard(struct change *c, int shard) {
-    char key[32];
-    snprintf(key, sizeof key, "share/%d", shard);
-    store_txn_compare(&c->txn, key, membership_shard(shard)->mod_revision);
+    struct store_key key = store_key_shard(shard);
+    store_txn_compare(&c->txn, key.text, membership_shard(shard)->mod_revision);
     for (int i = 0; i < c->n_shards; i++)
         if (c->shards[i] == shard) return;
     c->shards[c->n_shards++] = shard;
@@ -57,8 +56,8 @@
 static void begin_change(struct change *c, const struct quota_team *t) {
     memset(c, 0, sizeof *c);
     store_txn_init(&c->txn);
-    snprintf(c->key, sizeof c->key, "quota/%s", quota_settings->teams[t->team].name);
-    store_txn_compare(&c->txn, c->key, store_key_revision(c->key));
+    c->key = store_key_quota(quota_settings->teams[t->team].name);
+    store_txn_compare(&c->txn, c->key.text, store_key_revision(c->key.text));
 }
 
 /* Nothing is left in shards beside the home. */
@@ -86,7 +85,7 @@
     } else if (undivided_again(t)) {
         begin_change(c, t);
         require_shard(c, t->home);
-        store_txn_delete(&c->txn, c->key);
+        store_txn_delete(&c->txn, c->key.text);
         return true;
     } else {
         /* Lowered as soon as one controller's settings name less, raised once all name more. */
@@ -106,7 +105,7 @@
     }
     begin_change(c, t);
     require_shard(c, t->home);
-    store_txn_put(&c->txn, c->key, quota_record_value(&next), 0);
+    store_txn_put(&c->txn, c->key.text, quota_record_value(&next), 0);
     return true;
 }
 
@@ -123,7 +122,7 @@
     for (int i = 0; i < next.n_allotments; i++)
         if (!quota_amount_equal(next.allotments[i].limit, t->record.allotments[i].limit))
             require_shard(c, next.allotments[i].shard);
-    store_txn_put(&c->txn, c->key, quota_record_value(&next), 0);
+    store_txn_put(&c->txn, c->key.text, quota_record_value(&next), 0);
     return true;
 }
 
@@ -135,7 +134,7 @@
         store_apply_committed(&c->txn, a.revision);
         store_unlock();
     } else if (rc == STORE_CONFLICT) {
-        store_refresh(client, c->key);
+        store_refresh(client, c->key.text);
         store_wake_watch();
     } else if (rc == STORE_UNKNOWN) {
         /* It may yet be carried out: nothing is allocated in these shards before their mod revisions have moved. */
@@ -163,10 +162,9 @@
     for (guint i = 0; i < jobs->len && moved < most; i++) {
         const struct job *j = jobs->pdata[i];
         if (!waits_elsewhere(j, shard)) continue;
-        char key[96];
-        snprintf(key, sizeof key, "job/%s", j->spec.job_id);
-        store_txn_compare(&c->txn, key, store_key_revision(key));
-        store_txn_put(&c->txn, key, jobs_moved_value(j, quota_shard_of_new(j->spec.team, j->spec.job_id)), 0);
+        struct store_key key = store_key_job(j->spec.job_id);
+        store_txn_compare(&c->txn, key.text, store_key_revision(key.text));
+        store_txn_put(&c->txn, key.text, jobs_moved_value(j, quota_shard_of_new(j->spec.team, j->spec.job_id)), 0);
         moved++;
     }
     if (moved > 0) require_shard(c, shard);
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -10,7 +10,6 @@
 #include "../json/json.h"
 #include "../logging/logging.h"
 
-#define RECORD_PREFIX "quota/"
 #define VIEW_PREFIX "quota-view/"
 
 const struct settings *quota_settings;
@@ -176,6 +175,6 @@
 void quota_state_init(const struct settings *s) {
     quota_settings = s;
     views = g_new0(struct node_views, (gsize)s->n_seeds + 1);
-    store_observe_prefix(RECORD_PREFIX, apply_record);
+    store_observe_prefix(STORE_PREFIX_QUOTA, apply_record);
     store_observe_prefix(VIEW_PREFIX, apply_view);
 }
--- a/src/scheduler/commit_jobs.c
+++ b/src/scheduler/commit_jobs.c
@@ -24,9 +24,8 @@
         cJSON_GetArraySize(t->comparisons) + comparisons > scheduler_settings->txn_ops * 4) {
         t = g_new0(struct store_txn, 1);
         store_txn_init(t);
-        char key[32];
-        snprintf(key, sizeof key, "share/%d", r->shard);
-        store_txn_compare(t, key, membership_shard(r->shard)->mod_revision);
+        struct store_key key = store_key_shard(r->shard);
+        store_txn_compare(t, key.text, membership_shard(r->shard)->mod_revision);
         g_ptr_array_add(r->transactions, t);
     }
     r->writes_left -= writes;
@@ -55,18 +54,17 @@
 
 /* A change of a job's record of allocations, or its removal where nothing is to be kept. */
 static void add_run(struct store_txn *t, const struct job *j, int chunk, cJSON *value) {
-    char key[128];
+    struct store_key job_key = store_key_job(j->spec.job_id);
+    struct store_key key = store_key_allocations(j->spec.job_id, chunk);
     /* Not if the job was cancelled meanwhile, and not over a newer record: a transaction whose answer was lost, or a
      * second copy of one that the connection's end made the client send again, may be carried out after later ones of
      * ours. */
-    snprintf(key, sizeof key, "job/%s", j->spec.job_id);
-    store_txn_compare(t, key, store_key_revision(key));
-    allocations_key(j, chunk, key, sizeof key);
-    store_txn_compare(t, key, store_key_revision(key));
+    store_txn_compare(t, job_key.text, store_key_revision(job_key.text));
+    store_txn_compare(t, key.text, store_key_revision(key.text));
     if (value)
-        store_txn_put(t, key, value, 0);
+        store_txn_put(t, key.text, value, 0);
     else
-        store_txn_delete(t, key);
+        store_txn_delete(t, key.text);
 }
 
 /* Writes all records of a job in a new chunk size, in one transaction: each names it, and one with nothing to keep
@@ -95,9 +93,8 @@
 /* Writes what is known of a job: completions, allocations that came and went, done tasks. */
 void scheduling_round_commit_job(struct scheduling_round *r, struct job *j) {
     bool final = jobs_complete(j);
-    char key[128];
-    snprintf(key, sizeof key, "run/%s/0", j->spec.job_id);
-    if (scheduling_round_rejected_lately(key)) return;
+    struct store_key first_chunk_key = store_key_allocations(j->spec.job_id, 0);
+    if (scheduling_round_rejected_lately(first_chunk_key.text)) return;
     int chunk_size = allocations_next_chunk_size(j);
     if (j->n_recorded_chunks == 0) jobs_set_chunk_size(j, chunk_size);
     if (chunk_size != chunks_size(j) && !final && keeps_allocations(r, j)) {
@@ -113,11 +110,11 @@
         const struct planned_task *p = &g_array_index(r->plans, struct planned_task, i);
         if (p->job == j) need[p->task / chunk_size] = 2;
     }
-    snprintf(key, sizeof key, "job/%s", j->spec.job_id);
-    if (final && !scheduling_round_rejected_lately(key)) {
+    struct store_key key = store_key_job(j->spec.job_id);
+    if (final && !scheduling_round_rejected_lately(key.text)) {
         struct store_txn *t = scheduling_round_txn(r, 2, 1);
-        store_txn_compare(t, key, store_key_revision(key));
-        store_txn_put(t, key, jobs_final_value(j, JOB_DONE), 0);
+        store_txn_compare(t, key.text, store_key_revision(key.text));
+        store_txn_put(t, key.text, jobs_final_value(j, JOB_DONE), 0);
         r->writes_left++; /* the second was room for a chunk's record beside it */
     }
     for (int c = 0; c < chunks && (r->writes_left > 0 || c == 0); c++) {
--- a/src/scheduler/commit_pages.c
+++ b/src/scheduler/commit_pages.c
@@ -103,25 +103,24 @@
 
 /* Raises and passings move the fence in the same transaction, which is one of their own. */
 static void write_raises(struct scheduling_round *r, int k, struct page_plan *p) {
-    char key[96];
     int n;
     struct store_txn *t = scheduling_round_txn(r, scheduler_settings->txn_ops, 3);
     r->writes_left += scheduler_settings->txn_ops - p->raise_writes;
-    store_txn_compare(t, "fence", store_key_revision("fence"));
-    store_txn_put(t, "fence", cJSON_CreateNumber((double)p->fencing_token), 0);
+    store_txn_compare(t, STORE_KEY_FENCING_COUNTER, store_key_revision(STORE_KEY_FENCING_COUNTER));
+    store_txn_put(t, STORE_KEY_FENCING_COUNTER, cJSON_CreateNumber((double)p->fencing_token), 0);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
         if (!(p->need[page] & PAGE_RAISE)) continue;
-        snprintf(key, sizeof key, "fleet/%d/%d", k, page);
-        store_txn_compare(t, key, store_key_revision(key));
-        store_txn_put(t, key, machines_page_value(k, page, &n), 0);
+        struct store_key key = store_key_machine_page(k, page);
+        store_txn_compare(t, key.text, store_key_revision(key.text));
+        store_txn_put(t, key.text, machines_page_value(k, page, &n), 0);
         p->need[page] = 0;
     }
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
         if (!m->round.leaves_page) continue;
-        snprintf(key, sizeof key, "machine/%s", m->id);
-        store_txn_compare(t, key, 0);
-        store_txn_put(t, key, machines_single_value(m, m->rebalance.to, p->fencing_token), 0);
+        struct store_key key = store_key_machine(m->id);
+        store_txn_compare(t, key.text, 0);
+        store_txn_put(t, key.text, machines_single_value(m, m->rebalance.to, p->fencing_token), 0);
     }
 }
 
@@ -129,26 +128,25 @@
 static bool arrives_at(const struct machine *m, int page) { return m->page < 0 && m->round.next_page == page; }
 
 static void write_page(struct scheduling_round *r, int k, int page) {
-    char key[96];
     int incoming = 0, n;
     for (guint i = 0; i < machines_of_shard(k)->len; i++) incoming += arrives_at(machines_of_shard(k)->pdata[i], page);
-    snprintf(key, sizeof key, "fleet/%d/%d", k, page);
-    if (1 + incoming > scheduler_settings->txn_ops || scheduling_round_rejected_lately(key)) return;
+    struct store_key key = store_key_machine_page(k, page);
+    if (1 + incoming > scheduler_settings->txn_ops || scheduling_round_rejected_lately(key.text)) return;
     struct store_txn *t = scheduling_round_txn(r, 1 + incoming, 2 + incoming);
-    store_txn_compare(t, key, store_key_revision(key));
+    store_txn_compare(t, key.text, store_key_revision(key.text));
     cJSON *value = machines_page_value(k, page, &n);
     if (n > 0) {
-        store_txn_put(t, key, value, 0);
+        store_txn_put(t, key.text, value, 0);
     } else {
         cJSON_Delete(value);
-        store_txn_delete(t, key);
+        store_txn_delete(t, key.text);
     }
     for (guint i = 0; i < machines_of_shard(k)->len; i++) {
         struct machine *m = machines_of_shard(k)->pdata[i];
         if (!arrives_at(m, page)) continue;
-        snprintf(key, sizeof key, "machine/%s", m->id);
-        store_txn_compare(t, key, store_key_revision(key));
-        store_txn_delete(t, key);
+        struct store_key own_key = store_key_machine(m->id);
+        store_txn_compare(t, own_key.text, store_key_revision(own_key.text));
+        store_txn_delete(t, own_key.text);
     }
 }
 
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -133,7 +133,7 @@
     store_apply_committed(t, revision);
     cJSON_ArrayForEach(x, t->operations) {
         const char *set = json_get_string(x, "set");
-        if (!set || !g_str_has_prefix(set, "run/")) continue;
+        if (!set || !g_str_has_prefix(set, STORE_PREFIX_ALLOCATIONS)) continue;
         char job_id[64];
         g_strlcpy(job_id, set + 4, MIN(sizeof job_id, strcspn(set + 4, "/") + 1));
         struct job *j = jobs_find(job_id);
@@ -153,21 +153,20 @@
 
 /* After an unknown outcome the shard's mod revision is moved, so that what may still come late fails. */
 static bool barrier(struct http_client *c, int k) {
-    char key[32];
+    struct store_key key = store_key_shard(k);
     struct store_txn t;
     struct store_response a;
-    snprintf(key, sizeof key, "share/%d", k);
-    store_refresh(c, key);
+    store_refresh(c, key.text);
     store_txn_init(&t);
     store_lock();
     bool mine = membership_owns(k);
     const struct shard *s = membership_shard(k);
-    store_txn_compare(&t, key, s->mod_revision);
+    store_txn_compare(&t, key.text, s->mod_revision);
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "owner", s->owner);
     cJSON_AddStringToObject(o, "inc", s->incarnation);
     cJSON_AddNumberToObject(o, "fence", (double)s->fencing_token);
-    store_txn_put(&t, key, o, 0);
+    store_txn_put(&t, key.text, o, 0);
     store_unlock();
     bool ok = false;
     if (mine && store_commit(c, STORE_PRIORITY_ALLOCATE, &t, &a) == STORE_OK) {
@@ -231,8 +230,8 @@
             /* allocations and pages only in the order of the watch: read on their own they would be ahead of the
              * records that they rest on. */
             for (guint f = 0; f < a.conflicts->len; f++)
-                if (!g_str_has_prefix(a.conflicts->pdata[f], "run/") &&
-                    !g_str_has_prefix(a.conflicts->pdata[f], "fleet/"))
+                if (!g_str_has_prefix(a.conflicts->pdata[f], STORE_PREFIX_ALLOCATIONS) &&
+                    !g_str_has_prefix(a.conflicts->pdata[f], STORE_PREFIX_MACHINE_PAGE))
                     store_refresh(c, a.conflicts->pdata[f]);
             store_wake_watch();
             again = true;
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -93,9 +93,7 @@
         g_string_append_printf(text, "%s%d@%s+%d", t ? " " : "", t, on[t % n]->id, 1000000 + t);
     g_string_append(text, "\"}");
     assert_true(text->len > NEXT_BYTES);
-    char key[64];
-    allocations_key(j, 0, key, sizeof key);
-    owned_put(key, text->str);
+    owned_put(store_key_allocations(j->spec.job_id, 0).text, text->str);
     g_string_free(text, TRUE);
     for (guint i = 0; i < j->allocations->len; i++) {
         struct allocation *b = j->allocations->pdata[i];
--- a/src/schema_version/schema_version.c
+++ b/src/schema_version/schema_version.c
@@ -63,16 +63,15 @@
 bool schema_version_active(void) { return active; }
 
 bool schema_version_announce(struct store_txn *t) {
-    char key[96];
     int version = wanted_version();
     bool withdraws = latest[0] == SCHEMA_VERSION_DIVIDED_QUOTA && version < SCHEMA_VERSION_DIVIDED_QUOTA;
     if (own_version >= SCHEMA_VERSION && latest[0] >= version && !withdraws) return false;
     if (own_version >= SCHEMA_VERSION && latest[0] < SCHEMA_VERSION) return false; /* a damaged record */
-    snprintf(key, sizeof key, "format/%s", cfg->node);
+    struct store_key key = store_key_schema_version(cfg->node);
     cJSON *record = cJSON_CreateObject();
     cJSON_AddNumberToObject(record, "version", version);
-    store_txn_compare(t, key, store_key_revision(key));
-    store_txn_put(t, key, record, 0);
+    store_txn_compare(t, key.text, store_key_revision(key.text));
+    store_txn_put(t, key.text, record, 0);
     log_info("schema version: recording that %s reads version %d", cfg->node, version);
     return true;
 }
@@ -84,5 +83,5 @@
 
 void schema_version_init(const struct settings *s) {
     cfg = s;
-    store_observe_prefix("format/", apply_format);
+    store_observe_prefix(STORE_PREFIX_SCHEMA_VERSION, apply_format);
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -203,11 +203,11 @@
     pthread_mutex_lock(&budget_lock);
     cJSON_ArrayForEach(op, t->operations) {
         const char *set = json_get_string(op, "set"), *key = set ? set : json_get_string(op, "remove");
-        if (g_str_has_prefix(key, "job/"))
+        if (g_str_has_prefix(key, STORE_PREFIX_JOB))
             changes.jobs++;
-        else if (g_str_has_prefix(key, "run/"))
+        else if (g_str_has_prefix(key, STORE_PREFIX_ALLOCATIONS))
             ++*(set ? &changes.allocations : &changes.releases);
-        else if (g_str_has_prefix(key, "fleet/") || g_str_has_prefix(key, "machine/"))
+        else if (g_str_has_prefix(key, STORE_PREFIX_MACHINE_PAGE) || g_str_has_prefix(key, STORE_PREFIX_MACHINE))
             changes.pages++;
         else
             changes.others++;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -9,6 +9,7 @@
 #include "../http/client.h"
 #include "../json/json.h"
 #include "../settings/settings.h"
+#include "keys.h"
 
 /* What a transaction came to. REFUSED: surely not executed. BAD: neither, and would not be if repeated as it is: a
  * value or the transaction is above the service's limits. UNKNOWN: may have been, or may yet be. */
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -119,10 +119,8 @@
         struct planned_task p = {on[i], j, i, 100 + i};
         g_array_append_val(plans, p);
     }
-    char key[96];
     cJSON *v = allocations_value(j, 0, chunks_size(j), plans, false);
-    allocations_key(j, 0, key, sizeof key);
-    store_apply(key, v, owned_next_stamp());
+    store_apply(store_key_allocations(j->spec.job_id, 0).text, v, owned_next_stamp());
     cJSON_Delete(v);
     g_array_free(plans, TRUE);
     for (guint i = 0; i < j->allocations->len; i++) {
@@ -144,8 +142,7 @@
         owned_put(key, text);
         g_free(text);
         for (int c = 0; c < chunks_count(j); c++) {
-            allocations_key(j, c, key, sizeof key);
-            owned_put(key, NULL);
+            owned_put(store_key_allocations(j->spec.job_id, c).text, NULL);
         }
     }
     for (int p = 0; p < 256; p++) {
