--- /dev/null
+++ b/src/machines/codec.c
@@ -0,0 +1,192 @@
+#include "codec.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "../model/machine.h"
+
+/* The members of a page. */
+#define PAGE_TYPE_NAMES "sku"
+#define PAGE_ZONES "site"
+#define PAGE_IMAGES "img"
+#define PAGE_MACHINES "m"
+
+/* An entry of a page is a list of these. */
+enum entry_field {
+    ENTRY_ID,
+    ENTRY_ADDRESS,
+    ENTRY_TYPE_NAME,     /* index */
+    ENTRY_ZONE,          /* index */
+    ENTRY_FLAGS,         /* sum of enum entry_flag */
+    ENTRY_FENCING_TOKEN, /* the machine's own; 0: it has none */
+    ENTRY_CREATED_AT,    /* whole seconds */
+    ENTRY_IMAGES,        /* indices, with commas between them */
+    ENTRY_FIELDS
+};
+
+enum entry_flag { ENTRY_SPOT = 1, ENTRY_RETURNING = 2 };
+
+/* The members of a machine's own record. */
+#define SINGLE_SHARD "share"
+#define SINGLE_FENCING_TOKEN "fence"
+#define SINGLE_ADDRESS "address"
+#define SINGLE_TYPE_NAME "flavour"
+#define SINGLE_ZONE "site"
+#define SINGLE_SPOT "spot"
+#define SINGLE_CREATED_AT "born"
+#define SINGLE_FIRST_LAYOUT_ALLOCATIONS "b"
+
+#define IMAGE_NAME_MAX 24  /* longer names of images are left out of pages */
+#define PAGE_IMAGES_MAX 16 /* names of images that a page holds */
+#define IMAGE_INDICES_SIZE 48
+
+/* ---- reading ---- */
+
+bool machine_page_read(const cJSON *data, struct machine_page *page) {
+    page->machines = cJSON_GetObjectItemCaseSensitive(data, PAGE_MACHINES);
+    page->type_names = cJSON_GetObjectItemCaseSensitive(data, PAGE_TYPE_NAMES);
+    page->zones = cJSON_GetObjectItemCaseSensitive(data, PAGE_ZONES);
+    page->images = cJSON_GetObjectItemCaseSensitive(data, PAGE_IMAGES);
+    return cJSON_IsArray(page->machines);
+}
+
+static const char *text_or_empty(const cJSON *item) {
+    const char *text = cJSON_GetStringValue(item);
+    return text ? text : "";
+}
+
+static const char *name_at(const cJSON *names, const cJSON *index) {
+    return cJSON_IsNumber(index) ? text_or_empty(cJSON_GetArrayItem(names, index->valueint)) : "";
+}
+
+bool machine_page_read_entry(const struct machine_page *page, const cJSON *entry, struct machine_record *record) {
+    const cJSON *fields[ENTRY_FIELDS];
+    const cJSON *field = entry->child;
+    for (int i = 0; i < ENTRY_FIELDS; i++, field = field ? field->next : NULL) fields[i] = field;
+    const char *id = cJSON_GetStringValue(fields[ENTRY_ID]);
+    if (!id || strlen(id) >= MACHINE_ID_SIZE) return false;
+    int flags = cJSON_IsNumber(fields[ENTRY_FLAGS]) ? fields[ENTRY_FLAGS]->valueint : 0;
+    *record = (struct machine_record){
+        .id = id,
+        .address = text_or_empty(fields[ENTRY_ADDRESS]),
+        .type_name = name_at(page->type_names, fields[ENTRY_TYPE_NAME]),
+        .zone = name_at(page->zones, fields[ENTRY_ZONE]),
+        .spot = flags & ENTRY_SPOT,
+        .returning = flags & ENTRY_RETURNING,
+        .image_indices = text_or_empty(fields[ENTRY_IMAGES]),
+    };
+    if (cJSON_IsNumber(fields[ENTRY_FENCING_TOKEN]))
+        record->fencing_token = (int64_t)fields[ENTRY_FENCING_TOKEN]->valuedouble;
+    if (cJSON_IsNumber(fields[ENTRY_CREATED_AT])) record->created_at = fields[ENTRY_CREATED_AT]->valuedouble;
+    return true;
+}
+
+void machine_page_read_images(const struct machine_page *page, const struct machine_record *record,
+                              GHashTable *images) {
+    for (const char *index = record->image_indices; *index;) {
+        const char *image = cJSON_GetStringValue(cJSON_GetArrayItem(page->images, atoi(index)));
+        if (image && !g_hash_table_contains(images, image)) g_hash_table_add(images, g_strdup(image));
+        index += strcspn(index, ",");
+        index += *index == ',';
+    }
+}
+
+enum machine_single_result machine_single_read(const cJSON *data, struct machine_record *record, int64_t *shard) {
+    if (cJSON_GetObjectItemCaseSensitive(data, SINGLE_FIRST_LAYOUT_ALLOCATIONS)) return MACHINE_SINGLE_FIRST_LAYOUT;
+    if (!json_get_int64(data, SINGLE_SHARD, shard)) return MACHINE_SINGLE_MALFORMED;
+    *record = (struct machine_record){
+        .address = json_get_string(data, SINGLE_ADDRESS),
+        .type_name = json_get_string(data, SINGLE_TYPE_NAME),
+        .zone = json_get_string(data, SINGLE_ZONE),
+        .spot = json_get_bool(data, SINGLE_SPOT),
+        .created_at = json_get_double(data, SINGLE_CREATED_AT, 0),
+    };
+    json_get_int64(data, SINGLE_FENCING_TOKEN, &record->fencing_token);
+    return MACHINE_SINGLE_OK;
+}
+
+/* ---- writing ---- */
+
+static struct machine_page_names names_begin(cJSON *value, const char *member) {
+    return (struct machine_page_names){cJSON_AddArrayToObject(value, member),
+                                       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL)};
+}
+
+/* The index of a name, which is added where the page does not have it yet. */
+static int index_of(struct machine_page_names *names, const char *name) {
+    gpointer index;
+    if (g_hash_table_lookup_extended(names->indices, name, NULL, &index)) return GPOINTER_TO_INT(index);
+    int added = (int)g_hash_table_size(names->indices);
+    cJSON_AddItemToArray(names->names, cJSON_CreateString(name));
+    g_hash_table_insert(names->indices, g_strdup(name), GINT_TO_POINTER(added));
+    return added;
+}
+
+void machine_page_writer_begin(struct machine_page_writer *writer, int images_per_machine) {
+    writer->value = cJSON_CreateObject();
+    writer->type_names = names_begin(writer->value, PAGE_TYPE_NAMES);
+    writer->zones = names_begin(writer->value, PAGE_ZONES);
+    writer->images = names_begin(writer->value, PAGE_IMAGES);
+    writer->machines = cJSON_AddArrayToObject(writer->value, PAGE_MACHINES);
+    writer->images_per_machine = images_per_machine;
+}
+
+static bool image_has_room(const struct machine_page_names *images, const char *name) {
+    if (strlen(name) > IMAGE_NAME_MAX) return false;
+    return g_hash_table_size(images->indices) < PAGE_IMAGES_MAX || g_hash_table_contains(images->indices, name);
+}
+
+static void write_image_indices(struct machine_page_writer *writer, GHashTable *images, char *text, size_t size) {
+    GHashTableIter iter;
+    gpointer name;
+    int written = 0;
+    g_hash_table_iter_init(&iter, images);
+    while (g_hash_table_iter_next(&iter, &name, NULL) && written < writer->images_per_machine) {
+        if (!image_has_room(&writer->images, name)) continue;
+        size_t length = strlen(text);
+        snprintf(text + length, size - length, "%s%d", written++ ? "," : "", index_of(&writer->images, name));
+    }
+}
+
+void machine_page_writer_add(struct machine_page_writer *writer, const struct machine_record *record,
+                             GHashTable *images) {
+    char image_indices[IMAGE_INDICES_SIZE] = "";
+    if (images) write_image_indices(writer, images, image_indices, sizeof image_indices);
+    int flags = (record->spot ? ENTRY_SPOT : 0) + (record->returning ? ENTRY_RETURNING : 0);
+    cJSON *const fields[ENTRY_FIELDS] = {
+        [ENTRY_ID] = cJSON_CreateString(record->id),
+        [ENTRY_ADDRESS] = cJSON_CreateString(record->address),
+        [ENTRY_TYPE_NAME] = cJSON_CreateNumber(index_of(&writer->type_names, record->type_name)),
+        [ENTRY_ZONE] = cJSON_CreateNumber(index_of(&writer->zones, record->zone)),
+        [ENTRY_FLAGS] = cJSON_CreateNumber(flags),
+        [ENTRY_FENCING_TOKEN] = cJSON_CreateNumber((double)record->fencing_token),
+        [ENTRY_CREATED_AT] = cJSON_CreateNumber((double)(int64_t)record->created_at),
+        [ENTRY_IMAGES] = cJSON_CreateString(image_indices),
+    };
+    cJSON *entry = cJSON_CreateArray();
+    for (int i = 0; i < ENTRY_FIELDS; i++) cJSON_AddItemToArray(entry, fields[i]);
+    cJSON_AddItemToArray(writer->machines, entry);
+}
+
+cJSON *machine_page_writer_end(struct machine_page_writer *writer) {
+    g_hash_table_destroy(writer->type_names.indices);
+    g_hash_table_destroy(writer->zones.indices);
+    g_hash_table_destroy(writer->images.indices);
+    return writer->value;
+}
+
+cJSON *machine_single_write(const struct machine_record *record, int shard) {
+    cJSON *value = cJSON_CreateObject();
+    cJSON_AddNumberToObject(value, SINGLE_SHARD, shard);
+    cJSON_AddNumberToObject(value, SINGLE_FENCING_TOKEN, (double)record->fencing_token);
+    cJSON_AddStringToObject(value, SINGLE_ADDRESS, record->address);
+    cJSON_AddStringToObject(value, SINGLE_TYPE_NAME, record->type_name);
+    cJSON_AddStringToObject(value, SINGLE_ZONE, record->zone);
+    cJSON_AddBoolToObject(value, SINGLE_SPOT, record->spot);
+    cJSON_AddNumberToObject(value, SINGLE_CREATED_AT, (double)(int64_t)record->created_at);
+    return value;
+}
--- a/src/machines/machines.h
+++ b/src/machines/machines.h
@@ -1,4 +1,8 @@
-/* The machines: their records in the state service, and what an owner remembers of each. */
+/* The registry of machines: all that a record names or that an allocation refers to, by id and by shard, and what the
+ * owner of a shard knows of each.
+ *
+ * What the store says of machines comes in through records.h; which page of its shard a machine is recorded on is
+ * decided in page_assignment.h. Called by the scheduler, by workers, and by whoever decides on machines. */
 #ifndef FF_MACHINES_H
 #define FF_MACHINES_H
 #include <glib.h>
@@ -11,56 +15,55 @@
 #include "../model/machine.h"
 #include "../model/shard.h"
 
+/* What the owner remembers of each shard, by number. Guarded by store_lock. */
 extern struct shard_state shard_states[SHARDS_MAX];
 
-void machines_init(const struct settings *s);
-/* Called with store_lock held when the cloud has confirmed that the machine is gone. One handler, set before the start.
- */
-void machines_on_returned(void (*handler)(const struct machine *machine));
+/* Once, before the mirror is started. The settings must outlive the program. */
+void machines_init(const struct settings *settings);
 
-/* All with store_lock held. */
+/* Who wants to know that a machine is gone: its return was confirmed by the cloud and its record says so. Called with
+ * store_lock held, before the machine is taken out of its shard. */
+typedef void (*machines_returned_observer)(const struct machine *machine);
+/* Sets the one observer; before the mirror is started. */
+void machines_on_returned(machines_returned_observer observer);
+
+/* All of these with store_lock held. Pointers to machines belong to the registry and are valid until the lock is
+ * released; those of machines with allocations for as long as these exist. */
+
+/* The machine that a record names; NULL: no record names it. */
 struct machine *machines_find(const char *id);
+/* The machine, or a new stub for an id that only an allocation names so far. */
 struct machine *machines_find_or_stub(const char *id);
-void machines_drop_stub(struct machine *machine); /* frees what no record and no allocation names any more */
+/* Frees the machine if neither a record nor an allocation names it any more. */
+void machines_drop_stub(struct machine *machine);
+
+/* Lists of struct machine, which belong to the registry: all, stubs among them, and those of a shard. */
 GPtrArray *machines_all(void);
-GPtrArray *machines_of_shard(int k); /* the machines of a shard */
-/* The shard of a machine that nobody rented: that of what is allocated on it, or else by its number. */
+GPtrArray *machines_of_shard(int shard);
+/* The shard that a machine without a record belongs to: that of what is allocated on it, or else by the number in its
+ * id. */
 int machines_shard_of(const char *id);
-/* A machine that no record names though tasks of a shard of ours are allocated on it, for long enough that no record
- * can be on its way. Only the cloud's answer to its return proves that they are gone. */
-bool machines_unrecorded(const struct machine *machine);
+
+/* Whether its shard is ours. What was known under another fencing token of the shard is reset at the first call. */
+bool machines_owned(struct machine *machine);
+/* The fencing token under which it is sent directives: its own or its shard's, whichever is higher. */
 int64_t machines_fencing_token(const struct machine *machine);
-bool machines_owned(
-    struct machine *machine); /* ours now; on a change of owner, what was known under another token goes */
-void machines_add_occupancy_sample(struct machine *machine); /* a report came: a row in the occupancy window */
-bool machines_leaving(const struct machine *machine);        /* on its way back to the cloud, or there already */
-bool machines_known(const char *id);                         /* recorded, waiting to be, or gone for good */
+/* Whether it is on its way back to the cloud, or returned already. */
+bool machines_leaving(const struct machine *machine);
+/* The cloud has confirmed its return: what was allocated on it is released. */
 void machines_returned(const char *id);
-GHashTable *machines_unregistered(void); /* id -> unregistered_machine */
+/* Whether no record has named the machine, on which tasks of a shard of ours are allocated, for so long that none can
+ * be on its way. Only the cloud's answer to its return proves that the tasks are gone. */
+bool machines_unrecorded(const struct machine *machine);
+
+/* Unregistered machines: rented by us, or adopted, and not recorded yet. The next round records them. */
+
+/* id -> struct unregistered_machine; belongs to the registry. */
+GHashTable *machines_unregistered(void);
+/* Whether the id needs no adoption: it is recorded, unregistered, or was recorded and is gone for good. */
+bool machines_known(const char *id);
+/* A worker sends heartbeats under an id that is not known: it is adopted if its shard is ours. */
 void machines_adopt(const char *id, const char *address, const char *type_name, const char *zone, bool spot);
+/* The cloud has rented a machine for the shard. */
 void machines_rented(int shard, const char *id, const char *type_name, const char *zone, bool spot);
-
-/* Pages: as many machines of a shard as a value holds, so that one change carries what a round decided for all of them.
- * Scratch fields decide: `leave` keeps a machine out, `next_fence` raises its token, `next_page` brings one in, as does
- * an unregistered one's page. */
-cJSON *machines_page_value(int k, int page, int *count);
-/* How full a page is, by both measures. A page is filled only as far as the first version, which writes images into it,
- * can rewrite it under the present limit, and anyone under the next. */
-struct page_fill {
-    int present, next;
-};
-/* How full a shard's pages are: counted once, however many machines are then given places. */
-struct shard_page_fills {
-    struct page_fill pages[MACHINE_PAGES_MAX];
-};
-void machines_page_fills(int k, struct shard_page_fills *fills);
-/* The page that the machine is to go to, counted in; -1: all are full. */
-int machines_page_fills_add(struct shard_page_fills *fills, const char *id);
-int machines_page_for(int k, const char *id); /* for one machine alone */
-/* The pages that could not be rewritten under the service's next limit. Their machines are written to others, a page of
- * them at a time: a later record moves a machine whatever an older one says, so that no step leaves it on none, whoever
- * reads what in between. A page is rewritten once the rest has room, and is stale until then. */
-void machines_oversized_pages(int k, bool *large);
-bool machines_page_stale(int k, int page);
-cJSON *machines_single_value(const struct machine *machine, int shard, int64_t fencing_token);
 #endif
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -13,6 +13,8 @@
 #include "json/json.h"
 #include "logging/logging.h"
 #include "machine_types/machine_types.h"
+#include "machines/page_assignment.h"
+#include "machines/records.h"
 #include "membership/membership.h"
 #include "placement/placement.h"
 #include "priority/priority.h"
@@ -23,162 +25,175 @@
 static struct settings cfg;
 static int64_t mod_revision = 10;
 
-static void put(const char *key, const cJSON *x) {
+static void put(const char *key, const cJSON *value) {
     store_lock();
-    store_apply(key, x, ++mod_revision);
+    store_apply(key, value, ++mod_revision);
     store_unlock();
 }
 
-static int page_len(const cJSON *page) { return cJSON_GetArraySize(cJSON_GetObjectItem(page, "m")); }
+static void put_and_delete(const char *key, cJSON *value) {
+    put(key, value);
+    cJSON_Delete(value);
+}
 
-/* A large fleet on pages: every value stays within its limit, all is read back, and a machine that leaves its page with
- * no record of its own is gone for good. */
-static void pages(void **state) {
-    (void)state;
-    enum { FLEET = 700 };
-    char id[32], key[64];
+static void put_page(int shard, int page) {
+    int count;
+    put_and_delete(store_key_machine_page(shard, page).text, machines_page_value(shard, page, &count));
+}
+
+static void apply(const char *key, const char *json, int64_t revision) {
+    cJSON *value = cJSON_Parse(json);
+    store_apply(key, value, revision);
+    cJSON_Delete(value);
+}
+
+static int page_length(const cJSON *page) { return cJSON_GetArraySize(cJSON_GetObjectItem(page, "m")); }
+
+static int page_with_room(int shard, const char *id) {
+    struct shard_page_fills fills;
+    machines_page_fills(shard, &fills);
+    return machines_page_fills_add(&fills, id);
+}
+
+enum { FLEET = 700 };
+
+static void rent_fleet(void) {
+    char id[32];
     for (int i = 0; i < FLEET; i++) {
         g_snprintf(id, sizeof id, "i-%06d", i);
         machines_rented(1, id, "g48", i % 2 ? "za" : "zb", i % 3 == 0);
     }
+}
+
+static void assign_pages(bool used[MACHINE_PAGES_MAX]) {
+    struct shard_page_fills fills;
+    machines_page_fills(1, &fills);
     GHashTableIter it;
-    gpointer v;
-    uint8_t used[256] = {0};
+    gpointer value;
     g_hash_table_iter_init(&it, machines_unregistered());
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct unregistered_machine *n = v;
-        n->page = machines_page_for(1, n->id);
-        assert_in_range(n->page, 0, 255);
-        used[n->page] = 1;
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        struct unregistered_machine *machine = value;
+        machine->page = machines_page_fills_add(&fills, machine->id);
+        assert_in_range(machine->page, 0, MACHINE_PAGES_MAX - 1);
+        used[machine->page] = true;
     }
-    cJSON *values[256] = {NULL};
-    int total = 0, pages_used = 0, n;
-    for (int p = 0; p < 256; p++) {
-        if (!used[p]) continue;
-        values[p] = machines_page_value(1, p, &n);
-        char *text = cJSON_PrintUnformatted(values[p]);
+}
+
+/* A large fleet on pages: every value stays within its limit, all is read back, and a machine that leaves its page with
+ * no record of its own is gone for good. */
+static void large_fleet_fits_its_pages_and_is_read_back(void **state) {
+    (void)state;
+    bool used[MACHINE_PAGES_MAX] = {false};
+    rent_fleet();
+    assign_pages(used);
+    cJSON *values[MACHINE_PAGES_MAX] = {NULL};
+    int total = 0, pages_used = 0, count;
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
+        if (!used[page]) continue;
+        values[page] = machines_page_value(1, page, &count);
+        char *text = cJSON_PrintUnformatted(values[page]);
         assert_true(strlen(text) <= cfg.value_kb * 1024);
         free(text);
-        total += n;
+        total += count;
         pages_used++;
     }
     assert_int_equal(total, FLEET);
     assert_true(pages_used < FLEET / 20);
-    for (int p = 0; p < 256; p++) {
-        if (!values[p]) continue;
-        g_snprintf(key, sizeof key, "fleet/1/%d", p);
-        put(key, values[p]);
-        cJSON_Delete(values[p]);
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
+        if (values[page]) put_and_delete(store_key_machine_page(1, page).text, values[page]);
     }
     assert_int_equal(g_hash_table_size(machines_unregistered()), 0);
     assert_int_equal(machines_of_shard(1)->len, FLEET);
-    struct machine *m = machines_find("i-000003");
-    assert_true(m->spot);
-    assert_string_equal(m->zone, "za");
-    assert_string_equal(m->type_name, "g48");
+    struct machine *machine = machines_find("i-000003");
+    assert_true(machine->spot);
+    assert_string_equal(machine->zone, "za");
+    assert_string_equal(machine->type_name, "g48");
     /* Returned: off its page, and a late copy or a stale list does not bring it back. */
-    m->round.next_page = -1;
+    machine->round.next_page = -1;
     machines_returned("i-000003");
-    int page = m->page;
-    cJSON *x = machines_page_value(1, page, &n);
-    g_snprintf(key, sizeof key, "fleet/1/%d", page);
-    put(key, x);
-    cJSON_Delete(x);
+    put_page(1, machine->page);
     assert_null(machines_find("i-000003"));
     assert_true(machines_known("i-000003"));
     assert_int_equal(machines_of_shard(1)->len, FLEET - 1);
 }
 
 /* From one shard to another: off its page and into a record of its own at once, then onto the other's page. */
-static void passes(void **state) {
+static void transfer_is_followed_in_either_order(void **state) {
     (void)state;
-    struct machine *m = machines_find("i-000004");
-    int page = m->page, n;
-    char key[64];
+    struct machine *machine = machines_find("i-000004");
+    int page = machine->page, count;
+    const struct store_key key = store_key_machine_page(1, page);
     for (int order = 0; order < 2; order++) { /* the watch may bring one transaction's changes in either order */
-        m->round.leaves_page = true;
-        cJSON *x = machines_page_value(1, page, &n), *single = machines_single_value(m, 0, 77);
-        g_snprintf(key, sizeof key, "fleet/1/%d", page);
+        machine->round.leaves_page = true;
+        cJSON *value = machines_page_value(1, page, &count), *single = machines_single_value(machine, 0, 77);
         if (order == 0) put("machine/i-000004", single);
-        put(key, x);
+        put(key.text, value);
         if (order == 1) put("machine/i-000004", single);
-        cJSON_Delete(x);
+        cJSON_Delete(value);
         cJSON_Delete(single);
-        m = machines_find("i-000004");
-        assert_non_null(m);
-        assert_int_equal(m->shard, 0);
-        assert_int_equal(m->page, -1);
-        assert_int_equal(m->fencing_token, 77);
-        m->round.next_page = machines_page_for(0, m->id);
-        x = machines_page_value(0, m->round.next_page, &n);
-        assert_int_equal(page_len(x), 1);
-        put("fleet/0/0", x);
+        machine = machines_find("i-000004");
+        assert_non_null(machine);
+        assert_int_equal(machine->shard, 0);
+        assert_int_equal(machine->page, -1);
+        assert_int_equal(machine->fencing_token, 77);
+        machine->round.next_page = page_with_room(0, machine->id);
+        value = machines_page_value(0, machine->round.next_page, &count);
+        assert_int_equal(page_length(value), 1);
+        put("fleet/0/0", value);
         put("machine/i-000004", NULL);
-        cJSON_Delete(x);
-        m = machines_find("i-000004");
-        assert_non_null(m);
-        assert_int_equal(m->page, 0);
-        assert_int_equal(m->fencing_token, 77);
+        cJSON_Delete(value);
+        machine = machines_find("i-000004");
+        assert_non_null(machine);
+        assert_int_equal(machine->page, 0);
+        assert_int_equal(machine->fencing_token, 77);
         /* and back, for the other order */
-        m->round.leaves_page = true;
-        m->round.next_page = -1;
-        single = machines_single_value(m, 1, 78);
-        put("machine/i-000004", single);
-        cJSON_Delete(single);
+        machine->round.leaves_page = true;
+        machine->round.next_page = -1;
+        put_and_delete("machine/i-000004", machines_single_value(machine, 1, 78));
         put("fleet/0/0", NULL);
-        m = machines_find("i-000004");
-        m->round.leaves_page = false;
-        m->round.next_page = page;
-        x = machines_page_value(1, page, &n);
-        g_snprintf(key, sizeof key, "fleet/1/%d", page);
-        put(key, x);
+        machine = machines_find("i-000004");
+        machine->round.leaves_page = false;
+        machine->round.next_page = page;
+        put_page(1, page);
         put("machine/i-000004", NULL);
-        cJSON_Delete(x);
-        m = machines_find("i-000004");
-        assert_int_equal(m->shard, 1);
-        m->round.next_page = -1;
+        machine = machines_find("i-000004");
+        assert_int_equal(machine->shard, 1);
+        machine->round.next_page = -1;
     }
 }
 
 /* Records of the first layout are refused as a whole, not half read. */
-static void first_layout(void **state) {
+static void first_layout_is_refused_as_a_whole(void **state) {
     (void)state;
     assert_false(schema_version_store_unreadable());
-    cJSON *x = cJSON_Parse(
-        "{\"share\":0,\"fence\":0,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\",\"b\":[[\"req-10001\",0,5]]}");
-    put("machine/i-900000", x);
-    cJSON_Delete(x);
+    put_and_delete("machine/i-900000",
+                   cJSON_Parse("{\"share\":0,\"fence\":0,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\","
+                               "\"b\":[[\"req-10001\",0,5]]}"));
     assert_true(schema_version_store_unreadable());
     assert_null(machines_find("i-900000"));
 }
 
-static void apply(const char *key, const char *json, int64_t at) {
-    cJSON *x = cJSON_Parse(json);
-    store_apply(key, x, at);
-    cJSON_Delete(x);
-}
-
 /* One machine on two pages: who rented it and who heard of it as an unregistered one have both recorded it. The later
  * record holds, in whatever order they are read, and the other's loss of it proves nothing about its tasks. */
-static void recorded_twice(void **state) {
+static void later_page_holds_when_two_list_a_machine(void **state) {
     (void)state;
     for (int order = 0; order < 2; order++) {
         char one[160], run[64];
         const char *id = order ? "i-960001" : "i-960000";
-        int64_t at = 100000 + order * 1000;
+        int64_t revision = 100000 + order * 1000;
         g_snprintf(one, sizeof one, "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"%s\",\"\",0,0,0,0,1,\"\"]]}", id);
         g_snprintf(run, sizeof run, "{\"f\":5,\"b\":\"0@%s+0\"}", id);
         store_lock();
-        apply(order ? "run/req-96001/0" : "run/req-96000/0", run, at);
-        apply(order ? "fleet/0/201" : "fleet/1/200", one, order ? at + 20 : at + 10);
-        apply(order ? "fleet/1/201" : "fleet/0/200", one, order ? at + 10 : at + 20);
-        struct machine *m = machines_find(id);
-        assert_non_null(m);
-        assert_int_equal(m->shard, 0);
-        assert_int_equal(m->allocations->len, 1);
-        apply(order ? "fleet/1/201" : "fleet/1/200", "{\"sku\":[],\"site\":[],\"m\":[]}", at + 30);
-        m = machines_find(id);
-        bool stays = m && m->shard == 0 && !((struct allocation *)m->allocations->pdata[0])->released;
+        apply(order ? "run/req-96001/0" : "run/req-96000/0", run, revision);
+        apply(order ? "fleet/0/201" : "fleet/1/200", one, order ? revision + 20 : revision + 10);
+        apply(order ? "fleet/1/201" : "fleet/0/200", one, order ? revision + 10 : revision + 20);
+        struct machine *machine = machines_find(id);
+        assert_non_null(machine);
+        assert_int_equal(machine->shard, 0);
+        assert_int_equal(machine->allocations->len, 1);
+        apply(order ? "fleet/1/201" : "fleet/1/200", "{\"sku\":[],\"site\":[],\"m\":[]}", revision + 30);
+        machine = machines_find(id);
+        bool stays = machine && machine->shard == 0 && !((struct allocation *)machine->allocations->pdata[0])->released;
         store_unlock();
         assert_true(stays);
     }
@@ -186,24 +201,24 @@
 
 /* A machine is transferred between shards, and its new page is read ahead of the watch, which then tells of the
  * transfer. */
-static void read_ahead(void **state) {
+static void page_read_ahead_of_the_watch_is_not_undone(void **state) {
     (void)state;
     cJSON *page = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-009005\",\"\",0,0,0,0,1,\"\"]]}"),
           *none = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[]}"),
           *transfer = cJSON_Parse("{\"share\":1,\"fence\":3,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\"}");
-    int64_t at = mod_revision += 10;
+    int64_t revision = mod_revision += 10;
     store_lock();
-    store_apply("fleet/0/98", page, at);
-    store_apply("fleet/1/98", page, at + 5); /* the newest, read on its own */
-    store_apply("fleet/0/98", none, at + 2);
-    store_apply("machine/i-009005", transfer, at + 2);
-    store_apply("fleet/1/98", page, at + 4);
-    store_apply("machine/i-009005", NULL, at + 4);
-    struct machine *m = machines_find("i-009005");
-    assert_non_null(m);
-    assert_int_equal(m->shard, 1);
-    assert_int_equal(m->page, 98);
-    store_apply("fleet/1/98", NULL, at + 6);
+    store_apply("fleet/0/98", page, revision);
+    store_apply("fleet/1/98", page, revision + 5); /* the newest, read on its own */
+    store_apply("fleet/0/98", none, revision + 2);
+    store_apply("machine/i-009005", transfer, revision + 2);
+    store_apply("fleet/1/98", page, revision + 4);
+    store_apply("machine/i-009005", NULL, revision + 4);
+    struct machine *machine = machines_find("i-009005");
+    assert_non_null(machine);
+    assert_int_equal(machine->shard, 1);
+    assert_int_equal(machine->page, 98);
+    store_apply("fleet/1/98", NULL, revision + 6);
     assert_null(machines_find("i-009005"));
     store_unlock();
     mod_revision += 10;
@@ -213,7 +228,7 @@
 }
 
 /* A page that can't be read in full takes nobody off the record: what runs there would be started again. */
-static void unreadable(void **state) {
+static void unreadable_page_removes_no_machine(void **state) {
     (void)state;
     static const struct {
         const char *what, *page;
@@ -257,8 +272,11 @@
     placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
-    const struct CMUnitTest tests[] = {cmocka_unit_test(pages),          cmocka_unit_test(passes),
-                                       cmocka_unit_test(recorded_twice), cmocka_unit_test(read_ahead),
-                                       cmocka_unit_test(unreadable),     cmocka_unit_test(first_layout)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(large_fleet_fits_its_pages_and_is_read_back),
+                                       cmocka_unit_test(transfer_is_followed_in_either_order),
+                                       cmocka_unit_test(later_page_holds_when_two_list_a_machine),
+                                       cmocka_unit_test(page_read_ahead_of_the_watch_is_not_undone),
+                                       cmocka_unit_test(unreadable_page_removes_no_machine),
+                                       cmocka_unit_test(first_layout_is_refused_as_a_whole)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- /dev/null
+++ b/src/machines/page_migration.c
@@ -0,0 +1,24 @@
+#include "page_migration.h"
+
+#include <string.h>
+
+#include "page_assignment.h"
+
+static bool stale[SHARDS_MAX][MACHINE_PAGES_MAX];
+
+void machines_oversized_pages(int shard, bool oversized[MACHINE_PAGES_MAX]) {
+    memset(oversized, 0, MACHINE_PAGES_MAX * sizeof *oversized);
+    if (!machines_page_limit_falls()) return;
+    struct shard_page_fills fills;
+    machines_page_fills(shard, &fills);
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++)
+        oversized[page] = !machines_page_fits_next_limit(&fills.pages[page]);
+}
+
+bool machines_page_stale(int shard, int page) { return stale[shard][page]; }
+
+void machines_page_mark_stale(int shard, int page) {
+    if (page >= 0 && page < MACHINE_PAGES_MAX) stale[shard][page] = true;
+}
+
+void machines_page_clear_stale(int shard, int page) { stale[shard][page] = false; }
--- a/src/model/allocation.h
+++ b/src/model/allocation.h
@@ -7,6 +7,8 @@
 #include <stdint.h>
 #include <time.h>
 
+#define TASK_NAME_SIZE 96 /* JOB/TASK, with the terminating zero */
+
 struct job;
 struct machine;
 
@@ -35,7 +37,7 @@
 
 /* A task that the machine lists and that has no allocation. */
 struct unknown_task {
-    char task[96];
+    char task[TASK_NAME_SIZE];
     int64_t attempt;
     bool ended;
 };
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -7,6 +7,7 @@
 #include <stdint.h>
 #include <time.h>
 
+#define JOB_ID_SIZE 64 /* with the terminating zero */
 #define JOB_TASKS_MAX 100000
 
 enum job_kind { JOB_ARRAY, JOB_GANG, JOB_SERVICE };
@@ -15,7 +16,7 @@
 
 /* The submission. Amounts are those of one task. */
 struct job_spec {
-    char job_id[64];
+    char job_id[JOB_ID_SIZE];
     char *job_class, *image;
     char *zone;           /* the only one allowed; NULL: any */
     char **machine_types; /* those allowed; NULL: any */
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,4 +1,5 @@
-/* A machine: what its record says, and what the owner of its shard knows of it. Types only; guarded by store_lock. */
+/* A machine: what its record says, and what the owner of its shard knows of it. Types only; guarded by store_lock.
+ * Times of day are seconds since 1970; struct timespec are instants of the steady clock. */
 #ifndef FF_MODEL_MACHINE_H
 #define FF_MODEL_MACHINE_H
 #include <glib.h>
@@ -9,14 +10,19 @@
 #include "allocation.h"
 #include "machine_type.h"
 
+/* Sizes of strings, with the terminating zero. */
+#define MACHINE_ID_SIZE 64
+#define MACHINE_ADDRESS_SIZE 64
+#define ZONE_NAME_SIZE 64
+
 #define MACHINE_OCCUPANCY_SAMPLES 64
-#define MACHINE_TASKS_MAX 200 /* allocated on a machine at a time: reports and answers stay far below 64 KiB */
+#define MACHINE_TASKS_MAX 200 /* allocated on a machine at a time: heartbeats and responses stay far below 64 KiB */
 #define MACHINE_PAGES_MAX 256 /* a shard's pages are numbered below this */
 
 /* What the machine's agent has shown of itself. Kept by workers. */
 struct machine_agent {
     int64_t incarnation, sequence; /* of the newest message; 0: none yet */
-    int64_t seen_token;            /* the highest token that it has shown */
+    int64_t seen_token;            /* the highest fencing token that it has shown */
     GArray *unknown_tasks;         /* struct unknown_task: what it lists that has no allocation */
 };
 
@@ -26,29 +32,32 @@
     struct timespec last_heard;     /* by a heartbeat or a direct answer */
     struct timespec last_heartbeat; /* by a heartbeat */
     int unanswered_probes;          /* in a row, since it was last heard */
-    bool heartbeat_acknowledged;    /* its last heartbeat got a 200 under the token it should show by now */
-    int ignored_responses;          /* heartbeats in a row that show nothing of what we answered */
-    double preemption_notice_s;     /* the cloud takes it back in so many seconds; < 0: no notice */
+    bool heartbeat_acknowledged;    /* its last heartbeat got a 200 under the fencing token it should show by now */
+    int ignored_responses;          /* heartbeats in a row that show nothing of our responses */
+    double preemption_notice_s;     /* the cloud reclaims it in so many seconds; < 0: no notice */
     struct timespec notice_received;
 };
 
 /* Directives sent straight to it. Kept by workers. */
 struct machine_commands {
     bool wake;              /* something is to be sent */
-    bool needs_token_probe; /* it is to be shown our token, and asked for its tasks */
+    bool needs_token_probe; /* it is to be shown our fencing token, and asked for its tasks */
     bool in_flight;
     bool probe_in_flight; /* what is in flight carries no directives */
     struct timespec last_probe;
     bool outcome_unknown; /* a start's outcome is not known: it may yet be carried out, under these two */
     int64_t unknown_token, unknown_incarnation;
-    bool needs_token_raise;    /* only a higher token rules that start out */
+    bool needs_token_raise;    /* only a higher fencing token rules that start out */
     int64_t start_incarnation; /* the latest of it in which a response to a heartbeat carried starts; 0: none */
     struct timespec stops_requested_at; /* when, not being its owner, we last asked it to stop tasks */
 };
 
-/* Window of the latest samples: per component (vcpus, memory, gpus), the part that is allocated. */
+/* The components of a sample of occupancy. */
+enum occupancy_component { OCCUPANCY_VCPUS, OCCUPANCY_MEMORY, OCCUPANCY_GPUS, OCCUPANCY_COMPONENTS };
+
+/* Window of the latest samples: per component, the part of the machine that is allocated, from 0 to 1. */
 struct machine_occupancy {
-    double samples[MACHINE_OCCUPANCY_SAMPLES][3];
+    double samples[MACHINE_OCCUPANCY_SAMPLES][OCCUPANCY_COMPONENTS];
     int n_samples; /* so far; the latest overwrite the oldest */
 };
 
@@ -67,7 +76,7 @@
     struct timespec since;
 };
 
-/* Scratch of one scheduling round. Kept by the scheduler. */
+/* Working values of one scheduling round. Kept by the scheduler. */
 struct machine_round {
     bool schedulable;
     bool dirty;         /* the round allocates on it or releases from it */
@@ -79,9 +88,11 @@
     int used_tasks;
 };
 
+/* A machine. The members that no comment gives to another package are kept by machines. */
 struct machine {
-    char id[64];
-    char address[64], type_name[64], zone[64];
+    char id[MACHINE_ID_SIZE];
+    char address[MACHINE_ADDRESS_SIZE]; /* HOST:PORT of its agent; empty: not known */
+    char type_name[TYPE_NAME_SIZE], zone[ZONE_NAME_SIZE];
     const struct machine_type *type; /* NULL: not known yet */
     bool spot;
     double created_at;      /* time of day of the rental */
@@ -98,7 +109,7 @@
     int64_t fencing_token;            /* its own, from adoption or a raise; the shard's may be higher */
     bool address_unrecorded;          /* its address is known, but not on record */
 
-    /* What the owner of its shard knows: valid under this token of the shard only. */
+    /* What the owner of its shard knows: valid under this fencing token of the shard only. */
     int64_t owned_token;
     struct timespec owned_since;
     struct machine_agent agent;
@@ -114,18 +125,18 @@
     GPtrArray *failed_jobs;       /* struct job; NULL: none */
 };
 
-/* A machine that was rented or found, and is not recorded yet. */
-struct unregistered_machine { /* rented or found, not yet recorded */
-    char id[64], address[64], type_name[64], zone[64];
+/* A machine that was rented or adopted, and is not recorded yet. */
+struct unregistered_machine {
+    char id[MACHINE_ID_SIZE], address[MACHINE_ADDRESS_SIZE], type_name[TYPE_NAME_SIZE], zone[ZONE_NAME_SIZE];
     bool spot;
     int shard;
     double created_at;
-    int page; /* scratch of a round: where it is to be recorded, -1: not yet */
+    int page; /* working value of a round: where it is to be recorded, -1: not yet */
 };
 
 /* Machines of one kind that are wanted in a zone, for a shard. */
 struct rental_request {
-    char type_name[64], zone[64];
+    char type_name[TYPE_NAME_SIZE], zone[ZONE_NAME_SIZE];
     bool spot;
     int count, shard;
     int weight; /* how much waits for it */
--- a/src/scheduler/commit_pages.c
+++ b/src/scheduler/commit_pages.c
@@ -8,6 +8,9 @@
 
 #include "../clock/clock.h"
 #include "../json/json.h"
+#include "../machines/page_assignment.h"
+#include "../machines/page_migration.h"
+#include "../machines/records.h"
 #include "../membership/membership.h"
 #include "../rebalancing/rebalancing.h"
 #include "round.h"
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -12,6 +12,7 @@
 #include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "json/json.h"
+#include "machines/page_migration.h"
 #include "placement/placement.h"
 #include "scheduler/scheduler.h"
 #include "schema_version/schema_version.h"
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -8,6 +8,7 @@
 #include "../events/events.h"
 #include "../http/server.h"
 #include "../json/json.h"
+#include "../machines/occupancy.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "internal.h"
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -9,6 +9,8 @@
 #include "clock/clock.h"
 #include "json/json.h"
 #include "logging/logging.h"
+#include "machines/page_assignment.h"
+#include "machines/records.h"
 #include "site.h"
 
 int64_t owned_next_stamp(void) {
@@ -41,7 +43,9 @@
 struct machine *owned_machine(const char *id, const char *zone, bool spot) {
     machines_rented(0, id, "g16", zone, spot);
     struct unregistered_machine *n = g_hash_table_lookup(machines_unregistered(), id);
-    int page = n->page = machines_page_for(0, id), count;
+    struct shard_page_fills fills;
+    machines_page_fills(0, &fills);
+    int page = n->page = machines_page_fills_add(&fills, id), count;
     cJSON *v = machines_page_value(0, page, &count);
     char key[32];
     g_snprintf(key, sizeof key, "fleet/0/%d", page);
