--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -234,8 +234,8 @@
 static bool may_be_dear(struct shard_plan *p, const struct job *j, bool within) {
     if (!j->spec.allows_spot) return true;
     p->backlog += MAX(j->spec.runtime_s, 1) * j->spec.gpus;
-    double wanted = settings_within(cfg, AIM_FINISHED, j->spec.job_class, 120);
-    return within || (p->slots > 0 && p->backlog / p->slots > cfg->tuning.dear_backlog * wanted);
+    double wanted = settings_objective_within(cfg, OBJECTIVE_FINISHED, j->spec.job_class, 120);
+    return within || (p->slots > 0 && p->backlog / p->slots > cfg->tuning.spot_backlog * wanted);
 }
 
 /* One task: a place on what is there or on its way, else one more machine. site: where the job's tasks have to be, set
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -31,7 +31,8 @@
 static void reset_urgency(struct job *j) {
     j->priority = j->spec.priority;
     /* Where no aim of its class counts deadlines, its other aims say what is wanted. */
-    bool counts = j->known && j->spec.deadline_s > 0 && settings_has_aim(cfg, AIM_DEADLINE, j->spec.job_class);
+    bool counts =
+        j->known && j->spec.deadline_s > 0 && settings_has_objective(cfg, OBJECTIVE_DEADLINE, j->spec.job_class);
     j->deadline = counts ? j->submitted + j->spec.deadline_s : INFINITY;
 }
 
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -231,11 +231,10 @@
 }
 
 int main(void) {
-    char err[256];
     char *text = site_with(SITE_JSON, "\"workers\":",
                            "\"objectives\":[{\"kind\":\"deadline\",\"class\":\"c\",\"share\":0.9,\"times\":1}],"
                            "\"workers\":");
-    bool ok = settings_parse(text, "f.json", &cfg, err, sizeof err);
+    bool ok = settings_parse(text, "f.json", &cfg, NULL);
     g_free(text);
     if (!ok) return 1;
     logging_init("fatal");
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -203,8 +203,7 @@
 }
 
 int main(void) {
-    char err[256];
-    if (!settings_parse(SITE_JSON, "f.json", &cfg, err, sizeof err)) return 1;
+    if (!settings_parse(SITE_JSON, "f.json", &cfg, NULL)) return 1;
     store_init(&cfg);
     membership_init(&cfg);
     jobs_init(&cfg);
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -256,8 +256,7 @@
 }
 
 int main(void) {
-    char err[256];
-    if (!settings_parse(SITE_JSON, "f.json", &cfg, err, sizeof err)) return 1;
+    if (!settings_parse(SITE_JSON, "f.json", &cfg, NULL)) return 1;
     logging_init("fatal");
     store_init(&cfg);
     membership_init(&cfg);
--- a/src/main.c
+++ b/src/main.c
@@ -1,8 +1,7 @@
-/* The command line. */
+/* The command line: reads the settings, starts the service, and logs its status from then on. */
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
-#include <string.h>
 #include <unistd.h>
 
 #include "logging/logging.h"
@@ -10,60 +9,70 @@
 #include "settings/settings.h"
 
 #define VERSION "0.1.0"
+#define STATUS_INTERVAL_S 10
 
-static struct settings cfg;
+/* Exit statuses. */
+enum { EXIT_CANNOT_LISTEN = 1, EXIT_USAGE = 2 };
 
-int main(int argc, char **argv) {
-    gchar *config = NULL, *quota = NULL;
-    gboolean check = FALSE, version = FALSE;
-    GOptionEntry entries[] = {
-        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &config, "the platform's settings (JSON)", "FILE"},
-        {"quota", 0, 0, G_OPTION_ARG_FILENAME, &quota, "which teams are divided (HCL), see docs/quota.md", "FILE"},
-        {"check", 0, 0, G_OPTION_ARG_NONE, &check, "check the settings and end", NULL},
-        {"version", 0, 0, G_OPTION_ARG_NONE, &version, "print the version and end", NULL},
+struct options {
+    gchar *config, *quota;
+    gboolean check, version;
+};
+
+static int usage_error(const char *message) {
+    fprintf(stderr, "fieldfield: %s\n", message);
+    return EXIT_USAGE;
+}
+
+static bool parse_options(int *argc, char ***argv, struct options *out, GError **error) {
+    const GOptionEntry entries[] = {
+        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &out->config, "the platform's settings (JSON)", "FILE"},
+        {"quota", 0, 0, G_OPTION_ARG_FILENAME, &out->quota, "which teams are divided (HCL), see docs/quota.md", "FILE"},
+        {"check", 0, 0, G_OPTION_ARG_NONE, &out->check, "check the settings and end", NULL},
+        {"version", 0, 0, G_OPTION_ARG_NONE, &out->version, "print the version and end", NULL},
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
-    GError *e = NULL;
-    GOptionContext *o = g_option_context_new("- a cluster scheduler");
+    g_autoptr(GOptionContext) context = g_option_context_new("- a cluster scheduler");
     g_option_context_set_description(
-        o,
+        context,
         "Operators' own settings (HCL) are read from the file that FIELDFIELD_TUNING names; FIELDFIELD_QUOTA\n"
         "names the file that --quota does.\n"
         "LOG_LEVEL is error, info or debug.");
-    g_option_context_add_main_entries(o, entries, NULL);
-    if (!g_option_context_parse(o, &argc, &argv, &e)) {
-        fprintf(stderr, "fieldfield: %s\n", e->message);
-        return 2;
-    }
-    g_option_context_free(o);
-    if (version) {
-        puts("fieldfield " VERSION);
-        return 0;
-    }
-    if (!config || argc > 1) {
-        fprintf(stderr, "fieldfield: --config FILE is needed (see --help)\n");
-        return 2;
-    }
-    if (quota) g_setenv("FIELDFIELD_QUOTA", quota, TRUE);
-    char err[512];
-    if (!settings_load(config, &cfg, err, sizeof err)) {
-        fprintf(stderr, "fieldfield: %s\n", err);
-        return 2;
-    }
-    if (check) {
-        puts("settings are good");
-        settings_clear(&cfg);
-        return 0;
-    }
+    g_option_context_add_main_entries(context, entries, NULL);
+    return g_option_context_parse(context, argc, argv, error);
+}
+
+/* Runs until the process is killed; returns only where it can't listen. */
+static int run(const struct settings *settings) {
     logging_init(getenv("LOG_LEVEL"));
-    log_info("fieldfield " VERSION " on %s", cfg.node);
-    service_init(&cfg);
-    if (!service_start(&cfg)) {
+    log_info("fieldfield " VERSION " on %s", settings->node);
+    service_init(settings);
+    if (!service_start(settings)) {
         fprintf(stderr, "fieldfield: bind or cluster_listen: cannot listen\n");
-        return 1;
+        return EXIT_CANNOT_LISTEN;
     }
     for (;;) {
-        sleep(10);
-        service_tell();
+        sleep(STATUS_INTERVAL_S);
+        service_log_status();
+    }
+}
+
+int main(int argc, char **argv) {
+    static struct settings settings; /* lives as long as the threads that read it */
+    struct options options = {NULL, NULL, FALSE, FALSE};
+    g_autoptr(GError) error = NULL;
+    if (!parse_options(&argc, &argv, &options, &error)) return usage_error(error->message);
+    if (options.version) {
+        puts("fieldfield " VERSION);
+        return EXIT_SUCCESS;
+    }
+    if (!options.config || argc > 1) return usage_error("--config FILE is needed (see --help)");
+    if (options.quota) g_setenv("FIELDFIELD_QUOTA", options.quota, TRUE);
+    if (!settings_load(options.config, &settings, &error)) return usage_error(error->message);
+    if (options.check) {
+        puts("settings are good");
+        settings_clear(&settings);
+        return EXIT_SUCCESS;
     }
+    return run(&settings);
 }
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -93,8 +93,7 @@
 
 int main(void) {
     static struct settings s;
-    char err[256];
-    if (!settings_parse(SITE_JSON, "f.json", &s, err, sizeof err)) return 1;
+    if (!settings_parse(SITE_JSON, "f.json", &s, NULL)) return 1;
     store_init(&s);
     membership_init(&s);
     const struct CMUnitTest tests[] = {cmocka_unit_test(plan), cmocka_unit_test(mirror_order),
--- a/src/preemption/preemption.c
+++ b/src/preemption/preemption.c
@@ -88,7 +88,7 @@
     }
     if (!best) return false;
     f = best->type;
-    double quick = settings_within(cfg, AIM_WAIT, j->spec.job_class, 60);
+    double quick = settings_objective_within(cfg, OBJECTIVE_WAIT, j->spec.job_class, 60);
     /* Those whose start has counted first, and of them the youngest: they lose least. */
     for (guint n = 2 * best->allocations->len; n-- > 0;) {
         struct allocation *x = best->allocations->pdata[n % best->allocations->len];
@@ -156,7 +156,8 @@
 /* Whether a fetch would make the job miss the wait that its users accept. */
 bool preemption_fetch_too_slow(const struct job *j, const struct machine *m) {
     return !g_hash_table_contains(m->images, j->spec.image) && m->type &&
-           j->spec.image_gb / MAX(m->type->fetch_rate, 1e-3) > settings_within(cfg, AIM_WAIT, j->spec.job_class, 1e9);
+           j->spec.image_gb / MAX(m->type->fetch_rate, 1e-3) >
+               settings_objective_within(cfg, OBJECTIVE_WAIT, j->spec.job_class, 1e9);
 }
 
 /* An ordinary machine whose tasks would all make way. */
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -16,8 +16,10 @@
 #define NO_AIM_S 300.0 /* where no class has an aim */
 
 bool priority_has_objective(const struct job *j) {
-    for (int kind = AIM_WAIT; kind <= AIM_DEADLINE; kind++)
-        if (kind != AIM_GUARANTEE && settings_has_aim(cfg, (enum settings_aim)kind, j->spec.job_class)) return true;
+    for (int kind = OBJECTIVE_WAIT; kind <= OBJECTIVE_DEADLINE; kind++)
+        if (kind != OBJECTIVE_GUARANTEE &&
+            settings_has_objective(cfg, (enum settings_objective_kind)kind, j->spec.job_class))
+            return true;
     return false;
 }
 
@@ -25,7 +27,7 @@
 static double longest_aim(void) {
     double longest = 0;
     for (int i = 0; i < cfg->n_objectives; i++)
-        if (cfg->objectives[i].kind == AIM_FINISHED) longest = MAX(longest, cfg->objectives[i].within_s);
+        if (cfg->objectives[i].kind == OBJECTIVE_FINISHED) longest = MAX(longest, cfg->objectives[i].within_s);
     return longest > 0 ? longest : NO_AIM_S;
 }
 
@@ -41,7 +43,7 @@
         double next = -1;
         for (int i = 0; i < cfg->n_objectives; i++) {
             const struct settings_objective *o = &cfg->objectives[i];
-            if (o->kind == AIM_FINISHED && strcmp(o->job_class, j->spec.job_class) == 0 && o->within_s > after &&
+            if (o->kind == OBJECTIVE_FINISHED && strcmp(o->job_class, j->spec.job_class) == 0 && o->within_s > after &&
                 (next < 0 || o->within_s < next))
                 next = o->within_s;
         }
@@ -49,7 +51,8 @@
         if (age + j->spec.runtime_s <= next) return j->ready + next;
         after = last = next;
     }
-    if (last <= 0 && priority_has_objective(j)) return j->ready + settings_within(cfg, AIM_WAIT, j->spec.job_class, 0);
+    if (last <= 0 && priority_has_objective(j))
+        return j->ready + settings_objective_within(cfg, OBJECTIVE_WAIT, j->spec.job_class, 0);
     /* Nobody expects it by a time: it takes turns with what is late for the last of all times. Due at once, a guest's
      * arrays without an aim once kept those with one waiting for 400 s. */
     if (last <= 0) last = longest_aim();
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -67,7 +67,7 @@
 
 /* Room is held back for one job at a time and not for long: a job that gathers in vain must not idle its team. */
 static void keep_gatherer(struct quota_team *t, const struct job *j) {
-    double most = clock_to_seconds(quota_settings->quota.gather);
+    double most = clock_to_seconds(quota_settings->quota.reservation_timeout);
     if (!j) {
         t->reservation_holder[0] = 0;
         return;
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -354,7 +354,7 @@
         {"so old that its turn has come", 590, 10, false},
         {"it has missed that and steps back, like all late work", 900, 10, true},
     };
-    cfg.objectives[0] = (struct settings_objective){AIM_FINISHED, (char *)"expected", 400, 0.9};
+    cfg.objectives[0] = (struct settings_objective){OBJECTIVE_FINISHED, (char *)"expected", 400, 0.9};
     cfg.n_objectives = 1;
     for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
         char job_id[2][32];
@@ -424,9 +424,8 @@
 }
 
 int main(void) {
-    char err[256];
     char *text = site_json();
-    if (!settings_parse(text, "f.json", &cfg, err, sizeof err) || !standin_state_start(cfg.state)) return 1;
+    if (!settings_parse(text, "f.json", &cfg, NULL) || !standin_state_start(cfg.state)) return 1;
     g_free(text);
     owned_start(&cfg);
     store_lock();
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -244,10 +244,9 @@
 }
 
 int main(void) {
-    char err[256];
     char *text = site_json();
     char *next = site_with(text, "\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4}");
-    if (!settings_parse(next, "f.json", &cfg, err, sizeof err) || !standin_state_start(cfg.state)) return 1;
+    if (!settings_parse(next, "f.json", &cfg, NULL) || !standin_state_start(cfg.state)) return 1;
     g_free(text);
     g_free(next);
     owned_start(&cfg);
--- a/src/schema_version/schema_version_test.c
+++ b/src/schema_version/schema_version_test.c
@@ -92,8 +92,7 @@
 }
 
 int main(void) {
-    char err[256];
-    if (!settings_parse(SITE_JSON, "f.json", &cfg, err, sizeof err)) return 1;
+    if (!settings_parse(SITE_JSON, "f.json", &cfg, NULL)) return 1;
     logging_init("fatal");
     store_init(&cfg);
     schema_version_init(&cfg);
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -279,12 +279,11 @@
 }
 
 int main(void) {
-    char err[256];
     char *text =
         site_with(SITE_JSON, "\"report_s\":3,\"lease_s\":20,\"gang_wait_s\":30,\"gang_peer_s\":5,\"cancel_s\":40",
                   "\"report_s\":0.3,\"lease_s\":20,\"gang_wait_s\":30,\"gang_peer_s\":5,\"cancel_s\":40");
     char *quick = site_with(text, "{\"rps\":2,", "{\"rps\":50,");
-    if (!settings_parse(quick, "f.json", &cfg, err, sizeof err)) return 1;
+    if (!settings_parse(quick, "f.json", &cfg, NULL)) return 1;
     g_free(text);
     g_free(quick);
     cfg.state_rps = 1000;
--- /dev/null
+++ b/src/service/status.c
@@ -0,0 +1,42 @@
+/* The periodic lines of the log: what this controller has to do, and how it stands with the store and the users. */
+#include "../api/api.h"
+#include "../clock/clock.h"
+#include "../jobs/jobs.h"
+#include "../logging/logging.h"
+#include "../machines/machines.h"
+#include "../quota/quota.h"
+#include "../store/store.h"
+#include "service.h"
+
+#define INTERVAL_S 10.0 /* between two calls */
+
+static void log_load(void) {
+    static unsigned sent_before;
+    unsigned sent = store_budget_requests_sent();
+    int responses;
+    double median_ms, p95_ms;
+    api_latency(&responses, &median_ms, &p95_ms);
+    store_lock();
+    log_info(
+        "status: %u unfinished jobs, %u machines, store %.1f requests/s (rate factor %.1f, of writes %.1f), store read "
+        "%.1f s ago, %d responses to users (median %.1f ms, p95 %.1f ms)",
+        jobs_active()->len, machines_all()->len, (sent - sent_before) / INTERVAL_S, store_budget_rate_factor(false),
+        store_budget_rate_factor(true), clock_seconds_since(store_last_read()), responses, median_ms, p95_ms);
+    quota_log_status();
+    store_unlock();
+    sent_before = sent;
+}
+
+static void log_writes(void) {
+    static struct store_write_counts before;
+    struct store_write_counts now = store_writes_counted();
+    log_info("writes in 10 s: %u jobs, %u allocations, %u releases, %u machine pages, %u others",
+             now.jobs - before.jobs, now.allocations - before.allocations, now.releases - before.releases,
+             now.pages - before.pages, now.others - before.others);
+    before = now;
+}
+
+void service_log_status(void) {
+    log_load();
+    log_writes();
+}
--- /dev/null
+++ b/src/settings/reader.c
@@ -0,0 +1,25 @@
+#include "reader.h"
+
+#include <stdio.h>
+
+#define LINE_NAME_BYTES 32
+
+G_DEFINE_QUARK(fieldfield - settings - error - quark, settings_error)
+
+void settings_reader_fail(struct settings_reader *reader, enum settings_error code, const char *field,
+                          const char *what) {
+    if (!reader->failed)
+        g_set_error(reader->error, SETTINGS_ERROR, (gint)code, "%s: %s: %s", reader->file, field, what);
+    reader->failed = true;
+}
+
+/* libconfig reads the form: no reader of HCL is packaged for C, and this is its nearest kin. */
+bool settings_reader_parse_hcl(struct settings_reader *reader, config_t *config, const char *hcl) {
+    config_set_options(config, CONFIG_OPTION_AUTOCONVERT);
+    if (config_read_string(config, hcl)) return true;
+    char line[LINE_NAME_BYTES];
+    snprintf(line, sizeof line, "line %d", config_error_line(config));
+    settings_reader_fail(reader, SETTINGS_ERROR_SYNTAX, line, config_error_text(config));
+    config_destroy(config);
+    return false;
+}
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -9,8 +9,8 @@
 static void good_settings(void **state) {
     (void)state;
     struct settings s;
-    char err[256];
-    assert_true(settings_parse(SITE_JSON, "f.json", &s, err, sizeof err));
+    g_autoptr(GError) error = NULL;
+    assert_true(settings_parse(SITE_JSON, "f.json", &s, &error));
     assert_int_equal(s.n_teams, 3);
     assert_int_equal(s.n_seeds, 1);
     assert_int_equal(s.cancel.tv_sec, 40);
@@ -38,17 +38,17 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct settings s;
-        char err[256] = "";
+        g_autoptr(GError) error = NULL;
         char *text = site_with(SITE_JSON, rows[i].from, rows[i].to);
-        assert_false(settings_parse(text, "f.json", &s, err, sizeof err));
-        assert_non_null(strstr(err, "f.json: "));
-        assert_non_null(strstr(err, rows[i].field));
+        assert_false(settings_parse(text, "f.json", &s, &error));
+        assert_non_null(strstr(error->message, "f.json: "));
+        assert_non_null(strstr(error->message, rows[i].field));
         settings_clear(&s);
         g_free(text);
     }
     struct settings s;
-    char err[256];
-    assert_false(settings_parse("[1]", "f.json", &s, err, sizeof err));
+    g_autoptr(GError) error = NULL;
+    assert_false(settings_parse("[1]", "f.json", &s, &error));
 }
 
 /* Limits that the state service will have some day: each may be left out, and none is above the present one. */
@@ -71,11 +71,12 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct settings s;
-        char err[256] = "", *to = g_strdup_printf("\"txn_ops\":8,\"next\":%s", rows[i].next);
+        g_autoptr(GError) error = NULL;
+        char *to = g_strdup_printf("\"txn_ops\":8,\"next\":%s", rows[i].next);
         char *text = site_with(SITE_JSON, "\"txn_ops\":8", to);
-        bool ok = settings_parse(text, "f.json", &s, err, sizeof err);
+        bool ok = settings_parse(text, "f.json", &s, &error);
         assert_int_equal(ok, rows[i].wrong == NULL);
-        if (rows[i].wrong) assert_non_null(strstr(err, rows[i].wrong));
+        if (rows[i].wrong) assert_non_null(strstr(error->message, rows[i].wrong));
         if (ok) {
             assert_float_equal(s.state_write_rps, rows[i].write_rps, 1e-9);
             assert_float_equal(s.value_kb, rows[i].value_kb, 1e-9);
@@ -99,13 +100,13 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct settings_tuning t;
-        char err[256] = "";
-        assert_int_equal(settings_parse_tuning(rows[i].text, "t.hcl", &t, err, sizeof err), rows[i].wrong == NULL);
-        if (rows[i].wrong) assert_non_null(strstr(err, rows[i].wrong));
+        g_autoptr(GError) error = NULL;
+        assert_int_equal(settings_parse_tuning(rows[i].text, "t.hcl", &t, &error), rows[i].wrong == NULL);
+        if (rows[i].wrong) assert_non_null(strstr(error->message, rows[i].wrong));
     }
     struct settings_tuning t;
-    char err[256];
-    assert_true(settings_parse_tuning("reception = 0.25\ndrain_reopen = 90\n", "t.hcl", &t, err, sizeof err));
+    g_autoptr(GError) error = NULL;
+    assert_true(settings_parse_tuning("reception = 0.25\ndrain_reopen = 90\n", "t.hcl", &t, &error));
     assert_float_equal(t.reception, 0.25, 1e-9);
     assert_float_equal(t.admission, 0.8, 1e-9);
     assert_int_equal(t.drain_reopen.tv_sec, 90);
@@ -137,13 +138,13 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct settings s;
-        char err[256] = "";
-        assert_true(settings_parse(SITE_JSON, "f.json", &s, err, sizeof err));
-        bool ok = settings_parse_quota(rows[i].text, "quota.hcl", &s, err, sizeof err);
+        g_autoptr(GError) error = NULL;
+        assert_true(settings_parse(SITE_JSON, "f.json", &s, &error));
+        bool ok = settings_parse_quota(rows[i].text, "quota.hcl", &s, &error);
         if (ok != (rows[i].wrong == NULL)) fail_msg("%s", rows[i].text);
         if (rows[i].wrong) {
-            assert_non_null(strstr(err, "quota.hcl"));
-            assert_non_null(strstr(err, rows[i].wrong));
+            assert_non_null(strstr(error->message, "quota.hcl"));
+            assert_non_null(strstr(error->message, rows[i].wrong));
         }
         for (int t = 0; ok && t < 3; t++) assert_int_equal(s.teams[t].shards, rows[i].shards[t]);
         settings_clear(&s);
--- /dev/null
+++ b/src/settings/tuning_file.c
@@ -0,0 +1,84 @@
+/* The operators' own settings: `name = value` lines, each with a default and bounds (docs/operations.md). */
+#include <stddef.h>
+#include <string.h>
+
+#include "../clock/clock.h"
+#include "reader.h"
+
+const struct settings_tuning settings_tuning_defaults = {
+    .reception = 0.5,
+    .admission = 0.8,
+    .margin = 1.5,
+    .window = 6,
+    .drain_reopen = {60, 0},
+    .silent_return = {8, 0},
+    .node_lease = {2, 500000000},
+    .watch_gap = {0, 80000000},
+    .machines_per_shard = 5000, /* one team may hold nearly all of a fleet, with room for one twice as large */
+    .spot_backlog = 1.5,
+};
+
+enum field_type { FIELD_NUMBER, FIELD_DURATION };
+
+/* A setting: its name in the file, its bounds in the file's unit, and the member that it goes to. */
+struct tuning_field {
+    const char *name;
+    double at_least, at_most;
+    enum field_type type;
+    size_t offset;
+};
+
+static const struct tuning_field tuning_fields[] = {
+    {"reception", 0, 1, FIELD_NUMBER, offsetof(struct settings_tuning, reception)},
+    {"admission", 0.05, 1.01, FIELD_NUMBER, offsetof(struct settings_tuning, admission)},
+    {"margin", 0.5, 20, FIELD_NUMBER, offsetof(struct settings_tuning, margin)},
+    {"window", 1, 60, FIELD_NUMBER, offsetof(struct settings_tuning, window)},
+    {"drain_reopen", 5, 3600, FIELD_DURATION, offsetof(struct settings_tuning, drain_reopen)},
+    {"silent_return", 2, 3600, FIELD_DURATION, offsetof(struct settings_tuning, silent_return)},
+    {"node_lease", 1, 60, FIELD_DURATION, offsetof(struct settings_tuning, node_lease)},
+    {"watch_gap", 0, 5, FIELD_DURATION, offsetof(struct settings_tuning, watch_gap)},
+    {"machines_per_share", 1, 10000, FIELD_NUMBER, offsetof(struct settings_tuning, machines_per_shard)},
+    {"dear_backlog", 0, 100, FIELD_NUMBER, offsetof(struct settings_tuning, spot_backlog)},
+};
+
+static const struct tuning_field *find_field(const char *name) {
+    for (size_t i = 0; i < G_N_ELEMENTS(tuning_fields); i++)
+        if (strcmp(tuning_fields[i].name, name) == 0) return &tuning_fields[i];
+    return NULL;
+}
+
+static void store_value(const struct tuning_field *field, double value, struct settings_tuning *out) {
+    void *member = (char *)out + field->offset;
+    if (field->type == FIELD_DURATION) {
+        *(struct timespec *)member = clock_from_seconds(value);
+    } else {
+        *(double *)member = value;
+    }
+}
+
+static void read_setting(struct settings_reader *reader, const config_setting_t *setting, struct settings_tuning *out) {
+    const struct tuning_field *field = find_field(config_setting_name(setting));
+    if (!field) {
+        settings_reader_fail(reader, SETTINGS_ERROR_UNKNOWN, config_setting_name(setting), "no such setting");
+        return;
+    }
+    double value = config_setting_is_number(setting) ? config_setting_get_float(setting) : -1;
+    if (value >= field->at_least && value <= field->at_most) {
+        store_value(field, value, out);
+    } else {
+        settings_reader_fail(reader, SETTINGS_ERROR_OUT_OF_RANGE, field->name, "not a number within its bounds");
+    }
+}
+
+bool settings_parse_tuning(const char *hcl, const char *file, struct settings_tuning *out, GError **error) {
+    struct settings_reader reader = {file, error, false};
+    config_t config;
+    *out = settings_tuning_defaults;
+    config_init(&config);
+    if (!settings_reader_parse_hcl(&reader, &config, hcl)) return false;
+    const config_setting_t *root = config_root_setting(&config);
+    for (int i = 0; i < config_setting_length(root) && !reader.failed; i++)
+        read_setting(&reader, config_setting_get_elem(root, (unsigned)i), out);
+    config_destroy(&config);
+    return !reader.failed;
+}
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -180,9 +180,8 @@
 }
 
 int main(void) {
-    char err[256];
     char *text = site_json();
-    if (!settings_parse(text, "f.json", &cfg, err, sizeof err) || !standin_state_start(cfg.state)) return 1;
+    if (!settings_parse(text, "f.json", &cfg, NULL) || !standin_state_start(cfg.state)) return 1;
     g_free(text);
     store_init(&cfg);
     store_observe_prefix("z/", count_applied);
--- a/src/workers/workers_test.c
+++ b/src/workers/workers_test.c
@@ -538,9 +538,8 @@
 }
 
 int main(void) {
-    char err[256];
     char *text = site_json();
-    if (!settings_parse(text, "f.json", &cfg, err, sizeof err) || !standin_state_start(cfg.state)) return 1;
+    if (!settings_parse(text, "f.json", &cfg, NULL) || !standin_state_start(cfg.state)) return 1;
     g_free(text);
     owned_start(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(proofs),
--- a/tests/cluster/compound_failures_test.c
+++ b/tests/cluster/compound_failures_test.c
@@ -1,5 +1,5 @@
-/* Combinations of failures, two real controllers against stand-ins: docs/compound-failures.md says which is which. One row a run:
- * the stand-ins begin from nothing. Every row ends with what holds for all: no task ever on two machines. */
+/* Combinations of failures, two real controllers against stand-ins: docs/compound-failures.md says which is which. One
+ * row a run: the stand-ins begin from nothing. Every row ends with what holds for all: no task ever on two machines. */
 #include <glib.h>
 #include <pthread.h>
 #include <stdbool.h>
