--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -14,7 +14,7 @@
 #include "json/json.h"
 #include "liveness/liveness.h"
 #include "placement/placement.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/round.h"
 
 enum { MACHINES = 4, JOBS = 3 };
 
@@ -93,19 +93,19 @@
     store_lock();
     begin("batch", 30);
     for (int i = 0; i < MACHINES; i++) quarantine_record_failure(jobs[0], machines[i]);
-    struct scheduling_round *waiting = scheduler_decide(0, 20);
-    int planned_waiting = scheduler_planned_tasks(waiting, jobs[0]->spec.job_id);
-    scheduler_round_free(waiting);
+    struct scheduling_round *waiting = scheduling_round_decide(0, 20);
+    int planned_waiting = owned_planned_tasks(waiting, jobs[0]->spec.job_id);
+    scheduling_round_free(waiting);
     jobs[0]->retry_at = clock_now();
     /* The other two ask for more than there is: nothing is left for the suspect one, and it asks for no machine. */
-    struct scheduling_round *full = scheduler_decide(0, 20);
-    int planned_full = scheduler_planned_tasks(full, jobs[0]->spec.job_id);
+    struct scheduling_round *full = scheduling_round_decide(0, 20);
+    int planned_full = owned_planned_tasks(full, jobs[0]->spec.job_id);
     bool unplaced = jobs[0]->unplaced;
-    scheduler_round_free(full);
+    scheduling_round_free(full);
     jobs[1]->retry_at = jobs[2]->retry_at = clock_instant_in(clock_from_seconds(60));
-    struct scheduling_round *tried = scheduler_decide(0, 20);
-    int planned_tried = scheduler_planned_tasks(tried, jobs[0]->spec.job_id);
-    scheduler_round_free(tried);
+    struct scheduling_round *tried = scheduling_round_decide(0, 20);
+    int planned_tried = owned_planned_tasks(tried, jobs[0]->spec.job_id);
+    scheduling_round_free(tried);
     owned_clear();
     store_unlock();
     assert_int_equal(planned_waiting, 0);
--- a/src/scheduler/commit_jobs.c
+++ b/src/scheduler/commit_jobs.c
@@ -1,133 +1,114 @@
-/* What a round writes of jobs and their allocations. */
+/* What a scheduling round writes of jobs and their allocations. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
-#include <stdio.h>
-#include <stdlib.h>
-#include <string.h>
-#include <time.h>
 
 #include "../allocations/allocations.h"
-#include "../clock/clock.h"
 #include "../json/json.h"
-#include "../membership/membership.h"
 #include "round.h"
+#include "transactions.h"
 
-void scheduling_round_txn_free(gpointer p) {
-    store_txn_free(p);
-    g_free(p);
-}
-
-struct store_txn *scheduling_round_txn(struct scheduling_round *r, int writes, int comparisons) {
-    struct store_txn *t = r->transactions->len ? r->transactions->pdata[r->transactions->len - 1] : NULL;
-    if (!t || (r->isolated && t->writes > 0) || t->writes + writes > scheduler_settings->txn_ops ||
-        cJSON_GetArraySize(t->comparisons) + comparisons > scheduler_settings->txn_ops * 4) {
-        t = g_new0(struct store_txn, 1);
-        store_txn_init(t);
-        struct store_key key = store_key_shard(r->shard);
-        store_txn_compare(t, key.text, membership_shard(r->shard)->mod_revision);
-        g_ptr_array_add(r->transactions, t);
-    }
-    r->writes_left -= writes;
-    return t;
-}
-
-/* Keys whose write the service has refused as malformed, until when they are left alone: repeated unchanged it would be
- * refused again, and what else is to be written must not wait for it. */
-static GHashTable *refused_until; /* key -> struct timespec; made with the first */
+/* Bits of job->chunk_flags. */
+enum { CHUNK_RECORDED = 1, CHUNK_DIFFERS = 2 };
 
-bool scheduling_round_rejected_lately(const char *key) {
-    const struct timespec *until = refused_until ? g_hash_table_lookup(refused_until, key) : NULL;
-    return until && clock_seconds_since(*until) < 0;
-}
+/* What is to be done with a chunk's record. */
+enum chunk_need { CHUNK_AS_IT_IS, CHUNK_TO_COMPARE, CHUNK_TO_WRITE };
 
-void scheduling_round_note_rejected(const struct store_txn *t) {
-    const cJSON *op;
-    if (!refused_until) refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    cJSON_ArrayForEach(op, t->operations) {
-        const char *key = json_get_string(op, "set") ? json_get_string(op, "set") : json_get_string(op, "remove");
-        struct timespec *until = g_new0(struct timespec, 1);
-        *until = clock_instant_in(clock_from_seconds(REJECTED_KEY_PAUSE_S));
-        g_hash_table_replace(refused_until, g_strdup(key), until);
-    }
+static bool has_chunk_flag(const struct job *job, int chunk, uint8_t flag) {
+    return job->chunk_flags && (job->chunk_flags[chunk] & flag) != 0;
 }
 
-/* A change of a job's record of allocations, or its removal where nothing is to be kept. */
-static void add_run(struct store_txn *t, const struct job *j, int chunk, cJSON *value) {
-    struct store_key job_key = store_key_job(j->spec.job_id);
-    struct store_key key = store_key_allocations(j->spec.job_id, chunk);
+/* Puts a chunk's record, or deletes it (value NULL). Takes the value. */
+static void write_chunk(struct store_txn *transaction, const struct job *job, int chunk, cJSON *value) {
     /* Not if the job was cancelled meanwhile, and not over a newer record: a transaction whose answer was lost, or a
      * second copy of one that the connection's end made the client send again, may be carried out after later ones of
-     * ours. */
-    store_txn_compare(t, job_key.text, store_key_revision(job_key.text));
-    store_txn_compare(t, key.text, store_key_revision(key.text));
-    if (value)
-        store_txn_put(t, key.text, value, 0);
-    else
-        store_txn_delete(t, key.text);
+     * the same owner. */
+    struct store_key job_key = store_key_job(job->spec.job_id);
+    struct store_key key = store_key_allocations(job->spec.job_id, chunk);
+    store_txn_compare(transaction, job_key.text, store_key_revision(job_key.text));
+    store_txn_compare(transaction, key.text, store_key_revision(key.text));
+    if (value) {
+        store_txn_put(transaction, key.text, value, 0);
+    } else {
+        store_txn_delete(transaction, key.text);
+    }
 }
 
-/* Writes all records of a job in a new chunk size, in one transaction: each names it, and one with nothing to keep
- * stands as well, so that what the old records said of its tasks is replaced. */
-static void write_new_stretch(struct scheduling_round *r, struct job *j, int chunk_size) {
-    int chunks = chunks_count_of_size(j, chunk_size);
-    struct store_txn *t = scheduling_round_txn(r, chunks, chunks + 1);
-    for (int c = 0; c < chunks; c++) {
-        cJSON *value = allocations_value(j, c, chunk_size, r->plans, false);
+/* Writes all records of a job in a new chunk size, in one transaction: each names it, and one with nothing to keep is
+ * written as well, so that what the old records said of its tasks is replaced. */
+static void write_in_chunk_size(struct scheduling_round *round, const struct job *job, int chunk_size) {
+    int chunks = chunks_count_of_size(job, chunk_size);
+    struct store_txn *transaction = transactions_with_room(round, chunks, chunks + 1);
+    for (int chunk = 0; chunk < chunks; chunk++) {
+        cJSON *value = allocations_value(job, chunk, chunk_size, round->plans, false);
         if (!value) {
             value = cJSON_CreateObject();
             cJSON_AddNumberToObject(value, "n", chunk_size);
         }
-        add_run(t, j, c, value);
+        write_chunk(transaction, job, chunk, value);
     }
 }
 
 /* Whether anything of the job is to be kept on record. */
-static bool keeps_allocations(const struct scheduling_round *r, const struct job *j) {
-    if (allocations_count(j) > 0 || (j->state == JOB_QUEUED && j->n_reported_done > 0)) return true;
-    for (guint i = 0; i < r->plans->len; i++)
-        if (g_array_index(r->plans, struct planned_task, i).job == j) return true;
+static bool keeps_allocations(const struct scheduling_round *round, const struct job *job) {
+    if (allocations_count(job) > 0 || (job->state == JOB_QUEUED && job->n_reported_done > 0)) return true;
+    for (guint i = 0; i < round->plans->len; i++)
+        if (g_array_index(round->plans, struct planned_task, i).job == job) return true;
     return false;
 }
 
-/* Writes what is known of a job: completions, allocations that came and went, done tasks. */
-void scheduling_round_commit_job(struct scheduling_round *r, struct job *j) {
-    bool final = jobs_complete(j);
-    struct store_key first_chunk_key = store_key_allocations(j->spec.job_id, 0);
-    if (scheduling_round_rejected_lately(first_chunk_key.text)) return;
-    int chunk_size = allocations_next_chunk_size(j);
-    if (j->n_recorded_chunks == 0) jobs_set_chunk_size(j, chunk_size);
-    if (chunk_size != chunks_size(j) && !final && keeps_allocations(r, j)) {
-        write_new_stretch(r, j, chunk_size);
-        return;
-    }
-    chunk_size = chunks_size(j);
-    int chunks = chunks_count(j);
-    uint8_t *need = g_malloc0((gsize)chunks + 1);
-    for (int c = 0; j->chunk_flags && c < chunks; c++)
-        need[c] = (j->chunk_flags[c] & 2) != 0 || (final && (j->chunk_flags[c] & 1));
-    for (guint i = 0; i < r->plans->len; i++) {
-        const struct planned_task *p = &g_array_index(r->plans, struct planned_task, i);
-        if (p->job == j) need[p->task / chunk_size] = 2;
+/* What each chunk needs, an enum chunk_need each; `complete`: the job's completion is written with them. The caller
+ * frees the array. */
+static uint8_t *chunk_needs(const struct scheduling_round *round, const struct job *job, bool complete) {
+    int chunks = chunks_count(job), chunk_size = chunks_size(job);
+    uint8_t *needs = g_malloc0((gsize)chunks + 1);
+    uint8_t flags = complete ? CHUNK_DIFFERS | CHUNK_RECORDED : CHUNK_DIFFERS;
+    for (int chunk = 0; chunk < chunks; chunk++)
+        if (has_chunk_flag(job, chunk, flags)) needs[chunk] = CHUNK_TO_COMPARE;
+    for (guint i = 0; i < round->plans->len; i++) {
+        const struct planned_task *plan = &g_array_index(round->plans, struct planned_task, i);
+        if (plan->job == job) needs[plan->task / chunk_size] = CHUNK_TO_WRITE;
     }
-    struct store_key key = store_key_job(j->spec.job_id);
-    if (final && !scheduling_round_rejected_lately(key.text)) {
-        struct store_txn *t = scheduling_round_txn(r, 2, 1);
-        store_txn_compare(t, key.text, store_key_revision(key.text));
-        store_txn_put(t, key.text, jobs_final_value(j, JOB_DONE), 0);
-        r->writes_left++; /* the second was room for a chunk's record beside it */
+    return needs;
+}
+
+static void write_completion(struct scheduling_round *round, const struct job *job) {
+    struct store_key key = store_key_job(job->spec.job_id);
+    if (rejected_keys_contain(key.text)) return;
+    struct store_txn *transaction = transactions_with_room(round, 2, 1);
+    store_txn_compare(transaction, key.text, store_key_revision(key.text));
+    store_txn_put(transaction, key.text, jobs_final_value(job, JOB_DONE), 0);
+    round->writes_left++; /* the second was room for a chunk's record beside it */
+}
+
+/* Writes one chunk, unless its record already says all that is known. */
+static void commit_chunk(struct scheduling_round *round, struct job *job, int chunk, enum chunk_need need,
+                         bool complete) {
+    cJSON *value = allocations_value(job, chunk, chunks_size(job), round->plans, complete);
+    bool recorded = has_chunk_flag(job, chunk, CHUNK_RECORDED);
+    bool same = need == CHUNK_TO_COMPARE && !complete && !allocations_chunk_dirty(job, chunk);
+    if (same || (!value && !recorded)) {
+        cJSON_Delete(value);
+        jobs_set_chunk_recorded(job, chunk, recorded);
+        return;
     }
-    for (int c = 0; c < chunks && (r->writes_left > 0 || c == 0); c++) {
-        if (!need[c]) continue;
-        cJSON *v = allocations_value(j, c, chunk_size, r->plans, final);
-        bool there = j->chunk_flags && (j->chunk_flags[c] & 1),
-             same = need[c] == 1 && !final && !allocations_chunk_dirty(j, c);
-        if ((!v && !there) || same) {
-            cJSON_Delete(v);
-            jobs_set_chunk_recorded(j, c, there);
-            continue;
-        }
-        add_run(scheduling_round_txn(r, 1, 2), j, c, v);
+    write_chunk(transactions_with_room(round, 1, 2), job, chunk, value);
+}
+
+void scheduling_round_commit_job(struct scheduling_round *round, struct job *job) {
+    struct store_key first = store_key_allocations(job->spec.job_id, 0);
+    if (rejected_keys_contain(first.text)) return;
+    bool complete = jobs_complete(job);
+    int chunk_size = allocations_next_chunk_size(job);
+    if (job->n_recorded_chunks == 0) jobs_set_chunk_size(job, chunk_size);
+    if (chunk_size != chunks_size(job) && !complete && keeps_allocations(round, job)) {
+        write_in_chunk_size(round, job, chunk_size);
+        return;
     }
-    g_free(need);
+    uint8_t *needs = chunk_needs(round, job, complete);
+    if (complete) write_completion(round, job);
+    int chunks = chunks_count(job);
+    for (int chunk = 0; chunk < chunks && (round->writes_left > 0 || chunk == 0); chunk++)
+        if (needs[chunk]) commit_chunk(round, job, chunk, needs[chunk], complete);
+    g_free(needs);
 }
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -1,4 +1,4 @@
-/* Every shape of transaction that an owner writes, under the next limits of the state service: 2 KiB a value and 4
+/* Every shape of transaction that an owner writes, under the next limits of the store: 2 KiB a value and 4
  * operations, where 4 KiB and 8 were the first version's. Nothing exceeds them, whatever the first version has left on
  * record, and what was asked for is on record after a few rounds. */
 #include <glib.h>
@@ -14,7 +14,7 @@
 #include "json/json.h"
 #include "machines/page_migration.h"
 #include "placement/placement.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/round.h"
 #include "schema_version/schema_version.h"
 
 #define NEXT_OPS 4
@@ -25,11 +25,12 @@
 
 static struct settings cfg;
 
-static void check_limits(const char *what, const struct store_txn *t) {
+static void check_limits(const char *what, const struct store_txn *transaction) {
     const cJSON *op;
-    if (t->writes > NEXT_OPS || cJSON_GetArraySize(t->comparisons) > 4 * NEXT_OPS)
-        fail_msg("%s: %d operations, %d conditions", what, t->writes, cJSON_GetArraySize(t->comparisons));
-    cJSON_ArrayForEach(op, t->operations) {
+    if (transaction->writes > NEXT_OPS || cJSON_GetArraySize(transaction->comparisons) > 4 * NEXT_OPS)
+        fail_msg("%s: %d operations, %d comparisons", what, transaction->writes,
+                 cJSON_GetArraySize(transaction->comparisons));
+    cJSON_ArrayForEach(op, transaction->operations) {
         char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(op, "data"));
         if (text && strlen(text) > NEXT_BYTES)
             fail_msg("%s: %s, %zu bytes", what, json_get_string(op, "set"), strlen(text));
@@ -41,26 +42,26 @@
 static void settle(const char *what) {
     for (int i = 0; i < ROUNDS; i++) {
         shard_states[0].compacted_at.tv_sec = 0;
-        struct scheduling_round *scheduling_round = scheduler_decide(0, 12);
-        const GPtrArray *txns = scheduler_round_transactions(scheduling_round);
+        struct scheduling_round *round = scheduling_round_decide(0, 12);
+        const GPtrArray *txns = round->transactions;
         bool wrote = false;
         for (guint t = 0; t < txns->len; t++) {
-            const struct store_txn *txn = txns->pdata[t];
-            check_limits(what, txn);
-            wrote |= txn->writes > 0;
-            scheduler_apply(scheduling_round, txn, owned_next_stamp());
+            const struct store_txn *transaction = txns->pdata[t];
+            check_limits(what, transaction);
+            wrote |= transaction->writes > 0;
+            scheduling_round_apply(round, transaction, owned_next_stamp());
         }
-        scheduler_round_free(scheduling_round);
+        scheduling_round_free(round);
         if (!wrote) return;
     }
     fail_msg("%s: does not settle", what);
 }
 
-static void keep_steady(struct machine *m) {
-    m->liveness.up = true;
-    m->agent.seen_token = machines_fencing_token(m);
-    m->liveness.last_heartbeat = m->liveness.last_heard = clock_now();
-    m->occupancy.n_samples = 6;
+static void keep_steady(struct machine *machine) {
+    machine->liveness.up = true;
+    machine->agent.seen_token = machines_fencing_token(machine);
+    machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
+    machine->occupancy.n_samples = 6;
 }
 
 /* Machines of the shard on pages as full as the first version filled them. */
@@ -88,35 +89,35 @@
 
 /* An array whose record is as wide and as large as the first version made it. */
 static struct job *old_wide_array(const char *job_id, struct machine **on, int n) {
-    struct job *j = owned_job(job_id, "batch", "normal", WIDE, 0.1, 0, false, true, 10);
+    struct job *job = owned_job(job_id, "batch", "normal", WIDE, 0.1, 0, false, true, 10);
     GString *text = g_string_new("{\"f\":100,\"b\":\"");
     for (int t = 0; t < WIDE; t++)
         g_string_append_printf(text, "%s%d@%s+%d", t ? " " : "", t, on[t % n]->id, 1000000 + t);
     g_string_append(text, "\"}");
     assert_true(text->len > NEXT_BYTES);
-    owned_put(store_key_allocations(j->spec.job_id, 0).text, text->str);
+    owned_put(store_key_allocations(job->spec.job_id, 0).text, text->str);
     g_string_free(text, TRUE);
-    for (guint i = 0; i < j->allocations->len; i++) {
-        struct allocation *b = j->allocations->pdata[i];
-        b->inherited = false;
-        b->seen = true;
-        b->state = TASK_RUNNING;
+    for (guint i = 0; i < job->allocations->len; i++) {
+        struct allocation *allocation = job->allocations->pdata[i];
+        allocation->inherited = false;
+        allocation->seen = true;
+        allocation->state = TASK_RUNNING;
     }
-    assert_int_equal(allocations_count(j), WIDE);
-    return j;
+    assert_int_equal(allocations_count(job), WIDE);
+    return job;
 }
 
-/* As a report shows that every n-th allocation is over. */
-static void end_allocations(struct job *j, guint every) {
-    for (guint i = 0; i < j->allocations->len; i += every) {
-        struct allocation *b = j->allocations->pdata[i];
-        b->released = true;
-        if (j->state == JOB_QUEUED) jobs_mark_done(j, b->task);
-        jobs_mark_dirty(j, b->task);
+/* As a heartbeat shows that every n-th allocation is over. */
+static void end_allocations(struct job *job, guint every) {
+    for (guint i = 0; i < job->allocations->len; i += every) {
+        struct allocation *allocation = job->allocations->pdata[i];
+        allocation->released = true;
+        if (job->state == JOB_QUEUED) jobs_mark_done(job, allocation->task);
+        jobs_mark_dirty(job, allocation->task);
     }
 }
 
-static void first_allocations(void **state) {
+static void first_allocations_fit_the_next_limits(void **state) {
     (void)state;
     static const struct {
         const char *what, *kind;
@@ -134,9 +135,9 @@
         }
         char job_id[32];
         g_snprintf(job_id, sizeof job_id, "req-%zu", 20000 + i); /* a final state never goes back: an id a row */
-        struct job *j = owned_job(job_id, rows[i].kind, "high", rows[i].tasks, 0.1, 0, false, false, 5);
+        struct job *job = owned_job(job_id, rows[i].kind, "high", rows[i].tasks, 0.1, 0, false, false, 5);
         settle(rows[i].what);
-        if (allocations_count(j) != rows[i].tasks) fail_msg("%s: %d booked", rows[i].what, allocations_count(j));
+        if (allocations_count(job) != rows[i].tasks) fail_msg("%s: %d allocated", rows[i].what, allocations_count(job));
         owned_clear();
     }
     store_unlock();
@@ -144,28 +145,28 @@
 
 /* A record of the first version that the next limit would refuse is replaced by shorter ones in one transaction; its
  * job loses nothing, runs as wide as before, and goes from the records when it ends. */
-static void wide_records(void **state) {
+static void wide_record_is_replaced_by_shorter_ones(void **state) {
     (void)state;
     struct machine *on[OLD_PAGE];
     store_lock();
     int n = old_pages(on, OLD_PAGE);
-    struct job *j = old_wide_array("req-10010", on, n);
+    struct job *job = old_wide_array("req-10010", on, n);
     for (int t = 0; t < 5; t++) { /* a few tasks end */
-        struct allocation *b = j->allocations->pdata[t];
-        b->released = true;
-        jobs_mark_done(j, b->task);
+        struct allocation *allocation = job->allocations->pdata[t];
+        allocation->released = true;
+        jobs_mark_done(job, allocation->task);
     }
     settle("a wide record");
-    assert_int_equal(allocations_count(j), WIDE - 5);
-    assert_int_equal(j->n_done, 5);
-    assert_int_equal(chunks_size(j), 72);
-    assert_int_equal(j->n_recorded_chunks, 3);
-    assert_int_equal(j->n_dirty_chunks, 0);
-    end_allocations(j, 1);
+    assert_int_equal(allocations_count(job), WIDE - 5);
+    assert_int_equal(job->n_done, 5);
+    assert_int_equal(chunks_size(job), 72);
+    assert_int_equal(job->n_recorded_chunks, 3);
+    assert_int_equal(job->n_dirty_chunks, 0);
+    end_allocations(job, 1);
     settle("the end of a wide array");
-    assert_int_equal(j->state, JOB_DONE);
-    assert_int_equal(j->n_recorded_chunks, 0);
-    assert_int_equal(j->allocations->len, 0);
+    assert_int_equal(job->state, JOB_DONE);
+    assert_int_equal(job->n_recorded_chunks, 0);
+    assert_int_equal(job->allocations->len, 0);
     /* One that is cancelled meanwhile. */
     struct job *other = old_wide_array("req-10011", on, n);
     owned_put("job/req-10011",
@@ -181,17 +182,17 @@
     store_unlock();
 }
 
-/* Machines of pages that are too large for the next limit: raised, returned, passed on, and the pages themselves. No
+/* Machines of pages that are too large for the next limit: raised, returned, transferred, and the pages themselves. No
  * machine is lost, and what runs there stays allocated. */
-static void large_pages(void **state) {
+static void large_pages_are_emptied_without_losing_a_machine(void **state) {
     (void)state;
-    enum { FLEET = 3 * OLD_PAGE, RETURNED = 50, PASSED = 52 };
+    enum { FLEET = 3 * OLD_PAGE, RETURNED = 50, TRANSFERRED = 52 };
     struct machine *on[FLEET];
     bool large[MACHINE_PAGES_MAX];
     store_lock();
     int n = old_pages(on, FLEET);
-    struct job *j = owned_job("req-10020", "standing", "high", 8, 1, 0, false, false, 10);
-    owned_book(j, on, 8);
+    struct job *job = owned_job("req-10020", "standing", "high", 8, 1, 0, false, false, 10);
+    owned_book(job, on, 8);
     machines_oversized_pages(0, large);
     assert_true(large[0] && large[1] && large[2]);
     for (int i = 0; i < n; i++) {
@@ -199,8 +200,8 @@
         on[i]->commands.unknown_token = machines_fencing_token(on[i]);
     }
     on[RETURNED]->retirement.return_wanted = true;
-    on[PASSED]->rebalance.to = 1;
-    on[PASSED]->rebalance.since = clock_now();
+    on[TRANSFERRED]->rebalance.to = 1;
+    on[TRANSFERRED]->rebalance.since = clock_now();
     settle("large pages");
     machines_oversized_pages(0, large);
     for (int p = 0; p < MACHINE_PAGES_MAX; p++) {
@@ -210,19 +211,19 @@
     for (int i = 0; i < n; i++) {
         char id[32];
         g_snprintf(id, sizeof id, "i-%06d", i);
-        const struct machine *m = machines_find(id);
-        if (!m || m->shard != (i == PASSED)) fail_msg("machine %d is lost", i);
-        assert_false(m->commands.needs_token_raise);
+        const struct machine *machine = machines_find(id);
+        if (!machine || machine->shard != (i == TRANSFERRED)) fail_msg("machine %d is lost", i);
+        assert_false(machine->commands.needs_token_raise);
     }
     assert_true(on[RETURNED]->retirement.returning);
-    assert_int_equal(allocations_count(j), 8);
+    assert_int_equal(allocations_count(job), 8);
     owned_clear();
     owned_put("machine/i-000052", NULL);
     store_unlock();
 }
 
 /* Machines that come from another shard. */
-static void arrivals(void **state) {
+static void transferred_machines_get_a_page(void **state) {
     (void)state;
     char key[64], id[32];
     store_lock();
@@ -235,9 +236,9 @@
     settle("arrivals");
     for (int i = 0; i < 9; i++) {
         g_snprintf(id, sizeof id, "i-%06d", 500 + i);
-        const struct machine *m = machines_find(id);
-        assert_non_null(m);
-        assert_true(m->page >= 0);
+        const struct machine *machine = machines_find(id);
+        assert_non_null(machine);
+        assert_true(machine->page >= 0);
     }
     owned_clear();
     store_unlock();
@@ -258,7 +259,9 @@
     owned_put("format/n0", "{\"version\":2}");
     owned_put("format/n1", "{\"version\":2}");
     store_unlock();
-    const struct CMUnitTest tests[] = {cmocka_unit_test(first_allocations), cmocka_unit_test(wide_records),
-                                       cmocka_unit_test(large_pages), cmocka_unit_test(arrivals)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(first_allocations_fit_the_next_limits),
+                                       cmocka_unit_test(wide_record_is_replaced_by_shorter_ones),
+                                       cmocka_unit_test(large_pages_are_emptied_without_losing_a_machine),
+                                       cmocka_unit_test(transferred_machines_get_a_page)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- /dev/null
+++ b/src/scheduler/transactions.c
@@ -0,0 +1,58 @@
+#include "transactions.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <time.h>
+
+#include "../clock/clock.h"
+#include "../json/json.h"
+#include "../membership/membership.h"
+
+#define COMPARISONS_PER_WRITE 4 /* that a transaction may hold at most, for each write it may hold */
+
+void transactions_free_one(gpointer transaction) {
+    store_txn_free(transaction);
+    g_free(transaction);
+}
+
+static bool has_room(const struct scheduling_round *round, const struct store_txn *transaction, int writes,
+                     int comparisons) {
+    int writes_max = scheduler_settings->txn_ops;
+    if (round->isolated && transaction->writes > 0) return false;
+    return transaction->writes + writes <= writes_max &&
+           cJSON_GetArraySize(transaction->comparisons) + comparisons <= writes_max * COMPARISONS_PER_WRITE;
+}
+
+struct store_txn *transactions_with_room(struct scheduling_round *round, int writes, int comparisons) {
+    GPtrArray *transactions = round->transactions;
+    struct store_txn *transaction = transactions->len ? transactions->pdata[transactions->len - 1] : NULL;
+    if (!transaction || !has_room(round, transaction, writes, comparisons)) {
+        transaction = g_new0(struct store_txn, 1);
+        store_txn_init(transaction);
+        struct store_key key = store_key_shard(round->shard);
+        store_txn_compare(transaction, key.text, membership_shard(round->shard)->mod_revision);
+        g_ptr_array_add(transactions, transaction);
+    }
+    round->writes_left -= writes;
+    return transaction;
+}
+
+/* Repeated unchanged, a rejected write would be rejected again, and what else is to be written must not wait for it. */
+static GHashTable *rejected_until; /* key -> struct timespec; NULL: nothing was rejected yet */
+
+bool rejected_keys_contain(const char *key) {
+    const struct timespec *until = rejected_until ? g_hash_table_lookup(rejected_until, key) : NULL;
+    return until && clock_seconds_since(*until) < 0;
+}
+
+void rejected_keys_add(const struct store_txn *transaction) {
+    const cJSON *operation;
+    if (!rejected_until) rejected_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    cJSON_ArrayForEach(operation, transaction->operations) {
+        const char *put = json_get_string(operation, "set");
+        const char *key = put ? put : json_get_string(operation, "remove");
+        struct timespec *until = g_new0(struct timespec, 1);
+        *until = clock_instant_in(clock_from_seconds(REJECTED_KEY_PAUSE_S));
+        g_hash_table_replace(rejected_until, g_strdup(key), until);
+    }
+}
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -136,6 +136,15 @@
     }
 }
 
+int owned_planned_tasks(const struct scheduling_round *round, const char *job_id) {
+    int tasks = 0;
+    for (guint i = 0; i < round->plans->len; i++) {
+        const struct job *job = g_array_index(round->plans, struct planned_task, i).job;
+        tasks += !job_id || strcmp(job->spec.job_id, job_id) == 0;
+    }
+    return tasks;
+}
+
 /* Everything of a test goes, so that the next begins with an empty shard. */
 void owned_clear(void) {
     char key[96];
--- a/tests/standin/owned.h
+++ b/tests/standin/owned.h
@@ -6,6 +6,7 @@
 
 #include "machines/machines.h"
 #include "membership/membership.h"
+#include "scheduler/round.h"
 #include "service/service.h"
 #include "store/store.h"
 
@@ -23,6 +24,8 @@
                       bool together, bool reclaimable, double age);
 /* Books tasks 0.. of the job, one on each of the machines, running for long. */
 void owned_book(struct job *j, struct machine **on, int n);
+/* Tasks that the round plans, of one job or (job_id NULL) of all. */
+int owned_planned_tasks(const struct scheduling_round *round, const char *job_id);
 /* Everything of a test goes, so that the next begins with an empty shard. */
 void owned_clear(void);
 #endif
