--- a/src/workers/directives.c
+++ b/src/workers/directives.c
@@ -1,60 +1,83 @@
-/* Which orders a machine gets. */
+#include "directives.h"
+
 #include <glib.h>
 #include <stdbool.h>
-#include <stdint.h>
 #include <stdio.h>
-#include <string.h>
 
 #include "../dependencies/dependencies.h"
-#include "../json/json.h"
+#include "../machines/machines.h"
 #include "../membership/membership.h"
-#include "internal.h"
+#include "codec.h"
 
-void workers_add_directive(cJSON *list, const char *verb, const char *task, int64_t attempt, double grace) {
-    cJSON *o = cJSON_CreateObject();
-    cJSON_AddStringToObject(o, "verb", verb);
-    cJSON_AddStringToObject(o, "task", task);
-    cJSON_AddNumberToObject(o, "try", (double)attempt);
-    if (grace >= 0) cJSON_AddNumberToObject(o, "grace_s", grace);
-    cJSON_AddItemToArray(list, o);
+bool directives_awaits_start(const struct allocation *allocation) {
+    const struct machine *machine = allocation->machine;
+    return !allocation->released && !allocation->stop_requested && !allocation->seen && !allocation->inherited &&
+           allocation->job->state == JOB_QUEUED && !dependencies_unmet(allocation->job) &&
+           !machine->retirement.returning && !machine->retirement.return_wanted;
 }
 
-/* Booked by us and not yet shown by the worker. */
-bool workers_awaits_start(const struct allocation *b) {
-    return !b->released && !b->stop_requested && !b->seen && !b->inherited && b->job->state == JOB_QUEUED &&
-           !dependencies_unmet(b->job) && !b->machine->retirement.returning && !b->machine->retirement.return_wanted;
+/* One that is only a probe does not count: a machine whose last start is in doubt is probed all the same, else those
+ * that hang with a start in doubt were found 5 s later than the others. */
+bool directives_start_in_flight(const struct machine *machine) {
+    return machine->commands.in_flight && !machine->commands.probe_in_flight;
 }
 
-cJSON *workers_directives(struct machine *m, bool direct) {
-    cJSON *list = cJSON_CreateArray();
-    bool ours = m->agent.seen_token >=
-                machines_fencing_token(m); /* first the token, then orders, but for stops that can't wait */
-    bool may_start = membership_may_start_tasks();
-    for (guint i = 0; i < m->agent.unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
-        struct unknown_task *s = &g_array_index(m->agent.unknown_tasks, struct unknown_task, i);
-        /* As long as the worker lists an attempt, a start of it that still comes does nothing. */
-        if (s->ended && (!ours || m->commands.outcome_unknown || workers_start_in_flight(m))) continue;
-        if (s->ended)
-            workers_add_directive(list, "forget", s->task, s->attempt, -1);
-        else
-            workers_add_directive(list, "stop", s->task, s->attempt, 0);
+void directives_task_name(const struct allocation *allocation, char *name, size_t n) {
+    snprintf(name, n, "%s/%d", allocation->job->spec.job_id, allocation->task);
+}
+
+void directives_stop_unknown(const struct machine *machine, cJSON *directives) {
+    for (guint i = 0; i < machine->agent.unknown_tasks->len; i++) {
+        const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
+        codec_add_directive(directives, &(struct directive){DIRECTIVE_STOP, unknown->task, unknown->attempt, 0});
     }
-    for (guint i = 0; ours && i < m->allocations->len && i < MACHINE_TASKS_MAX; i++) {
-        struct allocation *b = m->allocations->pdata[i];
-        char task[96];
-        if (b->released) continue;
-        snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
-        if (b->stop_requested) {
-            if (b->seen && (!direct || !b->stop_sent || b->grace_s <= 0))
-                workers_add_directive(list, "stop", task, b->attempt, b->grace_s);
-            b->stop_sent = true;
-        } else if (may_start && workers_awaits_start(b)) {
-            workers_add_directive(list, "run", task, b->attempt, -1);
-            if (!direct) {
-                b->starts_sent++;
-                m->commands.start_incarnation = m->agent.incarnation;
-            }
+}
+
+/* Tasks without an allocation. As long as the worker lists an attempt that has ended, a start of it that still comes
+ * does nothing: it is forgotten only when no start can come any more. */
+static void add_for_unknown(const struct machine *machine, bool shows_token, cJSON *directives) {
+    bool may_forget = shows_token && !machine->commands.outcome_unknown && !directives_start_in_flight(machine);
+    for (guint i = 0; i < machine->agent.unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
+        const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
+        if (unknown->ended && !may_forget) continue;
+        enum directive_kind kind = unknown->ended ? DIRECTIVE_FORGET : DIRECTIVE_STOP;
+        codec_add_directive(directives, &(struct directive){kind, unknown->task, unknown->attempt, 0});
+    }
+}
+
+/* Each response to a heartbeat repeats a stop; a command repeats only one that leaves no time to save. */
+static bool stop_due(const struct allocation *allocation, enum worker_channel channel) {
+    return allocation->seen && (channel == CHANNEL_HEARTBEAT || !allocation->stop_sent || allocation->grace_s <= 0);
+}
+
+static void add_for_allocation(struct allocation *allocation, bool may_start, enum worker_channel channel,
+                               cJSON *directives) {
+    struct machine *machine = allocation->machine;
+    char task[TASK_NAME_SIZE];
+    directives_task_name(allocation, task, sizeof task);
+    if (allocation->stop_requested) {
+        struct directive stop = {DIRECTIVE_STOP, task, allocation->attempt, allocation->grace_s};
+        if (stop_due(allocation, channel)) codec_add_directive(directives, &stop);
+        allocation->stop_sent = true;
+    } else if (may_start && directives_awaits_start(allocation)) {
+        codec_add_directive(directives, &(struct directive){DIRECTIVE_RUN, task, allocation->attempt, 0});
+        if (channel == CHANNEL_HEARTBEAT) {
+            allocation->starts_sent++;
+            machine->commands.start_incarnation = machine->agent.incarnation;
         }
     }
-    return list;
+}
+
+/* A worker that does not show our fencing token yet gets that first, and directives afterwards, but for stops that
+ * can't wait. */
+cJSON *directives_for(struct machine *machine, enum worker_channel channel) {
+    cJSON *directives = cJSON_CreateArray();
+    bool shows_token = machine->agent.seen_token >= machines_fencing_token(machine);
+    bool may_start = membership_may_start_tasks();
+    add_for_unknown(machine, shows_token, directives);
+    for (guint i = 0; shows_token && i < machine->allocations->len && i < MACHINE_TASKS_MAX; i++) {
+        struct allocation *allocation = machine->allocations->pdata[i];
+        if (!allocation->released) add_for_allocation(allocation, may_start, channel, directives);
+    }
+    return directives;
 }
--- /dev/null
+++ b/src/workers/directives_test.c
@@ -0,0 +1,114 @@
+/* Which directives the response to a heartbeat carries. */
+#include "workers/directives.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <string.h>
+#include <time.h>
+
+#include "../../tests/standin/owned.h"
+#include "../../tests/standin/site.h"
+#include "../../tests/standin/state.h"
+#include "../../tests/standin/worker_messages.h"
+#include "clock/clock.h"
+#include "membership/membership.h"
+#include "workers/codec.h"
+
+static struct settings cfg;
+
+static void stops_tasks_of_a_cancelled_job(void **state) {
+    (void)state;
+    int64_t fencing_token = membership_shard(0)->fencing_token;
+    store_lock();
+    owned_put("job/req-10002", WORKER_JOB("req-10002", "batch", "2"));
+    struct machine *machine = worker_machine("i-000902", "req-10002", "0@i-000902+0 1@i-000902+1", false);
+    worker_message(machine, 1, 1, fencing_token, "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"running\"}",
+                   CHANNEL_HEARTBEAT);
+    assert_int_equal(worker_directives(machine, "run"), 1);
+    worker_cancel_job("req-10002", WORKER_JOB("req-10002", "batch", "2"));
+    assert_int_equal(worker_directives(machine, "run"), 0);
+    assert_int_equal(worker_directives(machine, "stop"), 1);
+    /* Completed after the cancellation: it stays cancelled. */
+    worker_message(machine, 1, 2, fencing_token,
+                   "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"ended\",\"cause\":\"done\"}", CHANNEL_HEARTBEAT);
+    assert_int_equal(jobs_find("req-10002")->state, JOB_CANCELLED);
+    assert_true(((struct allocation *)machine->allocations->pdata[1])->released);
+    worker_machine_gone("req-10002");
+    store_unlock();
+}
+
+/* Controllers that end every few seconds: each answers the worker's heartbeat for the first time, and renews its lease.
+ * The stop of a cancelled task goes with that first response. */
+static void stops_cancelled_tasks_under_an_older_token(void **state) {
+    (void)state;
+    int64_t fencing_token = membership_shard(0)->fencing_token;
+    store_lock();
+    owned_put("job/req-10004", WORKER_JOB("req-10004", "batch", "2"));
+    struct machine *machine = worker_machine("i-000940", "req-10004", "0@i-000940+0 1@i-000940+1", true);
+    static const char tasks[] =
+        "{\"task\":\"req-10004/0\",\"try\":5,\"state\":\"running\"},"
+        "{\"task\":\"req-10004/1\",\"try\":6,\"state\":\"ended\",\"cause\":\"done\"}";
+    worker_message(machine, 1, 1, fencing_token - 1, tasks, CHANNEL_HEARTBEAT);
+    assert_int_equal(worker_directives(machine, "stop"), 0);
+    worker_cancel_job("req-10004", WORKER_JOB("req-10004", "batch", "2"));
+    worker_message(machine, 1, 2, fencing_token - 1, tasks, CHANNEL_HEARTBEAT);
+    assert_int_equal(worker_directives(machine, "stop"), 1);
+    assert_int_equal(worker_directives(machine, "forget"), 0);
+    assert_int_equal(worker_directives(machine, "run"), 0);
+    worker_machine_gone("req-10004");
+    store_unlock();
+}
+
+/* Allocated and not yet started when the store goes out of reach: workers are still answered, but nothing starts. */
+static void starts_need_a_recent_read(void **state) {
+    (void)state;
+    store_lock();
+    int64_t fencing_token = membership_shard(0)->fencing_token;
+    struct machine *machine = worker_machine("i-000981", "req-10001", ALLOCATED("i-000981"), false);
+    assert_true(worker_message(machine, 1, 1, fencing_token, "", CHANNEL_HEARTBEAT));
+    assert_int_equal(worker_directives(machine, "run"), 1);
+    store_unlock();
+    standin_state_trouble(STANDIN_OUTAGE);
+    struct timespec start = clock_now();
+    bool may = true, verified = true;
+    while (may && clock_seconds_since(start) < 8) {
+        clock_sleep(clock_from_seconds(0.05));
+        store_lock();
+        may = membership_may_start_tasks();
+        verified = membership_may_answer();
+        store_unlock();
+    }
+    assert_false(may);
+    assert_true(verified);
+    assert_true(clock_seconds_since(start) < 4);
+    store_lock();
+    assert_int_equal(worker_directives(machine, "run"), 0);
+    store_unlock();
+    standin_state_trouble(STANDIN_NONE);
+    start = clock_now();
+    while (!may && clock_seconds_since(start) < 8) {
+        clock_sleep(clock_from_seconds(0.05));
+        store_lock();
+        may = membership_may_start_tasks();
+        store_unlock();
+    }
+    store_lock();
+    assert_int_equal(worker_directives(machine, "run"), 1);
+    worker_machine_gone("req-10001");
+    store_unlock();
+}
+
+int main(void) {
+    char *text = site_json();
+    if (!settings_parse(text, "f.json", &cfg, NULL) || !standin_state_start(cfg.state)) return 1;
+    g_free(text);
+    owned_start(&cfg);
+    store_lock();
+    owned_put("job/req-10001", WORKER_JOB("req-10001", "batch", "2"));
+    store_unlock();
+    const struct CMUnitTest tests[] = {cmocka_unit_test(stops_tasks_of_a_cancelled_job),
+                                       cmocka_unit_test(stops_cancelled_tasks_under_an_older_token),
+                                       cmocka_unit_test(starts_need_a_recent_read)};
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/src/workers/listed_tasks.c
@@ -0,0 +1,172 @@
+#include "listed_tasks.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <stdio.h>
+#include <string.h>
+
+#include "../clock/clock.h"
+#include "../logging/logging.h"
+#include "../quarantine/quarantine.h"
+#include "directives.h"
+
+#define PROVEN_S 30.0       /* a replica that has run for so long shows that its job is sound */
+#define UNKNOWN_RETRY_S 3.0 /* after a task ended for a reason that its worker does not know */
+#define NO_ROOM_RETRY_S 1.0 /* after a worker had no room for a task */
+
+/* The separator of a listed name; NULL: there is none. */
+static const char *name_end(const struct listed_task *task) { return strrchr(task->name, '/'); }
+
+struct allocation *listed_tasks_find(const struct machine *machine, const struct listed_task *task) {
+    const char *separator = name_end(task);
+    if (!separator) return NULL;
+    size_t length = (size_t)(separator - task->name);
+    int index = (int)g_ascii_strtoll(separator + 1, NULL, 10);
+    for (guint i = 0; i < machine->allocations->len; i++) {
+        struct allocation *allocation = machine->allocations->pdata[i];
+        const char *job_id = allocation->job->spec.job_id;
+        if (allocation->attempt == task->attempt && allocation->task == index && strlen(job_id) == length &&
+            strncmp(job_id, task->name, length) == 0)
+            return allocation;
+    }
+    return NULL;
+}
+
+bool listed_tasks_readable(const cJSON *tasks) {
+    if (!cJSON_IsArray(tasks)) return false;
+    const cJSON *item;
+    struct listed_task task;
+    cJSON_ArrayForEach(item, tasks) if (!codec_read_task(item, &task)) return false;
+    return true;
+}
+
+static void add_unknown(struct machine *machine, const struct listed_task *task, bool ended) {
+    struct unknown_task unknown = {"", task->attempt, ended};
+    g_strlcpy(unknown.task, task->name, sizeof unknown.task);
+    g_array_append_val(machine->agent.unknown_tasks, unknown);
+}
+
+static bool job_cancelled(const struct listed_task *task) {
+    const char *separator = name_end(task);
+    char job_id[JOB_ID_SIZE];
+    if (!separator || (size_t)(separator - task->name) >= sizeof job_id) return false;
+    g_strlcpy(job_id, task->name, (gsize)(separator - task->name) + 1);
+    const struct job *job = jobs_find(job_id);
+    return job && job->state == JOB_CANCELLED;
+}
+
+/* A stop harms nobody, whoever's fencing token the task was started under, and it must not wait until the worker has
+ * shown ours: controllers that end every few seconds renewed its lease again and again, each for the first time, and a
+ * cancelled task ran on beyond cancel_s. */
+void listed_tasks_take_cancelled(struct machine *machine, const cJSON *tasks) {
+    const cJSON *item;
+    struct listed_task task;
+    g_array_set_size(machine->agent.unknown_tasks, 0);
+    cJSON_ArrayForEach(item, tasks) {
+        if (codec_read_task(item, &task) && job_cancelled(&task) && codec_read_task_state(item) != TASK_ENDED)
+            add_unknown(machine, &task, false);
+    }
+}
+
+static void log_start(const struct allocation *allocation) {
+    const struct job *job = allocation->job;
+    const char *image = job->spec.image;
+    bool cached = image && g_hash_table_contains(allocation->machine->images, image);
+    log_info("task %s/%d runs on %s (%s): %.1f s after its job was ready, %.1f s after allocation, image was %s",
+             job->spec.job_id, allocation->task, allocation->machine->id,
+             job->spec.job_class ? job->spec.job_class : "?", clock_time_of_day() - job->ready,
+             clock_seconds_since(allocation->allocated_at), cached ? "cached" : "fetched");
+}
+
+static void release(struct allocation *allocation) {
+    allocation->released = true;
+    jobs_mark_dirty(allocation->job, allocation->task);
+}
+
+static void take_success(const struct allocation *allocation) {
+    struct job *job = allocation->job;
+    if (job->state != JOB_QUEUED) return;
+    jobs_mark_done(job, allocation->task);
+    quarantine_record_success(job);
+}
+
+/* cause NULL: not said. */
+static void take_failure(const struct allocation *allocation, const char *cause) {
+    struct job *job = allocation->job;
+    log_debug("task %s/%d on %s ended: %s", job->spec.job_id, allocation->task, allocation->machine->id,
+              cause ? cause : "?");
+    if (!cause || job->state != JOB_QUEUED) return;
+    if (strcmp(cause, "error") == 0) {
+        log_info("task %s/%d failed on machine %s", job->spec.job_id, allocation->task, allocation->machine->id);
+        quarantine_record_failure(job, allocation->machine);
+    } else if (strcmp(cause, "unknown") == 0) {
+        job->retry_at = clock_instant_in(clock_from_seconds(UNKNOWN_RETRY_S));
+    } else if (strcmp(cause, "no_room") == 0 || strcmp(cause, "busy") == 0) {
+        job->retry_at = clock_instant_in(clock_from_seconds(NO_ROOM_RETRY_S));
+    }
+}
+
+/* True if that ended the allocation. */
+static bool take_state(struct allocation *allocation, enum task_state state, const char *cause) {
+    const struct job_spec *spec = &allocation->job->spec;
+    struct machine *machine = allocation->machine;
+    bool new_state = allocation->state != state;
+    allocation->seen = true;
+    if (new_state) allocation->state_since = machine->liveness.last_heard;
+    if (state == TASK_RUNNING && new_state) log_start(allocation);
+    allocation->state = state;
+    if (state == TASK_RUNNING && spec->kind == JOB_SERVICE && clock_seconds_since(allocation->state_since) > PROVEN_S)
+        quarantine_record_success(allocation->job);
+    if ((state == TASK_RUNNING || state == TASK_GATHERING) && spec->image)
+        g_hash_table_add(machine->images, g_strdup(spec->image));
+    if (state != TASK_ENDED || allocation->released) return false;
+    release(allocation);
+    if (cause && strcmp(cause, "done") == 0) {
+        take_success(allocation);
+    } else {
+        take_failure(allocation, cause);
+    }
+    return true;
+}
+
+bool listed_tasks_take(struct machine *machine, const cJSON *tasks, bool *listed) {
+    bool any_ended = false;
+    const cJSON *item;
+    g_array_set_size(machine->agent.unknown_tasks, 0);
+    cJSON_ArrayForEach(item, tasks) {
+        struct listed_task task;
+        if (!codec_read_task(item, &task)) continue;
+        enum task_state state = codec_read_task_state(item);
+        struct allocation *allocation = listed_tasks_find(machine, &task);
+        if (!allocation) {
+            add_unknown(machine, &task, state == TASK_ENDED);
+            continue;
+        }
+        if (allocation->index_in_machine < LISTED_TASKS_ALLOCATIONS_MAX) listed[allocation->index_in_machine] = true;
+        any_ended |= take_state(allocation, state, codec_read_task_cause(item));
+    }
+    return any_ended;
+}
+
+/* One that was never listed, was started by us and is not to be stopped is started again instead. A gang's is not: its
+ * other tasks wait for it. */
+static bool proven_absent(const struct allocation *allocation, double gang_start_s) {
+    bool gang_lost =
+        allocation->job->spec.kind == JOB_GANG && clock_seconds_since(allocation->allocated_at) > gang_start_s;
+    return allocation->seen || allocation->stop_requested || allocation->inherited || gang_lost;
+}
+
+bool listed_tasks_release_absent(struct machine *machine, const bool *listed, double gang_start_s) {
+    bool any_released = false;
+    if (machine->commands.outcome_unknown || directives_start_in_flight(machine)) return false;
+    for (guint i = 0; i < machine->allocations->len && i < LISTED_TASKS_ALLOCATIONS_MAX; i++) {
+        struct allocation *allocation = machine->allocations->pdata[i];
+        if (listed[i] || allocation->released || !proven_absent(allocation, gang_start_s)) continue;
+        log_info("task %s/%d attempt %lld is absent from machine %s", allocation->job->spec.job_id, allocation->task,
+                 (long long)allocation->attempt, machine->id);
+        release(allocation);
+        any_released = true;
+    }
+    return any_released;
+}
--- /dev/null
+++ b/src/workers/proxy.c
@@ -0,0 +1,53 @@
+#include "proxy.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <string.h>
+
+#include "../membership/membership.h"
+#include "../peers/peers.h"
+#include "codec.h"
+#include "directives.h"
+#include "listed_tasks.h"
+
+static const struct settings *settings;
+
+void proxy_init(const struct settings *chosen) { settings = chosen; }
+
+bool proxy_allowed(const struct machine *machine) {
+    const char *owner = machine->shard < 0 ? "" : membership_shard(machine->shard)->owner;
+    return store_unreachable() && membership_may_answer() && strcmp(machine->zone, settings->area) == 0 &&
+           strcmp(owner, settings->node) != 0 && !peers_reach(owner);
+}
+
+static int cancelled_on_record(const struct machine *machine) {
+    int n = 0;
+    for (guint i = 0; i < machine->allocations->len; i++)
+        n += ((const struct allocation *)machine->allocations->pdata[i])->job->state == JOB_CANCELLED;
+    return n;
+}
+
+/* A heartbeat may list a task twice: each allocation counts once. */
+static int cancelled_and_listed(const struct machine *machine, const cJSON *tasks) {
+    int n = 0;
+    const cJSON *item;
+    GHashTable *counted = g_hash_table_new(g_direct_hash, g_direct_equal);
+    cJSON_ArrayForEach(item, tasks) {
+        struct listed_task task;
+        struct allocation *allocation = codec_read_task(item, &task) ? listed_tasks_find(machine, &task) : NULL;
+        if (allocation && allocation->job->state == JOB_CANCELLED) n += g_hash_table_add(counted, allocation);
+    }
+    g_hash_table_destroy(counted);
+    return n;
+}
+
+bool proxy_start_in_doubt(const struct machine *machine, const cJSON *tasks) {
+    return cancelled_and_listed(machine, tasks) < cancelled_on_record(machine);
+}
+
+cJSON *proxy_response(struct machine *machine, const cJSON *tasks) {
+    cJSON *directives = cJSON_CreateArray();
+    listed_tasks_take_cancelled(machine, tasks);
+    directives_stop_unknown(machine, directives);
+    return codec_write_response(machines_fencing_token(machine), directives);
+}
