--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -1,5 +1,7 @@
-/* What is allocated where, kept by job: run/ID/N holds, for a chunk size of a job's tasks, which are done and where the
- * others are allocated. One change carries all that a round decided for the job, however many machines it touches. */
+/* What is allocated where: the allocations of jobs and machines, counted and asked to stop. What the store says of them
+ * comes in through records.h.
+ *
+ * Called by the scheduler, by workers, and by whoever decides on machines. All with store_lock held. */
 #ifndef FF_ALLOCATIONS_H
 #define FF_ALLOCATIONS_H
 #include <glib.h>
@@ -11,28 +13,23 @@
 #include "../json/json.h"
 #include "../machines/machines.h"
 
-void allocations_init(const struct settings *s);
+/* Once, before the mirror is started. The settings must outlive the program. */
+void allocations_init(const struct settings *settings);
 
-/* The chunk size of a job: how many of its tasks one record holds. The first layout fixed it by the size of a value,
- * and its records don't name it. Once the second layout is active, records that would not fit the service's next limit
- * hold shorter chunk sizes and name them: the two versions must never read one record as different tasks. */
-int allocations_next_chunk_size(const struct job *j); /* that of the records its next write leaves */
-double allocations_value_bytes_max(void);             /* bytes that a record written now may take */
+/* An allocation that is released (its task has ended, or is proven absent) counts no more, also while it is on record.
+ */
 
-/* With store_lock held. */
-uint8_t *allocations_task_bits(const struct job *j); /* which tasks are allocated, not counting what is over; free it */
-int allocations_count(const struct job *j);          /* likewise */
-int allocations_on_machine(const struct machine *m); /* likewise */
-int allocations_missing_tasks(const struct job *j);  /* neither done nor allocated */
-/* The attempt of a gang that has not started and whose remaining tasks were all just reported as fetching or waiting; 0
+/* The job's allocations, and the machine's. */
+int allocations_count(const struct job *job);
+int allocations_on_machine(const struct machine *machine);
+/* A bit for each of the job's tasks: whether it is allocated. To be freed with g_free. */
+uint8_t *allocations_task_bits(const struct job *job);
+/* The job's tasks that are neither done nor allocated. */
+int allocations_missing_tasks(const struct job *job);
+/* The attempt of a gang that has not started and whose remaining tasks were all just shown as fetching or waiting; 0
  * otherwise. Such a gang can be completed under the same attempt. */
-int64_t allocations_open_gang_attempt(const struct job *j);
-void allocations_request_stop(struct allocation *b, double grace_s);
-/* The value of a chunk: done tasks (but not of a job whose end is recorded with it), allocations that are not over, and
- * the plans. NULL: nothing to keep. */
-cJSON *allocations_value(const struct job *j, int chunk, int chunk_size, const GArray *plans, bool final);
-bool allocations_chunk_dirty(const struct job *j, int chunk); /* what is known differs from the record */
+int64_t allocations_open_gang_attempt(const struct job *job);
 
-/* Pure: reads "task@machine+delta ..." one entry at a time; false at the end or where the text is broken. */
-bool allocations_parse_entry(const char **text, int64_t base, int *task, char *machine, size_t n, int64_t *attempt);
+/* Asks a task to end; the first to ask decides with how many seconds of grace. */
+void allocations_request_stop(struct allocation *allocation, double grace_s);
 #endif
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -6,6 +6,9 @@
 #include <string.h>
 
 #include "../../tests/standin/site.h"
+#include "allocations/attempt.h"
+#include "allocations/codec.h"
+#include "allocations/records.h"
 #include "dependencies/dependencies.h"
 #include "json/json.h"
 #include "membership/membership.h"
@@ -19,45 +22,55 @@
 static int64_t mod_revision = 10;
 
 static void put(const char *key, const char *json) {
-    cJSON *x = json ? cJSON_Parse(json) : NULL;
-    assert_true(!json || x);
+    cJSON *value = json ? cJSON_Parse(json) : NULL;
+    assert_true(!json || value);
     store_lock();
-    store_apply(key, x, ++mod_revision);
+    store_apply(key, value, ++mod_revision);
     store_unlock();
-    cJSON_Delete(x);
+    cJSON_Delete(value);
 }
 
-static void entries(void **state) {
+static void entries_are_read_up_to_the_first_malformed_one(void **state) {
     (void)state;
+    enum { BASE_ATTEMPT = 100 };
     static const struct {
         const char *text;
-        int n; /* entries read before the end or the fault */
-        int task;
-        const char *machine;
-        int64_t attempt; /* of the last one read */
+        int n; /* entries read before the end or the malformed one */
+        struct allocation_entry last;
     } rows[] = {
-        {"", 0, 0, "", 0},
-        {"0@i-1+0", 1, 0, "i-1", 100},
-        {"3@i-000231+0 17@i-2+1048576", 2, 17, "i-2", 1048676},
-        {"3@i-1+2 x", 1, 3, "i-1", 102},
-        {"3@+2", 0, 0, "", 0},
-        {"3@i-1", 0, 0, "", 0},
-        {"3@i-1+", 0, 0, "", 0},
-        {"3@i-1+-4", 0, 0, "", 0},
-        {"100000@i-1+0", 0, 0, "", 0},
-        {"1@a-name-that-is-longer-than-any-name-that-a-machine-may-have-in-this-cloud+0", 0, 0, "", 0},
+        {"", 0, {0}},
+        {"0@i-1+0", 1, {0, 100, "i-1"}},
+        {"3@i-000231+0 17@i-2+1048576", 2, {17, 1048676, "i-2"}},
+        {"3@i-1+2 x", 1, {3, 102, "i-1"}},
+        {"3@+2", 0, {0}},
+        {"3@i-1", 0, {0}},
+        {"3@i-1+", 0, {0}},
+        {"3@i-1+-4", 0, {0}},
+        {"100000@i-1+0", 0, {0}},
+        {"1@a-name-that-is-longer-than-any-name-that-a-machine-may-have-in-this-cloud+0", 0, {0}},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        const char *p = rows[i].text;
-        char machine[64] = "";
-        int task = 0, n = 0;
-        int64_t attempt = 0;
-        while (allocations_parse_entry(&p, 100, &task, machine, sizeof machine, &attempt)) n++;
+        const char *text = rows[i].text;
+        struct allocation_entry entry = {0};
+        int n = 0;
+        while (allocation_entry_read(&text, BASE_ATTEMPT, &entry)) n++;
         if (n != rows[i].n) fail_msg("'%s': %d entries", rows[i].text, n);
         if (n == 0) continue;
-        assert_int_equal(task, rows[i].task);
-        assert_string_equal(machine, rows[i].machine);
-        assert_int_equal(attempt, rows[i].attempt);
+        assert_int_equal(entry.task, rows[i].last.task);
+        assert_string_equal(entry.machine_id, rows[i].last.machine_id);
+        assert_int_equal(entry.attempt, rows[i].last.attempt);
+    }
+}
+
+/* A later attempt has a higher number, under one fencing token and across them. */
+static void attempts_are_numbered_by_fencing_token_and_counter(void **state) {
+    (void)state;
+    static const struct {
+        int64_t fencing_token, counter, number;
+    } rows[] = {{0, 1, 1}, {1, 0, 1048576}, {1, 1, 1048577}, {1, 1048575, 2097151}, {2, 1, 2097153}};
+    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+        assert_int_equal(attempt_number(rows[i].fencing_token, rows[i].counter), rows[i].number);
+        assert_true(i == 0 || rows[i].number > rows[i - 1].number);
     }
 }
 
@@ -71,126 +84,126 @@
     "]}"
 
 /* What is written is what is read back; what is over leaves the record, what is planned enters it. */
-static void round_trip(void **state) {
+static void record_is_read_back_as_written(void **state) {
     (void)state;
     put("fleet/0/0", PAGE);
     put("job/req-20001", JOB("req-20001", "9", "queued"));
     put("run/req-20001/0", "{\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 2@i-2+3\"}");
-    struct job *j = jobs_find("req-20001");
-    assert_int_equal(j->n_done, 1);
-    assert_int_equal(j->allocations->len, 2);
-    assert_int_equal(allocations_missing_tasks(j), 6);
-    assert_int_equal(j->n_recorded_chunks, 1);
-    assert_int_equal(j->n_dirty_chunks, 0);
-    struct allocation *b = j->allocations->pdata[0];
-    assert_true(b->inherited);
-    b->released = true;
-    jobs_mark_done(j, 1);
-    assert_int_equal(j->n_dirty_chunks, 1);
-    assert_int_equal(allocations_missing_tasks(j), 6);
+    struct job *job = jobs_find("req-20001");
+    assert_int_equal(job->n_done, 1);
+    assert_int_equal(job->allocations->len, 2);
+    assert_int_equal(allocations_missing_tasks(job), 6);
+    assert_int_equal(job->n_recorded_chunks, 1);
+    assert_int_equal(job->n_dirty_chunks, 0);
+    struct allocation *allocation = job->allocations->pdata[0];
+    assert_true(allocation->inherited);
+    allocation->released = true;
+    jobs_mark_done(job, 1);
+    assert_int_equal(job->n_dirty_chunks, 1);
+    assert_int_equal(allocations_missing_tasks(job), 6);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
-    struct planned_task p = {machines_find("i-1"), j, 4, 60};
-    g_array_append_val(plans, p);
-    cJSON *v = allocations_value(j, 0, chunks_size(j), plans, false);
-    assert_string_equal(json_get_string(v, "d"), "0300");
-    assert_string_equal(json_get_string(v, "b"), "2@i-2+0 4@i-1+7");
+    struct planned_task plan = {machines_find("i-1"), job, 4, 60};
+    g_array_append_val(plans, plan);
+    cJSON *value = allocations_value(job, 0, chunks_size(job), plans, ALLOCATIONS_OF_OPEN_JOB);
+    assert_string_equal(json_get_string(value, "d"), "0300");
+    assert_string_equal(json_get_string(value, "b"), "2@i-2+0 4@i-1+7");
     store_lock();
-    store_apply("run/req-20001/0", v, ++mod_revision);
+    store_apply("run/req-20001/0", value, ++mod_revision);
     store_unlock();
-    cJSON_Delete(v);
-    assert_int_equal(j->allocations->len, 2);
-    assert_int_equal(j->n_done, 2);
-    assert_int_equal(j->n_dirty_chunks, 0);
+    cJSON_Delete(value);
+    assert_int_equal(job->allocations->len, 2);
+    assert_int_equal(job->n_done, 2);
+    assert_int_equal(job->n_dirty_chunks, 0);
     assert_int_equal(machines_find("i-1")->allocations->len, 1);
     /* Reported while a write was under way: still to be written after it. */
-    ((struct allocation *)j->allocations->pdata[0])->released = true;
+    ((struct allocation *)job->allocations->pdata[0])->released = true;
     put("run/req-20001/0", "{\"d\":\"0300\",\"f\":53,\"b\":\"2@i-2+0 4@i-1+7\"}");
-    assert_int_equal(j->n_dirty_chunks, 1);
+    assert_int_equal(job->n_dirty_chunks, 1);
     /* A machine gone from its page is proven dead: its allocations are over, whoever allocated them. */
     put("fleet/0/0", NULL);
-    assert_int_equal(allocations_count(j), 0);
+    assert_int_equal(allocations_count(job), 0);
     assert_null(machines_find("i-1"));
     assert_int_equal(jobs_active_of(0)->len, 1);
     put("job/req-20001", JOB("req-20001", "9", "cancelled"));
     assert_int_equal(jobs_active_of(0)->len, 0);
     assert_int_equal(jobs_ended_of(0)->len, 1); /* until its record is gone as well */
-    assert_true(allocations_chunk_dirty(j, 0));
-    assert_null(allocations_value(j, 0, chunks_size(j), NULL, false));
+    assert_true(allocations_chunk_dirty(job, 0));
+    assert_null(allocations_value(job, 0, chunks_size(job), NULL, ALLOCATIONS_OF_OPEN_JOB));
     put("run/req-20001/0", NULL);
     assert_int_equal(jobs_ended_of(0)->len, 0);
-    assert_int_equal(j->allocations->len, 0);
+    assert_int_equal(job->allocations->len, 0);
     g_array_free(plans, TRUE);
 }
 
 /* The largest job there may be: its records stay within a value, and an allocation for a machine that no page lists, as
  * a takeover may read it, counts as gone. */
-static void large(void **state) {
+static void largest_job_fits_its_records(void **state) {
     (void)state;
     put("job/req-20002", JOB("req-20002", "100000", "queued"));
-    struct job *j = jobs_find("req-20002");
-    int chunk = chunks_size(j), n = chunks_count(j);
-    assert_true(n > 1 && n * chunk >= 100000 && chunk % 8 == 0);
+    struct job *job = jobs_find("req-20002");
+    int chunk_size = chunks_size(job), chunks = chunks_count(job);
+    assert_true(chunks > 1 && chunks * chunk_size >= 100000 && chunk_size % 8 == 0);
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
-    struct machine *m = machines_find_or_stub("i-000231");
-    for (int t = 0; t < chunk; t++) {
-        struct planned_task p = {m, j, chunk + t, 8796093022208 + t};
-        g_array_append_val(plans, p);
-        j->reported_done[(chunk + t) / 8] |= (uint8_t)(t % 2 << (t % 8));
+    struct machine *machine = machines_find_or_stub("i-000231");
+    for (int task = 0; task < chunk_size; task++) {
+        struct planned_task plan = {machine, job, chunk_size + task, attempt_number(8388608, task)};
+        g_array_append_val(plans, plan);
+        job->reported_done[(chunk_size + task) / 8] |= (uint8_t)(task % 2 << (task % 8));
     }
-    cJSON *v = allocations_value(j, 1, chunk, plans, false);
-    char *text = cJSON_PrintUnformatted(v);
+    cJSON *value = allocations_value(job, 1, chunk_size, plans, ALLOCATIONS_OF_OPEN_JOB);
+    char *text = cJSON_PrintUnformatted(value);
     assert_true(strlen(text) <= cfg.value_kb * 1024);
     put("run/req-20002/1", text);
-    assert_int_equal(j->allocations->len, chunk);
-    assert_string_equal(store_key_allocations(j->spec.job_id, 1).text, "run/req-20002/1");
+    assert_int_equal(job->allocations->len, chunk_size);
+    assert_string_equal(store_key_allocations(job->spec.job_id, 1).text, "run/req-20002/1");
     free(text);
-    cJSON_Delete(v);
+    cJSON_Delete(value);
     g_array_free(plans, TRUE);
 }
 
 /* Records that name their chunk size mean the same tasks whatever was read before, and what a conversion leaves of a
  * task is the same allocation. */
-static void stretches(void **state) {
+static void records_name_their_chunk_size(void **state) {
     (void)state;
     put("job/req-20020", JOB("req-20020", "40", "queued"));
     put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
-    struct job *j = jobs_find("req-20020");
-    assert_int_equal(chunks_size(j), chunks_legacy_size());
-    assert_int_equal(allocations_count(j), 4);
-    const struct allocation *kept = j->allocations->pdata[2];
+    struct job *job = jobs_find("req-20020");
+    assert_int_equal(chunks_size(job), chunks_legacy_size());
+    assert_int_equal(allocations_count(job), 4);
+    const struct allocation *kept = job->allocations->pdata[2];
     static const char *const pieces[] = {"{\"n\":16,\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3\"}",
                                          "{\"n\":16,\"f\":54,\"b\":\"30@i-1+0\"}",
                                          "{\"n\":16,\"f\":55,\"b\":\"39@i-2+0\"}"};
     static const int sequences[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 0, 2}};
     char key[64];
-    for (size_t o = 0; o < G_N_ELEMENTS(sequences); o++) {
+    for (size_t sequence = 0; sequence < G_N_ELEMENTS(sequences); sequence++) {
         put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
         for (int i = 0; i < 3; i++) {
-            g_snprintf(key, sizeof key, "run/req-20020/%d", sequences[o][i]);
-            put(key, pieces[sequences[o][i]]);
-            assert_int_equal(allocations_count(j), 4);
+            g_snprintf(key, sizeof key, "run/req-20020/%d", sequences[sequence][i]);
+            put(key, pieces[sequences[sequence][i]]);
+            assert_int_equal(allocations_count(job), 4);
         }
-        assert_int_equal(chunks_size(j), 16);
-        assert_int_equal(chunks_count(j), 3);
-        assert_int_equal(j->n_recorded_chunks, 3);
-        assert_ptr_equal(j->allocations->pdata[2], kept);
+        assert_int_equal(chunks_size(job), 16);
+        assert_int_equal(chunks_count(job), 3);
+        assert_int_equal(job->n_recorded_chunks, 3);
+        assert_ptr_equal(job->allocations->pdata[2], kept);
     }
-    cJSON *v = allocations_value(j, 2, 16, NULL, false);
-    char *text = cJSON_PrintUnformatted(v);
+    cJSON *value = allocations_value(job, 2, 16, NULL, ALLOCATIONS_OF_OPEN_JOB);
+    char *text = cJSON_PrintUnformatted(value);
     assert_string_equal(text, pieces[2]);
     free(text);
-    cJSON_Delete(v);
+    cJSON_Delete(value);
     /* One that goes takes its own tasks with it only. */
     put("run/req-20020/1", NULL);
-    assert_int_equal(allocations_count(j), 3);
+    assert_int_equal(allocations_count(job), 3);
     /* A chunk size that can't be read releases nothing. */
     put("run/req-20020/0", "{\"n\":7,\"f\":50,\"b\":\"\"}");
-    assert_int_equal(allocations_count(j), 3);
+    assert_int_equal(allocations_count(job), 3);
     put("job/req-20020", JOB("req-20020", "40", "cancelled"));
 }
 
 /* A record that can't be read in full releases nothing that it may have named. */
-static void unreadable(void **state) {
+static void unreadable_record_releases_nothing(void **state) {
     (void)state;
     static const struct {
         const char *record;
@@ -231,7 +244,11 @@
     placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
-    const struct CMUnitTest tests[] = {cmocka_unit_test(entries), cmocka_unit_test(round_trip), cmocka_unit_test(large),
-                                       cmocka_unit_test(stretches), cmocka_unit_test(unreadable)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(entries_are_read_up_to_the_first_malformed_one),
+                                       cmocka_unit_test(attempts_are_numbered_by_fencing_token_and_counter),
+                                       cmocka_unit_test(record_is_read_back_as_written),
+                                       cmocka_unit_test(largest_job_fits_its_records),
+                                       cmocka_unit_test(records_name_their_chunk_size),
+                                       cmocka_unit_test(unreadable_record_releases_nothing)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -14,6 +14,12 @@
 enum job_priority { PRIORITY_IDLE, PRIORITY_NORMAL, PRIORITY_HIGH, PRIORITY_PRODUCTION };
 enum job_state { JOB_QUEUED, JOB_DONE, JOB_CANCELLED };
 
+/* What is known of a chunk of a job's tasks. */
+enum chunk_flag {
+    CHUNK_RECORDED = 1, /* the store has a record of it */
+    CHUNK_DIRTY = 2     /* what we know differs from the record */
+};
+
 /* The submission. Amounts are those of one task. */
 struct job_spec {
     char job_id[JOB_ID_SIZE];
@@ -62,7 +68,7 @@
 
     /* Kept by allocations: the records are chunks of the job's tasks. */
     GPtrArray *allocations; /* struct allocation */
-    uint8_t *chunk_flags;   /* a byte a chunk: 1 the store has a record, 2 what we know differs from it */
+    uint8_t *chunk_flags;   /* a byte a chunk: enum chunk_flag */
     int n_recorded_chunks, n_dirty_chunks;
     int chunk_size;              /* tasks a record holds; 0: not known yet, that of the first layout */
     struct timespec dirty_since; /* since when something waits to be written */
--- a/src/model/shard.h
+++ b/src/model/shard.h
@@ -10,7 +10,7 @@
 /* What the owner remembers of a shard. Guarded by store_lock. */
 struct shard_state {
     int64_t fencing_token;
-    int64_t next;         /* counter of attempts under this token */
+    int64_t next;         /* counter of the attempts under this fencing token: that of the latest; 0: none yet */
     bool barrier_pending; /* a transaction's outcome is unknown: nothing more before the shard's mod revision has moved
                            */
     int64_t conflict_revision; /* the store's, when it last rejected a write for its conditions */
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -10,6 +10,7 @@
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
 #include "allocations/allocations.h"
+#include "allocations/records.h"
 #include "clock/clock.h"
 #include "json/json.h"
 #include "liveness/liveness.h"
@@ -122,10 +123,10 @@
     begin("batch", 30);
     struct job *j = jobs[0];
     quarantine_record_failure(j, machines[0]);
-    assert_null(allocations_value(j, 0, chunks_size(j), NULL, false));
+    assert_null(allocations_value(j, 0, chunks_size(j), NULL, ALLOCATIONS_OF_OPEN_JOB));
     quarantine_record_failure(j, machines[1]);
     assert_true(allocations_chunk_dirty(j, 0));
-    cJSON *value = allocations_value(j, 0, chunks_size(j), NULL, false);
+    cJSON *value = allocations_value(j, 0, chunks_size(j), NULL, ALLOCATIONS_OF_OPEN_JOB);
     int64_t tries = 0;
     assert_true(json_get_int64(value, "e", &tries));
     assert_int_equal(tries, 1);
--- a/src/scheduler/commit_jobs.c
+++ b/src/scheduler/commit_jobs.c
@@ -4,13 +4,11 @@
 #include <stdint.h>
 
 #include "../allocations/allocations.h"
+#include "../allocations/records.h"
 #include "../json/json.h"
 #include "round.h"
 #include "transactions.h"
 
-/* Bits of job->chunk_flags. */
-enum { CHUNK_RECORDED = 1, CHUNK_DIFFERS = 2 };
-
 /* What is to be done with a chunk's record. */
 enum chunk_need { CHUNK_AS_IT_IS, CHUNK_TO_COMPARE, CHUNK_TO_WRITE };
 
@@ -40,11 +38,8 @@
     int chunks = chunks_count_of_size(job, chunk_size);
     struct store_txn *transaction = transactions_with_room(round, chunks, chunks + 1);
     for (int chunk = 0; chunk < chunks; chunk++) {
-        cJSON *value = allocations_value(job, chunk, chunk_size, round->plans, false);
-        if (!value) {
-            value = cJSON_CreateObject();
-            cJSON_AddNumberToObject(value, "n", chunk_size);
-        }
+        cJSON *value = allocations_value(job, chunk, chunk_size, round->plans, ALLOCATIONS_OF_OPEN_JOB);
+        if (!value) value = allocations_empty_value(chunk_size);
         write_chunk(transaction, job, chunk, value);
     }
 }
@@ -62,7 +57,7 @@
 static uint8_t *chunk_needs(const struct scheduling_round *round, const struct job *job, bool complete) {
     int chunks = chunks_count(job), chunk_size = chunks_size(job);
     uint8_t *needs = g_malloc0((gsize)chunks + 1);
-    uint8_t flags = complete ? CHUNK_DIFFERS | CHUNK_RECORDED : CHUNK_DIFFERS;
+    uint8_t flags = complete ? CHUNK_DIRTY | CHUNK_RECORDED : CHUNK_DIRTY;
     for (int chunk = 0; chunk < chunks; chunk++)
         if (has_chunk_flag(job, chunk, flags)) needs[chunk] = CHUNK_TO_COMPARE;
     for (guint i = 0; i < round->plans->len; i++) {
@@ -84,7 +79,8 @@
 /* Writes one chunk, unless its record already says all that is known. */
 static void commit_chunk(struct scheduling_round *round, struct job *job, int chunk, enum chunk_need need,
                          bool complete) {
-    cJSON *value = allocations_value(job, chunk, chunks_size(job), round->plans, complete);
+    cJSON *value = allocations_value(job, chunk, chunks_size(job), round->plans,
+                                     complete ? ALLOCATIONS_OF_ENDED_JOB : ALLOCATIONS_OF_OPEN_JOB);
     bool recorded = has_chunk_flag(job, chunk, CHUNK_RECORDED);
     bool same = need == CHUNK_TO_COMPARE && !complete && !allocations_chunk_dirty(job, chunk);
     if (same || (!value && !recorded)) {
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -5,17 +5,17 @@
 #include <stdint.h>
 
 #include "../allocations/allocations.h"
+#include "../allocations/attempt.h"
 #include "../clock/clock.h"
 #include "../machines/machines.h"
 #include "../quarantine/quarantine.h"
 #include "../quota/quota.h"
 #include "planning.h"
 
-#define ATTEMPTS_PER_FENCING_TOKEN 1048576 /* attempts under one fencing token are below all under the next */
-#define PREEMPT_AGAIN_S 3                  /* time for what was preempted to stop */
+#define PREEMPT_AGAIN_S 3 /* time for what was preempted to stop */
 
 int64_t planning_last_attempt(int shard) {
-    return shard_states[shard].fencing_token * ATTEMPTS_PER_FENCING_TOKEN + shard_states[shard].next;
+    return attempt_number(shard_states[shard].fencing_token, shard_states[shard].next);
 }
 
 int64_t planning_next_attempt(int shard) {
--- a/src/scheduler/plan_tasks.c
+++ b/src/scheduler/plan_tasks.c
@@ -5,6 +5,7 @@
 #include <string.h>
 
 #include "../allocations/allocations.h"
+#include "../allocations/records.h"
 #include "../clock/clock.h"
 #include "planning.h"
 
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -6,6 +6,7 @@
 #include <string.h>
 
 #include "allocations/allocations.h"
+#include "allocations/records.h"
 #include "clock/clock.h"
 #include "json/json.h"
 #include "logging/logging.h"
@@ -123,7 +124,7 @@
         struct planned_task p = {on[i], j, i, 100 + i};
         g_array_append_val(plans, p);
     }
-    cJSON *v = allocations_value(j, 0, chunks_size(j), plans, false);
+    cJSON *v = allocations_value(j, 0, chunks_size(j), plans, ALLOCATIONS_OF_OPEN_JOB);
     store_apply(store_key_allocations(j->spec.job_id, 0).text, v, owned_next_stamp());
     cJSON_Delete(v);
     g_array_free(plans, TRUE);
