--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -44,7 +44,7 @@
         if (x->stop_requested || (s->kind == JOB_ARRAY && s->checkpoint_s > 0)) continue;
         struct machine *to = s->kind == JOB_SERVICE && x->state == TASK_RUNNING ? replica_target(x) : NULL;
         if (!to) return;
-        placement_reserve(to, s, 1);
+        placement_reserve(to, s);
     }
     for (guint b = 0; b < m->allocations->len; b++) {
         struct allocation *x = m->allocations->pdata[b];
--- a/src/preemption/preemption.c
+++ b/src/preemption/preemption.c
@@ -100,11 +100,11 @@
         x->grace_s = x->job->spec.checkpoint_s > 0 && x->job->spec.checkpoint_flush_s + 1 < quick
                          ? x->job->spec.checkpoint_flush_s + 1
                          : 0;
-        placement_reserve(best, &x->job->spec, -1);
+        placement_release(best, &x->job->spec);
         log_info("task %s/%d on machine %s is preempted for job %s", x->job->spec.job_id, x->task, best->id,
                  j->spec.job_id);
     }
-    placement_reserve(best, &j->spec, 1); /* kept free for the rest of this round */
+    placement_reserve(best, &j->spec); /* kept free for the rest of this round */
     best->commands.wake = true;
     return true;
 }
--- a/src/scheduler/commit_pages.c
+++ b/src/scheduler/commit_pages.c
@@ -92,7 +92,7 @@
 
 /* A machine that has a page or is given one. */
 static void plan_machine(struct page_plan *plan, struct machine *machine) {
-    int page = machine->round.next_page >= 0 ? machine->round.next_page : machine->page;
+    int page = machines_page_of(machine);
     if (!valid_page(page) || plan->large[page]) return;
     plan_raise(plan, machine, page);
     /* What runs there starts elsewhere only once it is returned; idle machines are returned many at a time, and would
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -27,7 +27,7 @@
                          int64_t attempt) {
     struct planned_task plan = {.machine = machine, .job = job, .task = task, .attempt = attempt};
     g_array_append_val(pass->round->plans, plan);
-    placement_reserve(machine, &job->spec, 1);
+    placement_reserve(machine, &job->spec);
     pass->usage[job->spec.team].cpu += job->spec.vcpus;
     pass->usage[job->spec.team].gpu += job->spec.gpus;
 }
@@ -138,8 +138,7 @@
         .round = round,
         .order = priority_order_shard(shard),
         .machines = machines_of_shard(shard),
-        .rules = {scheduler_settings->tuning.reception, scheduler_settings->tuning.admission,
-                  placement_reception(shard)},
+        .rules = placement_rules(shard),
     };
     count_usage(shard, pass->usage);
     quota_refresh();
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -25,7 +25,7 @@
 static void undo_plans(struct planning_pass *pass, const struct job *job, struct plan_mark mark) {
     GArray *plans = pass->round->plans;
     for (guint i = mark.plans; i < plans->len; i++)
-        placement_reserve(g_array_index(plans, struct planned_task, i).machine, &job->spec, -1);
+        placement_release(g_array_index(plans, struct planned_task, i).machine, &job->spec);
     g_array_set_size(plans, mark.plans);
     pass->usage[job->spec.team] = mark.usage;
 }
@@ -102,7 +102,7 @@
             !placement_allowed(machine, job, NULL, NULL))
             continue;
         int tasks = MIN(preemption_tasks_that_fit(machine, &job->spec), job->spec.tasks - kept);
-        for (int k = 0; k < tasks; k++) placement_reserve(machine, &job->spec, 1);
+        for (int k = 0; k < tasks; k++) placement_reserve(machine, &job->spec);
         kept += tasks;
     }
     return kept;
