--- a/src/quarantine/quarantine.c
+++ b/src/quarantine/quarantine.c
@@ -9,74 +9,88 @@
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 
-#define SUSPECT_MACHINES 2 /* a job that fails on so many is suspect */
-#define FAULTY_JOBS 2      /* a machine on which so many jobs fail is faulty */
-#define EVIDENCE_MAX 8     /* machines remembered a job, and jobs a machine */
-#define SOUND_RETRY_S 1.0  /* a job that is not suspect starts elsewhere after that, for each machine it failed on */
-#define TRIES_MAX 16       /* enough for the longest pause */
+#define SUSPECT_MACHINES 2  /* a job that fails on so many is suspect */
+#define FAULTY_JOBS 2       /* a machine on which so many jobs fail is faulty */
+#define EVIDENCE_MAX 8      /* machines remembered of a job, and jobs of a machine */
+#define SOUND_RETRY_S 1.0   /* pause of a job that is not suspect, for each machine on which it failed */
+#define FAILED_TRIES_MAX 16 /* enough for the longest pause */
 
-double quarantine_retry_s(int tries) { return MIN(QUARANTINE_RETRY_MAX_S, exp2(CLAMP(tries, 1, TRIES_MAX))); }
+double quarantine_retry_s(int failed_tries) {
+    return fmin(QUARANTINE_RETRY_MAX_S, exp2(CLAMP(failed_tries, 1, FAILED_TRIES_MAX)));
+}
+
+/* ---- evidence ---- */
 
-bool quarantine_job_suspect(const struct job *j) { return j->failed_tries > 0; }
+bool quarantine_job_suspect(const struct job *job) { return job->failed_tries > 0; }
 
-bool quarantine_failed_on(const struct job *j, const struct machine *m) {
-    for (guint i = 0; j->failed_on && i < j->failed_on->len; i++)
-        if (strcmp(j->failed_on->pdata[i], m->id) == 0) return true;
+bool quarantine_failed_on(const struct job *job, const struct machine *machine) {
+    for (guint i = 0; job->failed_on && i < job->failed_on->len; i++)
+        if (strcmp(job->failed_on->pdata[i], machine->id) == 0) return true;
     return false;
 }
 
-static void remember(struct job *j, struct machine *m) {
-    if (!j->failed_on) j->failed_on = g_ptr_array_new_with_free_func(g_free);
-    if (!quarantine_failed_on(j, m) && j->failed_on->len < EVIDENCE_MAX) g_ptr_array_add(j->failed_on, g_strdup(m->id));
-    if (!m->failed_jobs) m->failed_jobs = g_ptr_array_new();
-    if (!g_ptr_array_find(m->failed_jobs, j, NULL) && m->failed_jobs->len < EVIDENCE_MAX)
-        g_ptr_array_add(m->failed_jobs, j);
+int quarantine_machine_failures(const struct machine *machine) {
+    int failures = 0;
+    for (guint i = 0; machine->failed_jobs && i < machine->failed_jobs->len; i++)
+        failures += !quarantine_job_suspect(machine->failed_jobs->pdata[i]);
+    return failures;
 }
 
-/* A try may be one task or a whole gang, and a job's first failures come by the dozen: those that come while the job
- * waits already are of the same try. */
-static void count_try(struct job *j) {
-    if (quarantine_job_suspect(j) && clock_seconds_since(j->retry_at) < 0) return;
-    j->failed_tries = MIN(j->failed_tries + 1, TRIES_MAX);
-    j->retry_at = clock_instant_in(clock_from_seconds(quarantine_retry_s(j->failed_tries)));
-    jobs_mark_dirty(j, 0); /* the first record of its allocations says so */
-    log_info("job %s: quarantined, fails on every machine, retrying in %.0f s", j->spec.job_id,
-             quarantine_retry_s(j->failed_tries));
+bool quarantine_machine_faulty(const struct machine *machine) {
+    return quarantine_machine_failures(machine) >= FAULTY_JOBS;
 }
 
-void quarantine_record_failure(struct job *j, struct machine *m) {
-    remember(j, m);
-    bool anything_done = j->n_reported_done > 0;
-    if (quarantine_job_suspect(j) || (j->failed_on->len >= SUSPECT_MACHINES && !anything_done))
-        count_try(j);
-    else
-        j->retry_at = clock_instant_in(clock_from_seconds(SOUND_RETRY_S * j->failed_on->len));
+static void remember_failure(struct job *job, struct machine *machine) {
+    if (!job->failed_on) job->failed_on = g_ptr_array_new_with_free_func(g_free);
+    if (!quarantine_failed_on(job, machine) && job->failed_on->len < EVIDENCE_MAX)
+        g_ptr_array_add(job->failed_on, g_strdup(machine->id));
+    if (!machine->failed_jobs) machine->failed_jobs = g_ptr_array_new();
+    if (!g_ptr_array_find(machine->failed_jobs, job, NULL) && machine->failed_jobs->len < EVIDENCE_MAX)
+        g_ptr_array_add(machine->failed_jobs, job);
 }
 
-void quarantine_record_success(struct job *j) {
-    if (!j->failed_on && !j->failed_tries) return;
-    if (j->failed_tries) {
-        log_info("job %s: released from quarantine", j->spec.job_id);
-        j->failed_tries = 0;
-        j->retry_at = clock_now();
-        jobs_mark_dirty(j, 0);
+/* ---- retries ---- */
+
+static void retry_in(struct job *job, double pause_s) { job->retry_at = clock_instant_in(clock_from_seconds(pause_s)); }
+
+/* A try may be one task or a whole gang, and a job's first failures come by the dozen: those that come while the job
+ * waits already are of the same try. */
+static void count_failed_try(struct job *job) {
+    bool waiting = clock_seconds_since(job->retry_at) < 0;
+    if (quarantine_job_suspect(job) && waiting) return;
+    job->failed_tries = MIN(job->failed_tries + 1, FAILED_TRIES_MAX);
+    double pause_s = quarantine_retry_s(job->failed_tries);
+    retry_in(job, pause_s);
+    jobs_mark_dirty(job, 0); /* the first record of its allocations holds the number of tries */
+    log_info("job %s: quarantined, fails on every machine, retrying in %.0f s", job->spec.job_id, pause_s);
+}
+
+void quarantine_record_failure(struct job *job, struct machine *machine) {
+    remember_failure(job, machine);
+    bool anything_done = job->n_reported_done > 0;
+    if (quarantine_job_suspect(job) || (job->failed_on->len >= SUSPECT_MACHINES && !anything_done)) {
+        count_failed_try(job);
+    } else {
+        retry_in(job, SOUND_RETRY_S * job->failed_on->len);
     }
-    if (j->failed_on) g_ptr_array_set_size(j->failed_on, 0);
 }
 
-int quarantine_machine_failures(const struct machine *m) {
-    int n = 0;
-    for (guint i = 0; m->failed_jobs && i < m->failed_jobs->len; i++)
-        n += !quarantine_job_suspect(m->failed_jobs->pdata[i]);
-    return n;
+void quarantine_record_success(struct job *job) {
+    if (quarantine_job_suspect(job)) {
+        log_info("job %s: released from quarantine", job->spec.job_id);
+        job->failed_tries = 0;
+        job->retry_at = clock_now();
+        jobs_mark_dirty(job, 0);
+    }
+    if (job->failed_on) g_ptr_array_set_size(job->failed_on, 0);
 }
 
-bool quarantine_machine_faulty(const struct machine *m) { return quarantine_machine_failures(m) >= FAULTY_JOBS; }
+/* ---- records ---- */
 
-int quarantine_recorded_tries(const struct job *j) { return j->state == JOB_QUEUED ? j->failed_tries : 0; }
+int quarantine_recorded_tries(const struct job *job) { return job->state == JOB_QUEUED ? job->failed_tries : 0; }
 
-void quarantine_restore(struct job *j, int recorded) {
-    j->failed_tries_recorded = CLAMP(recorded, 0, TRIES_MAX);
+void quarantine_restore(struct job *job, int recorded_tries) {
+    job->failed_tries_recorded = CLAMP(recorded_tries, 0, FAILED_TRIES_MAX);
     /* What its owner knows may be newer than what is on record; all others know no more than the record. */
-    if (!membership_owns(jobs_shard(j))) j->failed_tries = j->failed_tries_recorded;
+    if (!membership_owns(jobs_shard(job))) job->failed_tries = job->failed_tries_recorded;
 }
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -37,13 +37,13 @@
 }
 
 /* Each step is a job and a machine: "0a" is a failure of job 0 on machine a, "0+" a success of job 0. */
-static void evidence(void **state) {
+static void evidence_tells_faulty_jobs_from_faulty_machines(void **state) {
     (void)state;
     static const struct {
         const char *what, *steps;
-        bool suspect;   /* job 0 */
-        bool faulty;    /* machine a */
-        int of_machine; /* what counts against machine a */
+        bool suspect; /* job 0 */
+        bool faulty;  /* machine a */
+        int failures; /* that count against machine a */
     } rows[] = {
         {"one failure", "0a", false, false, 1},
         {"one job on one machine again and again", "0a 0a 0a", false, false, 1},
@@ -57,21 +57,21 @@
         {"and is suspect once more only by two more machines", "0a 0b 0+ 0c", false, false, 1},
     };
     store_lock();
-    for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         begin("batch", 5);
-        for (const char *p = rows[r].steps; *p; p += strcspn(p, " "), p += strspn(p, " ")) {
-            struct job *j = jobs[p[0] - '0'];
-            if (p[1] == '+')
-                quarantine_record_success(j);
+        for (const char *step = rows[i].steps; *step; step += strcspn(step, " "), step += strspn(step, " ")) {
+            struct job *job = jobs[step[0] - '0'];
+            if (step[1] == '+')
+                quarantine_record_success(job);
             else
-                quarantine_record_failure(j, machines[p[1] - 'a']);
+                quarantine_record_failure(job, machines[step[1] - 'a']);
         }
         bool suspect = quarantine_job_suspect(jobs[0]), faulty = quarantine_machine_faulty(machines[0]);
-        int count = quarantine_machine_failures(machines[0]);
+        int failures = quarantine_machine_failures(machines[0]);
         owned_clear();
-        if (suspect != rows[r].suspect) fail_msg("%s: suspect is %d", rows[r].what, suspect);
-        if (faulty != rows[r].faulty) fail_msg("%s: faulty is %d", rows[r].what, faulty);
-        if (count != rows[r].of_machine) fail_msg("%s: %d against the machine", rows[r].what, count);
+        if (suspect != rows[i].suspect) fail_msg("%s: suspect is %d", rows[i].what, suspect);
+        if (faulty != rows[i].faulty) fail_msg("%s: faulty is %d", rows[i].what, faulty);
+        if (failures != rows[i].failures) fail_msg("%s: %d against the machine", rows[i].what, failures);
     }
     store_unlock();
 }
@@ -88,7 +88,8 @@
     assert_true(quarantine_retry_s(1) <= 2);
 }
 
-/* A suspect job is tried with one task, after its pause, behind all others, and rents and stops nothing. */
+/* A suspect job is tried with one task, after its pause, after all others, and nothing is rented or preempted for it.
+ */
 static void suspect_is_tried_with_one_task(void **state) {
     (void)state;
     store_lock();
@@ -121,28 +122,28 @@
     (void)state;
     store_lock();
     begin("batch", 30);
-    struct job *j = jobs[0];
-    quarantine_record_failure(j, machines[0]);
-    assert_null(allocations_value(j, 0, chunks_size(j), NULL, ALLOCATIONS_OF_OPEN_JOB));
-    quarantine_record_failure(j, machines[1]);
-    assert_true(allocations_chunk_dirty(j, 0));
-    cJSON *value = allocations_value(j, 0, chunks_size(j), NULL, ALLOCATIONS_OF_OPEN_JOB);
+    struct job *job = jobs[0];
+    quarantine_record_failure(job, machines[0]);
+    assert_null(allocations_value(job, 0, chunks_size(job), NULL, ALLOCATIONS_OF_OPEN_JOB));
+    quarantine_record_failure(job, machines[1]);
+    assert_true(allocations_chunk_dirty(job, 0));
+    cJSON *value = allocations_value(job, 0, chunks_size(job), NULL, ALLOCATIONS_OF_OPEN_JOB);
     int64_t tries = 0;
     assert_true(json_get_int64(value, "e", &tries));
     assert_int_equal(tries, 1);
-    const struct store_key key = store_key_allocations(j->spec.job_id, 0);
+    const struct store_key key = store_key_allocations(job->spec.job_id, 0);
     store_apply(key.text, value, owned_next_stamp());
     cJSON_Delete(value);
-    assert_false(allocations_chunk_dirty(j, 0));
+    assert_false(allocations_chunk_dirty(job, 0));
     /* Another owner: all that it knows is the record. */
     owned_put("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":77}");
-    j->failed_tries = 0;
+    job->failed_tries = 0;
     owned_put(key.text, "{\"e\":5}");
-    int read = j->failed_tries;
+    int read = job->failed_tries;
     owned_put(key.text, "{\"e\":-3}");
-    int damaged = j->failed_tries;
+    int damaged = job->failed_tries;
     owned_put(key.text, NULL);
-    int gone = j->failed_tries;
+    int gone = job->failed_tries;
     assert_int_equal(read, 5);
     assert_int_equal(damaged, 0);
     assert_int_equal(gone, 0);
@@ -155,29 +156,29 @@
     static const struct {
         const char *what;
         bool elsewhere; /* both jobs fail on another machine, too */
-        double s;
-        bool open, back;
+        double faulty_s;
+        bool schedulable, returned;
     } rows[] = {
         {"just now", false, 0, false, false},
         {"for a while", false, 10, false, true},
         {"its jobs fail elsewhere as well", true, 10, true, false},
     };
     const struct liveness_summary all_heard = {.up = MACHINES, .heard = MACHINES};
-    for (size_t r = 0; r < G_N_ELEMENTS(rows); r++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         store_lock();
         begin("batch", 5);
-        for (int i = 0; i < 2; i++) quarantine_record_failure(jobs[i], machines[0]);
+        for (int job = 0; job < 2; job++) quarantine_record_failure(jobs[job], machines[0]);
         liveness_check_machines(0, &all_heard);
-        for (int i = 0; rows[r].elsewhere && i < 2; i++) quarantine_record_failure(jobs[i], machines[1]);
-        if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[r].s;
+        for (int job = 0; rows[i].elsewhere && job < 2; job++) quarantine_record_failure(jobs[job], machines[1]);
+        if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[i].faulty_s;
         placement_prepare_machines(0);
-        bool open = machines[0]->round.schedulable;
+        bool schedulable = machines[0]->round.schedulable;
         liveness_check_machines(0, &all_heard);
-        bool back = machines[0]->retirement.return_wanted;
+        bool returned = machines[0]->retirement.return_wanted;
         owned_clear();
         store_unlock();
-        if (open != rows[r].open) fail_msg("%s: open is %d", rows[r].what, open);
-        if (back != rows[r].back) fail_msg("%s: returned is %d", rows[r].what, back);
+        if (schedulable != rows[i].schedulable) fail_msg("%s: schedulable is %d", rows[i].what, schedulable);
+        if (returned != rows[i].returned) fail_msg("%s: returned is %d", rows[i].what, returned);
     }
 }
 
@@ -191,9 +192,9 @@
               "{\"flavours\":[{\"sku\":\"g16\",\"vcpus\":16,\"gpus\":2,\"memory_gb\":64,\"hourly\":7,"
               "\"market_price\":2,\"startup_s\":25,\"sites\":[\"za\",\"zb\",\"zc\"]}]}");
     store_unlock();
-    const struct CMUnitTest tests[] = {cmocka_unit_test(evidence), cmocka_unit_test(pauses_grow_and_are_bounded),
-                                       cmocka_unit_test(suspect_is_tried_with_one_task),
-                                       cmocka_unit_test(faulty_machine_is_returned),
-                                       cmocka_unit_test(count_survives_a_change_of_owner)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(evidence_tells_faulty_jobs_from_faulty_machines),
+        cmocka_unit_test(pauses_grow_and_are_bounded), cmocka_unit_test(suspect_is_tried_with_one_task),
+        cmocka_unit_test(faulty_machine_is_returned), cmocka_unit_test(count_survives_a_change_of_owner)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
