--- a/src/provisioning/provisioning_test.c
+++ b/src/provisioning/provisioning_test.c
@@ -5,11 +5,11 @@
 
 #include "../../tests/standin/site.h"
 
-static void expected(void **state) {
+static void expected_time_is_learned_within_bounds(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        double took_s[12];
+        double boot_s[12];
         int n;
         double startup_s, least, most;
     } rows[] = {
@@ -22,8 +22,8 @@
         {"one straggler in ten is no rule", {20, 20, 21, 22, 23, 24, 24, 25, 25, 300}, 10, 25, 25, 40},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        double s = provisioning_expected_of(rows[i].took_s, rows[i].n, rows[i].startup_s);
-        if (s < rows[i].least || s > rows[i].most) fail_msg("%s: %.1f s", rows[i].what, s);
+        double expected_s = provisioning_expected_of(rows[i].boot_s, rows[i].n, rows[i].startup_s);
+        if (expected_s < rows[i].least || expected_s > rows[i].most) fail_msg("%s: %.1f s", rows[i].what, expected_s);
     }
 }
 
@@ -35,6 +35,7 @@
 }
 
 int main(void) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(expected), cmocka_unit_test(replacements_are_bounded)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(expected_time_is_learned_within_bounds),
+                                       cmocka_unit_test(replacements_are_bounded)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
