--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -132,7 +132,7 @@
             struct store_txn t;
             struct store_response ans;
             store_txn_init(&t);
-            store_txn_put(&t, "types", cJSON_Duplicate(a, true), 0);
+            store_txn_put(&t, STORE_KEY_MACHINE_TYPES, cJSON_Duplicate(a, true), 0);
             store_commit(c, STORE_PRIORITY_ALLOCATE, &t, &ans);
             store_response_clear(&ans);
             store_txn_free(&t);
--- a/src/machine_types/machine_types.c
+++ b/src/machine_types/machine_types.c
@@ -8,58 +8,92 @@
 
 #define MACHINE_TYPES_MAX 64
 
-static struct machine_type types[MACHINE_TYPES_MAX];
-static int n_types;
+/* For a type that names none. */
+#define DEFAULT_FETCH_RATE 1
+#define DEFAULT_HOURLY_PRICE 1
+#define DEFAULT_STARTUP_S 60
 
-bool machine_types_known(void) { return n_types > 0; }
-const struct machine_type *machine_types_all(void) { return types; }
-int machine_types_count(void) { return n_types; }
+/* A catalogue is {CATALOGUE_TYPES: [type, ...]}. */
+#define CATALOGUE_TYPES "flavours"
+/* The members of a type. */
+#define TYPE_NAME "sku"
+#define TYPE_VCPUS "vcpus"
+#define TYPE_GPUS "gpus"
+#define TYPE_MEMORY_GB "memory_gb"
+#define TYPE_LOCAL_GB "local_gb"
+#define TYPE_FETCH_RATE "fetch_gb_per_s"
+#define TYPE_HOURLY_PRICE "hourly"
+#define TYPE_SPOT_PRICE "market_price"
+#define TYPE_STARTUP_S "startup_s"
+#define TYPE_ZONES "sites"
+
+static struct {
+    struct machine_type types[MACHINE_TYPES_MAX];
+    int n;
+} catalogue;
+
+/* ---- finding ---- */
+
+bool machine_types_known(void) { return catalogue.n > 0; }
+
+const struct machine_type *machine_types_all(void) { return catalogue.types; }
+
+int machine_types_count(void) { return catalogue.n; }
 
 static struct machine_type *find(const char *type_name) {
-    for (int i = 0; i < n_types; i++)
-        if (strcmp(types[i].type_name, type_name) == 0) return &types[i];
+    for (int i = 0; i < catalogue.n; i++)
+        if (strcmp(catalogue.types[i].type_name, type_name) == 0) return &catalogue.types[i];
     return NULL;
 }
 
 const struct machine_type *machine_types_find(const char *type_name) { return find(type_name); }
 
+/* The type of that name; NULL: there is none, and no more room. */
+static struct machine_type *find_or_add(const char *type_name) {
+    struct machine_type *type = find(type_name);
+    if (type || catalogue.n == MACHINE_TYPES_MAX) return type;
+    type = &catalogue.types[catalogue.n++];
+    g_strlcpy(type->type_name, type_name, sizeof type->type_name);
+    return type;
+}
+
+/* ---- reading ---- */
+
 static void read_zones(struct machine_type *type, const cJSON *zones) {
-    const cJSON *zone;
     for (int i = 0; i < type->n_zones; i++) g_free(type->zones[i]);
     type->n_zones = 0;
+    const cJSON *zone;
     cJSON_ArrayForEach(zone, zones) {
         if (cJSON_IsString(zone) && type->n_zones < MACHINE_TYPE_ZONES_MAX)
             type->zones[type->n_zones++] = g_strdup(zone->valuestring);
     }
 }
 
-/* The wire's names: flavours with sku, market_price and sites. */
-static void read_type(const cJSON *flavour) {
-    const char *type_name = json_get_string(flavour, "sku");
-    if (!type_name || strlen(type_name) >= sizeof types[0].type_name) return;
-    struct machine_type *type = find(type_name);
-    if (!type && n_types == MACHINE_TYPES_MAX) return;
-    if (!type) type = &types[n_types++];
-    g_strlcpy(type->type_name, type_name, sizeof type->type_name);
-    type->vcpus = json_get_double(flavour, "vcpus", 0);
-    type->gpus = json_get_double(flavour, "gpus", 0);
-    type->memory_gb = json_get_double(flavour, "memory_gb", 0);
-    type->local_gb = json_get_double(flavour, "local_gb", 0);
-    type->fetch_rate = json_get_double(flavour, "fetch_gb_per_s", 1);
-    type->hourly_price = json_get_double(flavour, "hourly", 1);
-    type->spot_price = json_get_double(flavour, "market_price", type->hourly_price);
-    type->startup_s = json_get_double(flavour, "startup_s", 60);
-    read_zones(type, cJSON_GetObjectItemCaseSensitive(flavour, "sites"));
+static void read_type(const cJSON *object) {
+    const char *type_name = json_get_string(object, TYPE_NAME);
+    if (!type_name || strlen(type_name) >= TYPE_NAME_SIZE) return;
+    struct machine_type *type = find_or_add(type_name);
+    if (!type) return;
+    type->vcpus = json_get_double(object, TYPE_VCPUS, 0);
+    type->gpus = json_get_double(object, TYPE_GPUS, 0);
+    type->memory_gb = json_get_double(object, TYPE_MEMORY_GB, 0);
+    type->local_gb = json_get_double(object, TYPE_LOCAL_GB, 0);
+    type->fetch_rate = json_get_double(object, TYPE_FETCH_RATE, DEFAULT_FETCH_RATE);
+    type->hourly_price = json_get_double(object, TYPE_HOURLY_PRICE, DEFAULT_HOURLY_PRICE);
+    type->spot_price = json_get_double(object, TYPE_SPOT_PRICE, type->hourly_price);
+    type->startup_s = json_get_double(object, TYPE_STARTUP_S, DEFAULT_STARTUP_S);
+    read_zones(type, cJSON_GetObjectItemCaseSensitive(object, TYPE_ZONES));
 }
 
-void machine_types_apply(const cJSON *catalogue) {
-    const cJSON *flavour;
-    cJSON_ArrayForEach(flavour, cJSON_GetObjectItemCaseSensitive(catalogue, "flavours")) read_type(flavour);
+void machine_types_apply(const cJSON *value) {
+    const cJSON *type;
+    cJSON_ArrayForEach(type, cJSON_GetObjectItemCaseSensitive(value, CATALOGUE_TYPES)) read_type(type);
 }
 
+/* The prefix is the whole key: longer keys are others'. */
 static void apply_record(const char *rest, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
     if (*rest == 0 && data) machine_types_apply(data);
 }
 
-void machine_types_init(void) { store_observe_prefix("types", apply_record); }
+void machine_types_init(void) { store_observe_prefix(STORE_KEY_MACHINE_TYPES, apply_record); }
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -17,6 +17,7 @@
 /* Keys of which there is one. */
 #define STORE_KEY_LEADER "leader"
 #define STORE_KEY_FENCING_COUNTER "fence"
+#define STORE_KEY_MACHINE_TYPES "types"
 
 /* Size of a key's text, with the terminating zero byte. */
 #define STORE_KEY_BYTES 128
