--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -121,7 +121,7 @@
 static void rent_spares(int k, GArray *vms, const GArray *order, int steady, int most) {
     struct job *like = NULL;
     for (guint i = 0; i < order->len && !like; i++) {
-        struct job *j = g_array_index(order, struct ranked_job, i).job;
+        struct job *j = g_array_index(order, struct priority_entry, i).job;
         if (j->spec.kind == JOB_GANG && !j->spec.allows_spot && clock_time_of_day() - j->ready < SPARE_S) like = j;
     }
     int whole = 0;
@@ -205,7 +205,7 @@
 static void count_transfers(struct shard_plan *p, const GArray *order) {
     double waited = 0;
     for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct ranked_job, i).job;
+        const struct job *j = g_array_index(order, struct priority_entry, i).job;
         if (j->unplaced && !j->spec.allows_spot) waited = MAX(waited, clock_seconds_since(j->eligible_since));
     }
     for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
@@ -330,15 +330,15 @@
     GArray *order = priority_order_shard(k);
     int waiting = 0;
     for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct ranked_job, i).job;
+        const struct job *j = g_array_index(order, struct priority_entry, i).job;
         if (j->unplaced) waiting += allocations_missing_tasks(j);
     }
     zone_lot = CLAMP(waiting / 8, 1, 48);
     count_transfers(&p, order);
     p.first_new = p.vms->len;
     for (guint i = 0; i < order->len; i++) {
-        const struct ranked_job *r = &g_array_index(order, struct ranked_job, i);
-        if (r->job->unplaced || r->job->replicas_at_risk) rent_for_job(&p, r->job, r->within);
+        const struct priority_entry *r = &g_array_index(order, struct priority_entry, i);
+        if (r->job->unplaced || r->job->replicas_at_risk) rent_for_job(&p, r->job, r->within_guarantee);
     }
     rent_for_pressure(&p);
     rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.requested, 0));
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -55,7 +55,7 @@
     int n = 0;
     GArray *order = priority_order_shard(0);
     for (guint i = 0; i < order->len; i++)
-        n += strcmp(g_array_index(order, struct ranked_job, i).job->spec.job_id, job_id) == 0;
+        n += strcmp(g_array_index(order, struct priority_entry, i).job->spec.job_id, job_id) == 0;
     g_array_free(order, TRUE);
     return n;
 }
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -62,11 +62,11 @@
 }
 
 static int rank_order(gconstpointer a, gconstpointer b) {
-    const struct ranked_job *x = a, *y = b;
+    const struct priority_entry *x = a, *y = b;
     /* What fails wherever it runs delays nobody. */
     bool x_suspect = quarantine_job_suspect(x->job), y_suspect = quarantine_job_suspect(y->job);
     if (x_suspect != y_suspect) return y_suspect ? -1 : 1;
-    if (x->within != y->within) return x->within ? -1 : 1;
+    if (x->within_guarantee != y->within_guarantee) return x->within_guarantee ? -1 : 1;
     if (x->job->priority != y->job->priority) return x->job->priority > y->job->priority ? -1 : 1;
     if (x->due != y->due) return x->due < y->due ? -1 : 1;
     return strcmp(x->job->spec.job_id, y->job->spec.job_id);
@@ -86,7 +86,7 @@
 /* Of the jobs, oldest first, those that are asked for: within a guarantee first, then by rank, then by when they are
  * due. The others count towards their teams' guarantees. */
 static GArray *rank_jobs(const GPtrArray *jobs, const struct rank_filter *filter) {
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(struct ranked_job));
+    GArray *out = g_array_new(FALSE, FALSE, sizeof(struct priority_entry));
     double cpu[SETTINGS_TEAMS] = {0}, gpu[SETTINGS_TEAMS] = {0};
     double now = clock_time_of_day();
     for (guint i = 0; i < jobs->len; i++) {
@@ -98,11 +98,11 @@
         cpu[j->spec.team] += left * j->spec.vcpus;
         gpu[j->spec.team] += left * j->spec.gpus;
         if (!asked_for(filter, j)) continue;
-        struct ranked_job r = {j,
-                               priority_has_guarantee(t) && !quarantine_job_suspect(j) &&
-                                   (t->cpus <= 0 || cpu[j->spec.team] <= t->cpus + 1e-6) &&
-                                   (t->gpus <= 0 || gpu[j->spec.team] <= t->gpus + 1e-6),
-                               MIN(due_of(j, now), j->deadline)};
+        struct priority_entry r = {j,
+                                   priority_has_guarantee(t) && !quarantine_job_suspect(j) &&
+                                       (t->cpus <= 0 || cpu[j->spec.team] <= t->cpus + 1e-6) &&
+                                       (t->gpus <= 0 || gpu[j->spec.team] <= t->gpus + 1e-6),
+                                   MIN(due_of(j, now), j->deadline)};
         g_array_append_val(out, r);
     }
     g_array_sort(out, rank_order);
--- a/src/priority/priority.h
+++ b/src/priority/priority.h
@@ -10,13 +10,13 @@
 
 void priority_init(const struct settings *s);
 
-struct ranked_job {
+struct priority_entry {
     struct job *job;
-    bool within; /* its team's guarantee */
-    double due;  /* time of day */
+    bool within_guarantee; /* its team's guarantee */
+    double due;            /* time of day */
 };
 
-/* The unfinished jobs of a shard, or of a team in whatever shards they are, in order: an array of struct ranked_job
+/* The unfinished jobs of a shard, or of a team in whatever shards they are, in order: an array of struct priority_entry
  * that the caller frees. */
 GArray *priority_order_shard(int shard);
 GArray *priority_order_team(int team);
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -104,7 +104,7 @@
     count_used(t, &lasting);
     GArray *order = priority_order_team(t->team);
     for (guint i = 0; i < order->len && n < DEMANDS_MAX; i++) {
-        const struct job *j = g_array_index(order, struct ranked_job, i).job;
+        const struct job *j = g_array_index(order, struct priority_entry, i).job;
         int waiting = tasks_waiting(j);
         if (waiting <= 0 || part_at(&t->record, jobs_shard(j)) < 0) continue;
         if (quota_allotment_closing(&t->record, t->home, quota_settings->size, jobs_shard(j))) continue;
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -84,7 +84,7 @@
     struct job *found = NULL;
     GArray *order = priority_order_shard(s);
     for (guint i = 0; i < order->len && !found; i++) {
-        struct job *j = g_array_index(order, struct ranked_job, i).job;
+        struct job *j = g_array_index(order, struct priority_entry, i).job;
         if (j->spec.allows_spot != reclaimable || quarantine_job_suspect(j) ||
             clock_seconds_since(j->eligible_since) < 0.4)
             continue;
@@ -97,7 +97,7 @@
             continue;
         if (!takes_all(vms, j, left)) {
             found = j;
-            *within = g_array_index(order, struct ranked_job, i).within;
+            *within = g_array_index(order, struct priority_entry, i).within_guarantee;
         }
     }
     g_array_free(order, TRUE);
@@ -122,8 +122,8 @@
     GArray *order = priority_order_shard(k);
     bool first = false;
     for (guint i = 0; i < order->len && !first; i++) {
-        const struct ranked_job *o = &g_array_index(order, struct ranked_job, i);
-        first = o->within && o->job->unplaced && o->job->priority >= j->priority;
+        const struct priority_entry *o = &g_array_index(order, struct priority_entry, i);
+        first = o->within_guarantee && o->job->unplaced && o->job->priority >= j->priority;
     }
     g_array_free(order, TRUE);
     return first;
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -32,9 +32,9 @@
     pass->usage[job->spec.team].gpu += job->spec.gpus;
 }
 
-bool planning_may_preempt(const struct ranked_job *ranked) {
-    const struct job *job = ranked->job;
-    return (ranked->within || job->priority > PRIORITY_IDLE) && !quarantine_job_suspect(job) &&
+bool planning_may_preempt(const struct priority_entry *entry) {
+    const struct job *job = entry->job;
+    return (entry->within_guarantee || job->priority > PRIORITY_IDLE) && !quarantine_job_suspect(job) &&
            clock_seconds_since(job->preempted_at) > PREEMPT_AGAIN_S;
 }
 
@@ -86,7 +86,7 @@
 static int *count_missing(const GArray *order) {
     int *missing = g_new0(int, order->len + 1);
     for (guint i = 0; i < order->len; i++) {
-        struct job *job = g_array_index(order, struct ranked_job, i).job;
+        struct job *job = g_array_index(order, struct priority_entry, i).job;
         missing[i] = tasks_to_place(job);
         if (missing[i] <= 0) job->unplaced = false;
     }
@@ -98,7 +98,7 @@
     struct job_spec smallest = {.vcpus = INFINITY, .gpus = INFINITY, .memory_gb = INFINITY};
     for (guint i = 0; i < order->len; i++) {
         if (missing[i] <= 0) continue;
-        const struct job_spec *spec = &g_array_index(order, struct ranked_job, i).job->spec;
+        const struct job_spec *spec = &g_array_index(order, struct priority_entry, i).job->spec;
         smallest.vcpus = MIN(smallest.vcpus, spec->vcpus);
         smallest.gpus = MIN(smallest.gpus, spec->gpus);
         smallest.memory_gb = MIN(smallest.memory_gb, spec->memory_gb);
@@ -158,7 +158,7 @@
  * start from nothing they were once asked for half a minute late. */
 static void mark_unplaced(struct planning_pass *pass, guint from) {
     for (guint i = from; i < pass->order->len; i++) {
-        struct job *job = g_array_index(pass->order, struct ranked_job, i).job;
+        struct job *job = g_array_index(pass->order, struct priority_entry, i).job;
         if (pass->missing[i] <= 0 || waits_to_retry(job) || quarantine_job_suspect(job)) continue;
         take_free(&pass->free, job, pass->missing[i]);
         job->unplaced = pass->free.vcpus < 0 || pass->free.gpus < 0;
@@ -166,17 +166,17 @@
     }
 }
 
-static void plan_job(struct planning_pass *pass, const struct ranked_job *ranked, int missing) {
-    struct job *job = ranked->job;
+static void plan_job(struct planning_pass *pass, const struct priority_entry *entry, int missing) {
+    struct job *job = entry->job;
     bool *fit_nowhere = &shard_states[pass->round->shard].fit_nowhere;
     take_free(&pass->free, job, missing);
-    if (!planning_may_preempt(ranked) && surely_no_room(&pass->no_room, &job->spec)) {
+    if (!planning_may_preempt(entry) && surely_no_room(&pass->no_room, &job->spec)) {
         job->unplaced = !quarantine_job_suspect(job);
         *fit_nowhere |= job->unplaced;
         return;
     }
     guint plans_before = pass->round->plans->len;
-    job->unplaced = job->spec.kind == JOB_GANG ? planning_gang(pass, ranked) : planning_array(pass, ranked, missing);
+    job->unplaced = job->spec.kind == JOB_GANG ? planning_gang(pass, entry) : planning_array(pass, entry, missing);
     pass->jobs_planned += pass->round->plans->len > plans_before;
     pass->held_back[job->spec.team] |= quota_reserves_for(job);
     if (job->unplaced) note_no_room(&pass->no_room, &job->spec);
@@ -199,14 +199,14 @@
     pass_init(&pass, round);
     shard_states[round->shard].fit_nowhere = false;
     for (guint i = 0; i < pass.order->len; i++) {
-        const struct ranked_job *ranked = &g_array_index(pass.order, struct ranked_job, i);
-        if (passed_over(&pass, ranked->job, pass.missing[i])) continue;
+        const struct priority_entry *entry = &g_array_index(pass.order, struct priority_entry, i);
+        if (passed_over(&pass, entry->job, pass.missing[i])) continue;
         if (pass.jobs_planned >= round->writes_left || round->plans->len >= PLANS_MAX) {
             round->more_waits = true;
             mark_unplaced(&pass, i);
             break;
         }
-        plan_job(&pass, ranked, pass.missing[i]);
+        plan_job(&pass, entry, pass.missing[i]);
     }
     mark_machines_dirty(round->plans);
     pass_clear(&pass);
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -109,35 +109,35 @@
 }
 
 /* The gang finds no room: what there is is kept for it, and work is preempted for the rest. */
-static void gather_room(struct planning_pass *pass, const struct ranked_job *ranked) {
-    struct job *job = ranked->job;
+static void gather_room(struct planning_pass *pass, const struct priority_entry *entry) {
+    struct job *job = entry->job;
     int now, with;
-    const char *zone = preemption_gang_zone(job, ranked->within, pass->machines, &now, &with);
+    const char *zone = preemption_gang_zone(job, entry->within_guarantee, pass->machines, &now, &with);
     bool enough_with_preemption = with >= job->spec.tasks;
     if (!enough_with_preemption && job->zone) zone = job->zone;
     int kept = reserve_room(pass, job, zone);
     /* Only if all of it gets room by that: a gang that lacks one place runs as little as one that lacks all. */
-    if (!enough_with_preemption || !planning_may_preempt(ranked)) return;
+    if (!enough_with_preemption || !planning_may_preempt(entry)) return;
     bool any = false;
     for (int task = kept; task < job->spec.tasks; task++)
-        any |= preemption_make_room(job, ranked->within, pass->machines, zone, pass->usage);
+        any |= preemption_make_room(job, entry->within_guarantee, pass->machines, zone, pass->usage);
     if (any) job->preempted_at = clock_now();
 }
 
 /* A gang of which nothing is allocated. True if it found no room. */
-static bool plan_new_gang(struct planning_pass *pass, const struct ranked_job *ranked) {
-    struct job *job = ranked->job;
+static bool plan_new_gang(struct planning_pass *pass, const struct priority_entry *entry) {
+    struct job *job = entry->job;
     if (job->n_reported_done == job->spec.tasks) return false;
     if (!preemption_quota_left(&pass->usage[job->spec.team], job, job->spec.tasks)) return false;
     if (place_gang(pass, job)) return false;
-    if (!quarantine_job_suspect(job)) gather_room(pass, ranked);
+    if (!quarantine_job_suspect(job)) gather_room(pass, entry);
     return true;
 }
 
-bool planning_gang(struct planning_pass *pass, const struct ranked_job *ranked) {
-    struct job *job = ranked->job;
+bool planning_gang(struct planning_pass *pass, const struct priority_entry *entry) {
+    struct job *job = entry->job;
     int allocated = allocations_count(job);
-    if (allocated == 0) return plan_new_gang(pass, ranked);
+    if (allocated == 0) return plan_new_gang(pass, entry);
     if (allocated == job->spec.tasks || replace_lost_tasks(pass, job)) return false;
     /* A part of it is lost, or never got allocated: the rest stops, and a new attempt follows. */
     for (guint i = 0; i < job->allocations->len; i++) allocations_request_stop(job->allocations->pdata[i], 0);
--- a/src/scheduler/plan_tasks.c
+++ b/src/scheduler/plan_tasks.c
@@ -50,13 +50,13 @@
 }
 
 /* Preempts work so that tasks of the job get room; true if any is preempted. */
-static bool preempt_for(struct planning_pass *pass, const struct ranked_job *ranked, int tasks) {
-    if (!planning_may_preempt(ranked)) return false;
+static bool preempt_for(struct planning_pass *pass, const struct priority_entry *entry, int tasks) {
+    if (!planning_may_preempt(entry)) return false;
     int made = 0;
     while (made < MIN(tasks, PREEMPTIONS_MAX) &&
-           preemption_make_room(ranked->job, ranked->within, pass->machines, NULL, pass->usage))
+           preemption_make_room(entry->job, entry->within_guarantee, pass->machines, NULL, pass->usage))
         made++;
-    if (made > 0) ranked->job->preempted_at = clock_now();
+    if (made > 0) entry->job->preempted_at = clock_now();
     return made > 0;
 }
 
@@ -73,8 +73,8 @@
     return busy;
 }
 
-bool planning_array(struct planning_pass *pass, const struct ranked_job *ranked, int missing) {
-    struct job *job = ranked->job;
+bool planning_array(struct planning_pass *pass, const struct priority_entry *entry, int missing) {
+    struct job *job = entry->job;
     struct chunk_fill fill = {.chunk_size = allocations_next_chunk_size(job), .chunk = -1};
     struct machine *machine = NULL;
     g_autofree uint8_t *busy = busy_tasks(job);
@@ -87,7 +87,7 @@
         }
         machine = machine_after(pass, job, machine);
         bool starts_in_time = machine && !preemption_fetch_too_slow(job, machine);
-        if (!starts_in_time && preempt_for(pass, ranked, missing)) return false;
+        if (!starts_in_time && preempt_for(pass, entry, missing)) return false;
         if (!machine) return true;
         if (!chunk_fill_add(&fill, job, task, machine)) {
             task = (fill.chunk + 1) * fill.chunk_size - 1; /* on to the next chunk */
--- a/src/scheduler/planning.h
+++ b/src/scheduler/planning.h
@@ -34,7 +34,7 @@
     GPtrArray *machines;           /* of the shard; the shard's */
     GPtrArray *machines_with_room; /* those that take the smallest of what waits; the pass's */
     struct placement_rules rules;
-    GArray *order; /* struct ranked_job; the pass's */
+    GArray *order; /* struct priority_entry; the pass's */
     int *missing;  /* for each job of the order, the tasks to be placed; the pass's */
     struct free_room free;
     struct no_room no_room;
@@ -53,11 +53,11 @@
                          int64_t attempt);
 
 /* Whether tasks may be preempted for the job now. */
-bool planning_may_preempt(const struct ranked_job *ranked);
+bool planning_may_preempt(const struct priority_entry *entry);
 
 /* Plans what is missing of an array or a service. True if a task found no room. */
-bool planning_array(struct planning_pass *pass, const struct ranked_job *ranked, int missing);
+bool planning_array(struct planning_pass *pass, const struct priority_entry *entry, int missing);
 
 /* Plans a gang. True if it found no room. */
-bool planning_gang(struct planning_pass *pass, const struct ranked_job *ranked);
+bool planning_gang(struct planning_pass *pass, const struct priority_entry *entry);
 #endif
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -380,7 +380,7 @@
         plain->n_reported_done = 1; /* it has begun */
         (void)machine;
         GArray *order = priority_order_shard(0);
-        bool first = g_array_index(order, struct ranked_job, 0).job == expected;
+        bool first = g_array_index(order, struct priority_entry, 0).job == expected;
         g_array_free(order, TRUE);
         owned_clear();
         store_unlock();
