--- /dev/null
+++ b/src/api/poll.c
@@ -0,0 +1,129 @@
+#include "poll.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <string.h>
+
+#include "../clock/clock.h"
+#include "../http/client.h"
+#include "../jobs/jobs.h"
+#include "../store/keys.h"
+#include "../store/store.h"
+#include "../sync/sync.h"
+#include "batch.h"
+#include "request.h"
+
+#define ANSWER_WITHIN_S 2.0 /* users wait no longer for the answer to a poll */
+#define GATHER_S 0.08       /* for so long more polls are gathered where requests to the store are scarce */
+#define BATCH_PER_TRANSACTION                                                              \
+    4 /* a batch of polls only compares: it may be so many times as large as one of writes \
+       */
+
+static const struct settings *settings;
+static struct request_queue poll_queue;
+
+/* After a conflict the keys concerned were read again, at a revision after the poll arrived. A read that failed leaves
+ * the older record, which is not confirmed. */
+static bool is_outdated(const struct api_request *request, const struct store_response *response, const char *key) {
+    for (guint i = 0; response->conflicts && i < response->conflicts->len; i++) {
+        if (strcmp(response->conflicts->pdata[i], key) == 0)
+            return store_key_revision(key) == request->compared_revision;
+    }
+    return false;
+}
+
+static void respond(const struct api_request *request, enum store_result result,
+                    const struct store_response *response) {
+    if (result != STORE_OK && result != STORE_CONFLICT) {
+        respond_refused(request->http, REFUSAL_STORE_UNREACHABLE);
+        return;
+    }
+    if (clock_seconds_since(request->arrived) > ANSWER_WITHIN_S) {
+        /* This process was paused or is far behind: what was confirmed may be old by now. */
+        respond_refused(request->http, REFUSAL_POLL_EXPIRED);
+        return;
+    }
+    struct store_key key = store_key_job(request->job_id);
+    store_lock();
+    const struct job *job = jobs_find(request->job_id);
+    if (is_outdated(request, response, key.text)) {
+        respond_refused(request->http, REFUSAL_RECORD_UNCONFIRMED);
+    } else if (job && job->known) {
+        respond_job(request->http, job);
+    } else {
+        respond_refused(request->http, REFUSAL_JOB_UNKNOWN);
+    }
+    store_unlock();
+}
+
+static void add_comparisons(const GPtrArray *batch, struct store_txn *txn) {
+    store_lock();
+    for (guint i = 0; i < batch->len; i++) {
+        struct api_request *request = batch->pdata[i];
+        struct store_key key = store_key_job(request->job_id);
+        request->compared_revision = store_key_revision(key.text);
+        store_txn_compare(txn, key.text, request->compared_revision);
+    }
+    store_unlock();
+}
+
+/* One transaction without writes answers for a whole batch. */
+static void confirm(struct http_client *client, const GPtrArray *batch) {
+    struct store_txn txn;
+    struct store_response response;
+    store_txn_init(&txn);
+    add_comparisons(batch, &txn);
+    enum store_result result = store_commit(client, STORE_PRIORITY_ACCEPT, &txn, &response);
+    if (result == STORE_CONFLICT)
+        for (guint i = 0; i < response.conflicts->len; i++) store_refresh(client, response.conflicts->pdata[i]);
+    for (guint i = 0; i < batch->len; i++) {
+        respond(batch->pdata[i], result, &response);
+        request_free(batch->pdata[i]);
+    }
+    store_response_clear(&response);
+    store_txn_free(&txn);
+}
+
+static void gather(GPtrArray *batch) {
+    guint most = (guint)settings->txn_ops * BATCH_PER_TRANSACTION;
+    g_ptr_array_set_size(batch, 0);
+    request_queue_take(&poll_queue, batch, most);
+    /* The batch widens where requests are scarce: polls by the hundred, a request each, left none for allocations. */
+    if (batch->len < (guint)settings->txn_ops && store_budget_requests_scarce()) {
+        clock_sleep(clock_from_seconds(GATHER_S));
+        request_queue_take_waiting(&poll_queue, batch, most);
+    }
+}
+
+static void *poll_main(void *arg) {
+    (void)arg;
+    struct http_client *client = http_client_new();
+    GPtrArray *batch = g_ptr_array_new();
+    for (;;) {
+        gather(batch);
+        confirm(client, batch);
+    }
+    return NULL;
+}
+
+void poll_receive(struct http_request *http, const char *job_id) {
+    struct api_request *request = request_new(REQUEST_POLL, http, job_id);
+    switch (request_examine(request)) {
+        case NEED_NOTHING:
+            break;
+        case NEED_CONFIRMATION:
+            request_queue_push(&poll_queue, request);
+            break;
+        case NEED_CANCELLATION:
+            batch_enqueue(request);
+            break;
+    }
+}
+
+void poll_init(const struct settings *all_settings) { settings = all_settings; }
+
+void poll_start(void) {
+    request_queue_init(&poll_queue);
+    sync_start_thread(poll_main, NULL);
+}
--- /dev/null
+++ b/src/api/responses.c
@@ -0,0 +1,135 @@
+#include "responses.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdio.h>
+
+#include "../jobs/job_spec.h"
+#include "../jobs/jobs.h"
+
+enum http_status {
+    STATUS_OK = 200,
+    STATUS_CREATED = 201,
+    STATUS_BAD_REQUEST = 400,
+    STATUS_NOT_FOUND = 404,
+    STATUS_METHOD_NOT_ALLOWED = 405,
+    STATUS_UNPROCESSABLE = 422,
+    STATUS_TOO_MANY_REQUESTS = 429,
+    STATUS_UNAVAILABLE = 503,
+};
+
+#define BODY_BYTES 256
+#define TEXT_BYTES 128
+#define FIELD_BYTES_SHOWN 40 /* of a field's name that the user has chosen */
+
+struct refusal_response {
+    enum http_status status;
+    int retry_after_s; /* 0: no such header */
+    const char *before_subject, *after_subject;
+};
+
+/* Of REFUSAL_NONE there is no response. */
+static const struct refusal_response refusal_responses[] = {
+    [REFUSAL_NONE] = {0, 0, "", ""},
+    [REFUSAL_PATH_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such path", ""},
+    [REFUSAL_METHOD_NOT_ALLOWED] = {STATUS_METHOD_NOT_ALLOWED, 0, "method not allowed", ""},
+    [REFUSAL_BODY_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "body: above 64 KiB", ""},
+    [REFUSAL_FIELD_INVALID] = {STATUS_BAD_REQUEST, 0, "", ": missing or invalid"},
+    [REFUSAL_RECORD_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "",
+                                  ""}, /* its text names a limit: see record_too_large_text */
+    [REFUSAL_JOB_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such job", ""},
+    [REFUSAL_TEAM_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_TEAM ": unknown team", ""},
+    [REFUSAL_FITS_NO_MACHINE_TYPE] = {STATUS_UNPROCESSABLE, 0, "a task fits no allowed machine type", ""},
+    [REFUSAL_ABOVE_TEAM_LIMIT] = {STATUS_UNPROCESSABLE, 0, "needs more than the team's limit", ""},
+    [REFUSAL_PREREQUISITE_ITSELF] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_PREREQUISITES ": ", " names itself"},
+    [REFUSAL_PREREQUISITE_SERVICE] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_PREREQUISITES ": ", " is a service"},
+    [REFUSAL_PREREQUISITE_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_PREREQUISITES ": ",
+                                      " was never accepted"},
+    [REFUSAL_PREREQUISITE_UNREADABLE] = {STATUS_UNAVAILABLE, 2, JOB_SPEC_FIELD_PREREQUISITES ": the record of ",
+                                         " can't be read"},
+    [REFUSAL_QUEUE_FULL] = {STATUS_TOO_MANY_REQUESTS, 2, "too many requests wait here", ""},
+    [REFUSAL_WRITE_BUDGET] = {STATUS_TOO_MANY_REQUESTS, 1, "over the write budget", ""},
+    [REFUSAL_STORE_UNREACHABLE] = {STATUS_UNAVAILABLE, 2, "the state service is out of reach", ""},
+    [REFUSAL_STORE_SILENT] = {STATUS_UNAVAILABLE, 2, "the state service did not answer", ""},
+    [REFUSAL_MACHINE_TYPES_UNKNOWN] = {STATUS_UNAVAILABLE, 1, "machine types are not known yet", ""},
+    [REFUSAL_RECORD_UNCONFIRMED] = {STATUS_UNAVAILABLE, 1, "the state service did not answer", ""},
+    [REFUSAL_POLL_EXPIRED] = {STATUS_UNAVAILABLE, 1, "the answer took too long", ""},
+    [REFUSAL_CANCELLATION_UNDECIDED] = {STATUS_UNAVAILABLE, 1, "not decided yet", ""},
+    [REFUSAL_PREREQUISITE_CANCELLED] = {STATUS_UNAVAILABLE, 1, "a job that it needs is cancelled", ""},
+};
+
+struct refusal refusal_about(enum refusal_reason reason, const char *subject) {
+    struct refusal refusal = {.reason = reason};
+    g_strlcpy(refusal.subject, subject, sizeof refusal.subject);
+    return refusal;
+}
+
+struct refusal refusal_of_feasibility(enum job_feasibility feasibility) {
+    static const enum refusal_reason reasons[] = {
+        [JOB_FEASIBLE] = REFUSAL_NONE,
+        [JOB_TEAM_UNKNOWN] = REFUSAL_TEAM_UNKNOWN,
+        [JOB_FITS_NO_MACHINE_TYPE] = REFUSAL_FITS_NO_MACHINE_TYPE,
+        [JOB_ABOVE_TEAM_LIMIT] = REFUSAL_ABOVE_TEAM_LIMIT,
+    };
+    return (struct refusal){.reason = reasons[feasibility]};
+}
+
+struct refusal refusal_of_prerequisites(struct prerequisites_check check) {
+    static const enum refusal_reason reasons[] = {
+        [PREREQUISITES_VALID] = REFUSAL_NONE,
+        [PREREQUISITE_ITSELF] = REFUSAL_PREREQUISITE_ITSELF,
+        [PREREQUISITE_SERVICE] = REFUSAL_PREREQUISITE_SERVICE,
+        [PREREQUISITE_UNKNOWN] = REFUSAL_PREREQUISITE_UNKNOWN,
+        [PREREQUISITE_UNREADABLE] = REFUSAL_PREREQUISITE_UNREADABLE,
+        [PREREQUISITE_STORE_SILENT] = REFUSAL_STORE_SILENT,
+    };
+    return refusal_about(reasons[check.result], check.job_id ? check.job_id : "");
+}
+
+bool refusal_is_unavailability(enum refusal_reason reason) {
+    return refusal_responses[reason].status == STATUS_UNAVAILABLE;
+}
+
+static void record_too_large_text(char *text, size_t n, const char *field) {
+    snprintf(text, n, "%.*s: too long, a job's record may take %zu bytes", FIELD_BYTES_SHOWN, field,
+             jobs_record_bytes_max());
+}
+
+void respond_refusal(struct http_request *http, const struct refusal *refusal) {
+    const struct refusal_response *response = &refusal_responses[refusal->reason];
+    char text[TEXT_BYTES], body[BODY_BYTES];
+    if (refusal->reason == REFUSAL_RECORD_TOO_LARGE) {
+        record_too_large_text(text, sizeof text, refusal->subject);
+    } else {
+        snprintf(text, sizeof text, "%s%s%s", response->before_subject, refusal->subject, response->after_subject);
+    }
+    snprintf(body, sizeof body, "{\"error\":\"%s\"}", text);
+    http_reply(http, response->status, body, response->retry_after_s);
+}
+
+void respond_refused(struct http_request *http, enum refusal_reason reason) {
+    respond_refusal(http, &(struct refusal){.reason = reason});
+}
+
+static void respond_state(struct http_request *http, enum http_status status, const struct job *job, const char *state,
+                          int done, int running) {
+    char body[BODY_BYTES];
+    snprintf(body, sizeof body, "{\"" JOB_SPEC_FIELD_ID "\":\"%s\",\"state\":\"%s\",\"done\":%d,\"running\":%d}",
+             job->spec.job_id, state, done, running);
+    http_reply(http, status, body, 0);
+}
+
+void respond_job(struct http_request *http, const struct job *job) {
+    int running;
+    if (dependencies_must_cancel(job)) {
+        respond_refused(http, REFUSAL_PREREQUISITE_CANCELLED);
+        return;
+    }
+    const char *state = jobs_state_name(job, &running);
+    respond_state(http, STATUS_OK, job, state, job->n_done, running);
+}
+
+void respond_job_created(struct http_request *http, const struct job *job) {
+    int running;
+    respond_state(http, STATUS_CREATED, job, jobs_state_name(job, &running), 0, 0);
+}
--- /dev/null
+++ b/src/api/submit.c
@@ -0,0 +1,145 @@
+#include "submit.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "../clock/clock.h"
+#include "../dependencies/dependencies.h"
+#include "../jobs/feasibility.h"
+#include "../jobs/job_spec.h"
+#include "../jobs/jobs.h"
+#include "../json/json.h"
+#include "../machine_types/machine_types.h"
+#include "../quota/quota.h"
+#include "batch.h"
+
+static const struct settings *settings;
+
+void submit_init(const struct settings *all_settings) { settings = all_settings; }
+
+static bool is_refused(const struct api_request *request) { return request->refusal.reason != REFUSAL_NONE; }
+
+/* What becomes of a submission at its arrival. */
+enum submit_decision { SUBMIT_ANSWERED, SUBMIT_STORE_UNREACHABLE, SUBMIT_MACHINE_TYPES_UNKNOWN, SUBMIT_QUEUED };
+
+/* Decides by what the mirror says, and refuses a new job that could never run. A final state is true for good, and told
+ * at once. */
+static enum submit_decision decide(struct api_request *request, const struct job_spec *spec) {
+    enum submit_decision decision = SUBMIT_QUEUED;
+    store_lock();
+    const struct job *job = jobs_find(request->job_id);
+    bool known = job && job->known, to_check = !known && !is_refused(request);
+    if (known && job->state != JOB_QUEUED) {
+        respond_job(request->http, job);
+        decision = SUBMIT_ANSWERED;
+    } else if (store_unreachable()) {
+        decision = SUBMIT_STORE_UNREACHABLE;
+    } else if (to_check && !machine_types_known()) {
+        decision = SUBMIT_MACHINE_TYPES_UNKNOWN;
+    } else if (to_check) {
+        request->refusal =
+            refusal_of_feasibility(job_check_feasible(spec, settings, machine_types_all(), machine_types_count()));
+    }
+    store_unlock();
+    return decision;
+}
+
+/* The field whose value takes most of the record. */
+static const char *largest_field(const cJSON *submission) {
+    const char *largest = "body";
+    size_t most = 0;
+    const cJSON *field;
+    cJSON_ArrayForEach(field, submission) {
+        char *text = cJSON_PrintUnformatted(field);
+        size_t length = text ? strlen(text) : 0;
+        free(text);
+        if (length <= most) continue;
+        most = length;
+        largest = field->string;
+    }
+    return largest;
+}
+
+static void queue_submission(struct api_request *request, const cJSON *submission) {
+    request->spec_text = cJSON_PrintUnformatted(submission);
+    if (!is_refused(request) && jobs_record_bytes(request->spec_text) > jobs_record_bytes_max())
+        request->refusal = refusal_about(REFUSAL_RECORD_TOO_LARGE, largest_field(submission));
+    batch_enqueue(request);
+}
+
+static void receive_parsed(struct http_request *http, const cJSON *submission) {
+    struct job_spec spec;
+    const char *invalid_field = job_spec_read(submission, settings, &spec);
+    const char *job_id = job_spec_read_id(submission);
+    if (!job_id) {
+        struct refusal refusal = refusal_about(REFUSAL_FIELD_INVALID, invalid_field);
+        respond_refusal(http, &refusal);
+        return;
+    }
+    struct api_request *request = request_new(REQUEST_SUBMIT, http, job_id);
+    if (invalid_field) request->refusal = refusal_about(REFUSAL_FIELD_INVALID, invalid_field);
+    request->team = invalid_field ? -1 : spec.team;
+    request->prerequisites = g_steal_pointer(&spec.prerequisites);
+    enum submit_decision decision = decide(request, &spec);
+    job_spec_clear(&spec);
+    switch (decision) {
+        case SUBMIT_ANSWERED:
+            request_free(request);
+            break;
+        case SUBMIT_STORE_UNREACHABLE:
+            request_refuse(request, REFUSAL_STORE_UNREACHABLE);
+            break;
+        case SUBMIT_MACHINE_TYPES_UNKNOWN:
+            request_refuse(request, REFUSAL_MACHINE_TYPES_UNKNOWN);
+            break;
+        case SUBMIT_QUEUED:
+            queue_submission(request, submission);
+            break;
+    }
+}
+
+void submit_receive(struct http_request *http) {
+    if (http_body_too_large(http)) {
+        respond_refused(http, REFUSAL_BODY_TOO_LARGE);
+        return;
+    }
+    size_t length;
+    const char *body = http_body(http, &length);
+    cJSON *submission = cJSON_ParseWithLength(body, length);
+    receive_parsed(http, submission);
+    cJSON_Delete(submission);
+}
+
+void submit_check_prerequisites(struct http_client *client, const GPtrArray *batch) {
+    for (guint i = 0; i < batch->len; i++) {
+        struct api_request *request = batch->pdata[i];
+        if (is_refused(request) || !request->prerequisites) continue;
+        store_lock();
+        const struct job *job = jobs_find(request->job_id);
+        bool known = job && job->known;
+        store_unlock();
+        if (!known) {
+            request->refusal =
+                refusal_of_prerequisites(dependencies_check(client, request->job_id, request->prerequisites));
+        }
+    }
+}
+
+void submit_add_record(const struct api_request *request, struct store_txn *txn, const char *key) {
+    if (is_refused(request)) return;
+    enum job_state state = dependencies_any_cancelled(request->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
+    int shard = request->team < 0 ? -1 : quota_shard_of_new(request->team, request->job_id);
+    store_txn_put(txn, key, jobs_value(request->spec_text, state, clock_time_of_day(), shard), 0);
+}
+
+void submit_respond(const struct api_request *request, const struct job *job) {
+    if (!job || !job->known) {
+        respond_refusal(request->http, &request->refusal);
+    } else if (request->written && !request->was_known) {
+        respond_job_created(request->http, job);
+    } else {
+        respond_job(request->http, job);
+    }
+}
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -1,4 +1,5 @@
-/* Chains on records alone, read in any order: who waits, whose rank and deadline a job has, what is to be cancelled. */
+/* Dependencies between jobs by their records alone, read in any order: which jobs wait, what priority and deadline
+ * each has, and which are to be cancelled. */
 #include "dependencies/dependencies.h"
 
 #include <glib.h>
@@ -10,6 +11,7 @@
 
 #include "../../tests/standin/site.h"
 #include "allocations/allocations.h"
+#include "dependencies/cascade.h"
 #include "json/json.h"
 #include "logging/logging.h"
 #include "membership/membership.h"
@@ -51,7 +53,7 @@
     put(job_id, "red", "idle", 0, prereqs, state, end);
 }
 
-static int ranked(const char *job_id) {
+static int places_in_order(const char *job_id) {
     int n = 0;
     GArray *order = priority_order_shard(0);
     for (guint i = 0; i < order->len; i++)
@@ -62,35 +64,36 @@
 
 /* A job takes part in nothing until the record of each prerequisite says done, in whatever order records come; its
  * times count from the last end. All tasks reported is not done: the job may still be cancelled. */
-static void waiting(void **state) {
+static void job_waits_until_all_prerequisites_are_recorded_done(void **state) {
     (void)state;
-    queued("req-10003", "[\"req-10001\",\"req-10002\"]"); /* read before what it needs */
+    queued("req-10003", "[\"req-10001\",\"req-10002\"]"); /* read before its prerequisites */
     const struct job *j = jobs_find("req-10003");
     assert_true(dependencies_unmet(j));
-    assert_int_equal(ranked("req-10003"), 0);
+    assert_int_equal(places_in_order("req-10003"), 0);
     queued("req-10001", "[]");
     queued("req-10002", "[]");
-    assert_int_equal(ranked("req-10001"), 1);
+    assert_int_equal(places_in_order("req-10001"), 1);
     ends("req-10001", "[]", "done", 1200);
     assert_true(dependencies_unmet(j));
     jobs_mark_done(jobs_find("req-10002"), 0);
     jobs_mark_done(jobs_find("req-10002"), 1);
     assert_true(jobs_complete(jobs_find("req-10002")));
     assert_true(dependencies_unmet(j));
-    assert_int_equal(ranked("req-10003"), 0);
+    assert_int_equal(places_in_order("req-10003"), 0);
     ends("req-10002", "[]", "done", 1100);
     assert_false(dependencies_unmet(j));
-    assert_int_equal(ranked("req-10003"), 1);
+    assert_int_equal(places_in_order("req-10003"), 1);
     assert_float_equal(j->ready, 1200, 1e-6);
     /* Ends that the first version recorded are older than any job with prerequisites. */
     ends("req-10004", "[]", "done", 0);
     queued("req-10005", "[\"req-10004\"]");
     assert_float_equal(jobs_find("req-10005")->ready, 1000, 1e-6);
-    assert_int_equal(ranked("req-10005"), 1);
+    assert_int_equal(places_in_order("req-10005"), 1);
 }
 
-/* Ranks and deadlines come from all unfinished jobs that need one, of whatever team; jobs are read in both orders. */
-static void urgency(void **state) {
+/* Priorities and deadlines come from all unfinished jobs that depend on one, of whatever team; jobs are read in both
+ * orders. */
+static void priority_and_deadline_come_from_unfinished_dependents(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -119,7 +122,7 @@
          "1",
          PRIORITY_HIGH,
          200 - RUNTIME_S},
-        {"another team's need",
+        {"another team's dependent",
          {{"1", "red", "idle", 0, "[]", "queued"}, {"2", "blue", "production", 500, "[\"1\"]", "queued"}},
          "1",
          PRIORITY_PRODUCTION,
@@ -129,14 +132,14 @@
          "1",
          PRIORITY_HIGH,
          100},
-        {"what was cancelled asks for nothing",
+        {"a cancelled dependent counts no more",
          {{"1", "red", "idle", 0, "[]", "queued"},
           {"2", "red", "normal", 0, "[\"1\"]", "queued"},
           {"3", "red", "high", 400, "[\"1\"]", "cancelled"}},
          "1",
          PRIORITY_NORMAL,
          0},
-        {"through one that is cancelled neither",
+        {"nor do the dependents of a cancelled dependent",
          {{"1", "red", "idle", 0, "[]", "queued"},
           {"2", "red", "idle", 0, "[\"1\"]", "cancelled"},
           {"3", "red", "high", 400, "[\"2\"]", "queued"}},
@@ -167,15 +170,15 @@
         g_snprintf(asked, sizeof asked, "req-%d", base + atoi(rows[r].asked));
         const struct job *j = jobs_find(asked);
         double want = rows[r].deadline > 0 ? 1000 + rows[r].deadline : INFINITY;
-        if (j->priority != rows[r].priority) fail_msg("%s: rank %d", rows[r].what, (int)j->priority);
+        if (j->priority != rows[r].priority) fail_msg("%s: priority %d", rows[r].what, (int)j->priority);
         if (j->deadline != want && fabs(j->deadline - want) > 1e-6)
             fail_msg("%s: deadline %f", rows[r].what, j->deadline);
     }
 }
 
-/* All that needs a cancelled job is to be cancelled, and never had a task: nothing starts before its prerequisite is
- * done, and what is done is never cancelled. */
-static void cascade(void **state) {
+/* All jobs that depend on a cancelled one are to be cancelled, and never had a task: nothing starts before its
+ * prerequisite is done, and what is done is never cancelled. */
+static void dependents_of_a_cancelled_job_are_to_be_cancelled(void **state) {
     (void)state;
     queued("req-30001", "[]");
     queued("req-30002", "[\"req-30001\"]");
@@ -188,19 +191,19 @@
     assert_true(dependencies_unmet(jobs_find("req-30003")));
     assert_int_equal(jobs_find("req-30003")->allocations->len, 0);
     char *names[] = {(char *)"req-30001", (char *)"req-30003", NULL};
-    assert_true(dependencies_any_cancelled(names)); /* what names it later */
+    assert_true(dependencies_any_cancelled(names)); /* those of a job that names it later */
     assert_false(dependencies_any_cancelled(NULL));
     queued("req-30004", "[\"req-30003\"]");
     assert_true(dependencies_must_cancel(jobs_find("req-30004")));
-    /* Its own record ends it. */
+    /* Its own record ends that. */
     ends("req-30003", "[\"req-30002\"]", "cancelled", 0);
     assert_false(dependencies_must_cancel(jobs_find("req-30003")));
     ends("req-30004", "[\"req-30003\"]", "cancelled", 0);
 }
 
-/* Deep and wide graphs, read from either end: every job is found, prerequisites before their dependents, so that who
- * told the first job's user writes them all. */
-static void deep_and_wide(void **state) {
+/* Deep and wide graphs, read from either end: every job is found, prerequisites before their dependents, so that the
+ * controller that acknowledged the first cancellation writes them all. */
+static void deep_and_wide_graphs_are_cancelled_in_order(void **state) {
     (void)state;
     enum { DEEP = 3000, WIDE = 300 };
     static struct job *next[DEEP + WIDE + 1];
@@ -215,14 +218,14 @@
         queued(job_id, "[\"req-400000\"]");
     }
     queued("req-400000", "[]");
-    assert_int_equal(dependencies_next_cancellations(next, DEEP + WIDE), 0);
+    assert_int_equal(cascade_next(next, DEEP + WIDE), 0);
     ends("req-400000", "[]", "cancelled", 0);
     store_lock();
-    /* Neither was the user told here, nor is the shard ours: others go first. */
-    assert_int_equal(dependencies_next_cancellations(next, DEEP + WIDE), 0);
+    /* Neither was the cancellation acknowledged here, nor is the shard owned: other controllers go first. */
+    assert_int_equal(cascade_next(next, DEEP + WIDE), 0);
     jobs_find("req-400000")->cancel_acknowledged = true;
-    assert_int_equal(dependencies_next_cancellations(next, 16), 16);
-    assert_int_equal(dependencies_next_cancellations(next, DEEP + WIDE + 1), DEEP + WIDE);
+    assert_int_equal(cascade_next(next, 16), 16);
+    assert_int_equal(cascade_next(next, DEEP + WIDE + 1), DEEP + WIDE);
     for (int i = 1; i <= DEEP; i++) {
         g_snprintf(job_id, sizeof job_id, "req-4%05d", i);
         assert_true(dependencies_must_cancel(jobs_find(job_id)));
@@ -249,7 +252,9 @@
     placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
-    const struct CMUnitTest tests[] = {cmocka_unit_test(waiting), cmocka_unit_test(urgency), cmocka_unit_test(cascade),
-                                       cmocka_unit_test(deep_and_wide)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(job_waits_until_all_prerequisites_are_recorded_done),
+                                       cmocka_unit_test(priority_and_deadline_come_from_unfinished_dependents),
+                                       cmocka_unit_test(dependents_of_a_cancelled_job_are_to_be_cancelled),
+                                       cmocka_unit_test(deep_and_wide_graphs_are_cancelled_in_order)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- /dev/null
+++ b/src/dependencies/submission_check.c
@@ -0,0 +1,39 @@
+#include <stdbool.h>
+#include <string.h>
+
+#include "../jobs/jobs.h"
+#include "../store/keys.h"
+#include "../store/store.h"
+#include "dependencies.h"
+
+/* What the mirror says of a prerequisite. */
+static enum prerequisites_result look_up(const char *job_id, const struct store_key *key) {
+    enum prerequisites_result result = PREREQUISITES_VALID;
+    store_lock();
+    const struct job *job = jobs_find(job_id);
+    if (!job || !job->known) {
+        result = store_key_revision(key->text) ? PREREQUISITE_UNREADABLE : PREREQUISITE_UNKNOWN;
+    } else if (job->spec.kind == JOB_SERVICE) {
+        result = PREREQUISITE_SERVICE;
+    }
+    store_unlock();
+    return result;
+}
+
+static enum prerequisites_result check_one(struct http_client *client, const char *job_id) {
+    struct store_key key = store_key_job(job_id);
+    enum prerequisites_result result = look_up(job_id, &key);
+    if (result != PREREQUISITE_UNKNOWN) return result;
+    if (!store_refresh(client, key.text)) return PREREQUISITE_STORE_SILENT;
+    return look_up(job_id, &key);
+}
+
+struct prerequisites_check dependencies_check(struct http_client *client, const char *job_id,
+                                              char *const *prerequisites) {
+    for (; prerequisites && *prerequisites; prerequisites++) {
+        enum prerequisites_result result = PREREQUISITE_ITSELF;
+        if (strcmp(*prerequisites, job_id) != 0) result = check_one(client, *prerequisites);
+        if (result != PREREQUISITES_VALID) return (struct prerequisites_check){result, *prerequisites};
+    }
+    return (struct prerequisites_check){PREREQUISITES_VALID, NULL};
+}
--- a/src/jobs/job_spec.c
+++ b/src/jobs/job_spec.c
@@ -3,162 +3,241 @@
 #include <glib.h>
 #include <math.h>
 #include <stdbool.h>
+#include <stddef.h>
 #include <stdint.h>
-#include <stdio.h>
 #include <string.h>
 
 #include "../json/json.h"
 
+#define JOB_ID_PREFIX "req-"
+#define JOB_ID_LENGTH_MAX 40
+#define NAME_LENGTH_MAX 199
+#define ZONE_LENGTH_MAX 99
+#define MACHINE_TYPES_MAX 100
+#define AMOUNT_LIMIT 1e9 /* amounts are below it */
+
+static const char *const kind_names[] = {[JOB_ARRAY] = "batch", [JOB_GANG] = "group", [JOB_SERVICE] = "standing"};
+static const char *const priority_names[] = {[PRIORITY_IDLE] = "idle",
+                                             [PRIORITY_NORMAL] = "normal",
+                                             [PRIORITY_HIGH] = "high",
+                                             [PRIORITY_PRODUCTION] = "production"};
+
 bool job_id_valid(const char *job_id) {
-    size_t n = job_id ? strlen(job_id) : 0;
-    if (n < 5 || n > 40 || strncmp(job_id, "req-", 4) != 0) return false;
-    for (size_t i = 4; i < n; i++)
-        if (job_id[i] < '0' || job_id[i] > '9') return false;
+    if (!job_id || !g_str_has_prefix(job_id, JOB_ID_PREFIX)) return false;
+    const char *digits = job_id + strlen(JOB_ID_PREFIX);
+    size_t n_digits = strspn(digits, "0123456789");
+    return n_digits > 0 && digits[n_digits] == 0 && strlen(job_id) <= JOB_ID_LENGTH_MAX;
+}
+
+void job_spec_clear(struct job_spec *spec) {
+    g_free(spec->job_class);
+    g_free(spec->image);
+    g_free(spec->zone);
+    g_strfreev(spec->machine_types);
+    g_strfreev(spec->prerequisites);
+    memset(spec, 0, sizeof *spec);
+}
+
+/* ---- Readers of one field. They return false if it is missing or invalid. ---- */
+
+struct field_reading {
+    const cJSON *submission;
+    const struct settings *settings;
+    const char *name;
+    void *member; /* of struct job_spec, of the type that the reader fills */
+};
+
+/* The field's value; NULL if it is absent or null. */
+static const cJSON *value_of(const struct field_reading *field) {
+    const cJSON *value = cJSON_GetObjectItemCaseSensitive(field->submission, field->name);
+    return cJSON_IsNull(value) ? NULL : value;
+}
+
+static bool read_job_id(const struct field_reading *field) {
+    const char *job_id = json_get_string(field->submission, field->name);
+    if (!job_id_valid(job_id)) return false;
+    g_strlcpy(field->member, job_id, JOB_ID_SIZE);
+    return true;
+}
+
+static bool read_name(const struct field_reading *field) {
+    const char *name = json_get_string(field->submission, field->name);
+    if (!name || !*name || strlen(name) > NAME_LENGTH_MAX) return false;
+    *(char **)field->member = g_strdup(name);
+    return true;
+}
+
+static bool read_team(const struct field_reading *field) {
+    const char *name = json_get_string(field->submission, field->name);
+    if (!name || !*name) return false;
+    *(int *)field->member = settings_team(field->settings, name);
+    return true;
+}
+
+/* The index of the text among n names; -1: it is none of them, or NULL. */
+static int index_of(const char *text, const char *const *names, int n) {
+    for (int i = 0; text && i < n; i++)
+        if (strcmp(text, names[i]) == 0) return i;
+    return -1;
+}
+
+static bool read_kind(const struct field_reading *field) {
+    int kind = index_of(json_get_string(field->submission, field->name), kind_names, G_N_ELEMENTS(kind_names));
+    if (kind < 0) return false;
+    *(enum job_kind *)field->member = (enum job_kind)kind;
+    return true;
+}
+
+static bool read_priority(const struct field_reading *field) {
+    const char *name = json_get_string(field->submission, field->name);
+    int priority = index_of(name, priority_names, G_N_ELEMENTS(priority_names));
+    if (priority < 0) return false;
+    *(enum job_priority *)field->member = (enum job_priority)priority;
+    return true;
+}
+
+static bool read_task_count(const struct field_reading *field) {
+    int64_t tasks;
+    if (!json_get_int64(field->submission, field->name, &tasks) || tasks < 1 || tasks > JOB_TASKS_MAX) return false;
+    *(int *)field->member = (int)tasks;
+    return true;
+}
+
+static bool read_amount(const struct field_reading *field) {
+    const cJSON *value = value_of(field);
+    if (!cJSON_IsNumber(value)) return false;
+    double amount = value->valuedouble;
+    if (!isfinite(amount) || amount < 0 || amount >= AMOUNT_LIMIT) return false;
+    *(double *)field->member = amount;
+    return true;
+}
+
+static bool read_positive_amount(const struct field_reading *field) {
+    return read_amount(field) && *(const double *)field->member > 0;
+}
+
+static bool read_optional_amount(const struct field_reading *field) { return !value_of(field) || read_amount(field); }
+
+static bool read_flag(const struct field_reading *field) {
+    const cJSON *value = value_of(field);
+    if (!cJSON_IsBool(value)) return false;
+    *(bool *)field->member = cJSON_IsTrue(value);
+    return true;
+}
+
+static bool read_zone(const struct field_reading *field) {
+    const cJSON *value = value_of(field);
+    if (!value) return true;
+    if (!cJSON_IsString(value) || !*value->valuestring || strlen(value->valuestring) > ZONE_LENGTH_MAX) return false;
+    *(char **)field->member = g_strdup(value->valuestring);
     return true;
 }
 
-void job_spec_clear(struct job_spec *j) {
-    g_free(j->job_class);
-    g_free(j->image);
-    g_free(j->zone);
-    g_strfreev(j->machine_types);
-    g_strfreev(j->prerequisites);
-    memset(j, 0, sizeof *j);
+/* An empty list allows no machine type; null, or no list, all of them. */
+static bool read_machine_types(const struct field_reading *field) {
+    const cJSON *list = value_of(field), *name;
+    if (!list) return true;
+    if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > MACHINE_TYPES_MAX) return false;
+    char **names = g_new0(char *, (gsize)cJSON_GetArraySize(list) + 1);
+    *(char ***)field->member = names;
+    int n = 0;
+    cJSON_ArrayForEach(name, list) {
+        if (!cJSON_IsString(name)) return false;
+        names[n++] = g_strdup(name->valuestring);
+    }
+    return true;
 }
 
 /* A list of ids in which each counts once; null and an empty list are none. */
-static bool read_prerequisites(const cJSON *list, struct job_spec *j) {
-    const cJSON *x;
-    if (!list || cJSON_IsNull(list)) return true;
+static bool read_prerequisites(const struct field_reading *field) {
+    const cJSON *list = value_of(field), *job_id;
+    if (!list) return true;
     if (!cJSON_IsArray(list)) return false;
     if (cJSON_GetArraySize(list) == 0) return true;
-    j->prerequisites = g_new0(char *, (gsize)cJSON_GetArraySize(list) + 1);
+    char **job_ids = g_new0(char *, (gsize)cJSON_GetArraySize(list) + 1);
+    *(char ***)field->member = job_ids;
     int n = 0;
-    cJSON_ArrayForEach(x, list) {
-        if (!cJSON_IsString(x) || !job_id_valid(x->valuestring)) return false;
-        if (!g_strv_contains((const char *const *)j->prerequisites, x->valuestring))
-            j->prerequisites[n++] = g_strdup(x->valuestring);
+    cJSON_ArrayForEach(job_id, list) {
+        if (!cJSON_IsString(job_id) || !job_id_valid(job_id->valuestring)) return false;
+        if (!g_strv_contains((const char *const *)job_ids, job_id->valuestring))
+            job_ids[n++] = g_strdup(job_id->valuestring);
     }
     return true;
 }
 
-int job_spec_read(const cJSON *o, const struct settings *s, struct job_spec *j, const char **bad) {
-    memset(j, 0, sizeof *j);
-    const char *v;
-#define NEED(cond, name) \
-    if (!(cond)) {       \
-        *bad = name;     \
-        return 400;      \
-    }
-    NEED(cJSON_IsObject(o), "body");
-    v = json_get_string(o, "uid");
-    NEED(job_id_valid(v), "uid");
-    g_strlcpy(j->job_id, v, sizeof j->job_id);
-    v = json_get_string(o, "jobclass");
-    NEED(v && *v && strlen(v) < 200, "jobclass");
-    j->job_class = g_strdup(v);
-    v = json_get_string(o, "owner");
-    NEED(v && *v, "owner");
-    j->team = settings_team(s, v);
-    v = json_get_string(o, "shape");
-    NEED(v && (!strcmp(v, "batch") || !strcmp(v, "group") || !strcmp(v, "standing")), "shape");
-    j->kind = v[0] == 'b' ? JOB_ARRAY : v[0] == 'g' ? JOB_GANG : JOB_SERVICE;
-    v = json_get_string(o, "rank");
-    NEED(v && (!strcmp(v, "production") || !strcmp(v, "high") || !strcmp(v, "normal") || !strcmp(v, "idle")), "rank");
-    j->priority = v[0] == 'p'   ? PRIORITY_PRODUCTION
-                  : v[0] == 'h' ? PRIORITY_HIGH
-                  : v[0] == 'n' ? PRIORITY_NORMAL
-                                : PRIORITY_IDLE;
-    int64_t n;
-    NEED(json_get_int64(o, "tasks", &n) && n >= 1 && n <= JOB_TASKS_MAX, "tasks");
-    j->tasks = (int)n;
-    static const struct {
-        const char *name;
-        size_t at;
-        bool positive, nullable;
-    } amounts[] = {
-        {"vcpus", offsetof(struct job_spec, vcpus), true, false},
-        {"gpus", offsetof(struct job_spec, gpus), false, false},
-        {"memory_gb", offsetof(struct job_spec, memory_gb), false, false},
-        {"pull_gb", offsetof(struct job_spec, image_gb), false, false},
-        {"runtime_s", offsetof(struct job_spec, runtime_s), false, false},
-        {"checkpoint_s", offsetof(struct job_spec, checkpoint_s), false, false},
-        {"flush_s", offsetof(struct job_spec, checkpoint_flush_s), false, false},
-        {"due_s", offsetof(struct job_spec, deadline_s), false, true},
-    };
-    for (size_t i = 0; i < G_N_ELEMENTS(amounts); i++) {
-        const cJSON *x = cJSON_GetObjectItemCaseSensitive(o, amounts[i].name);
-        double d = cJSON_IsNumber(x) ? x->valuedouble : -1;
-        if (amounts[i].nullable && (!x || cJSON_IsNull(x))) d = 0;
-        NEED(isfinite(d) && d >= 0 && d < 1e9 && !(amounts[i].positive && d <= 0), amounts[i].name);
-        *(double *)(void *)((char *)j + amounts[i].at) = d;
-    }
-    v = json_get_string(o, "image");
-    NEED(v && *v && strlen(v) < 200, "image");
-    j->image = g_strdup(v);
-    const cJSON *x = cJSON_GetObjectItemCaseSensitive(o, "flavours"), *e;
-    if (x && !cJSON_IsNull(x)) {
-        NEED(cJSON_IsArray(x) && cJSON_GetArraySize(x) <= 100, "flavours");
-        cJSON_ArrayForEach(e, x) NEED(cJSON_IsString(e), "flavours");
-        j->machine_types = g_new0(char *, (gsize)cJSON_GetArraySize(x) + 1);
-        int i = 0;
-        cJSON_ArrayForEach(e, x) j->machine_types[i++] = g_strdup(e->valuestring);
-    }
-    x = cJSON_GetObjectItemCaseSensitive(o, "site");
-    if (x && !cJSON_IsNull(x)) {
-        NEED(cJSON_IsString(x) && *x->valuestring && strlen(x->valuestring) < 100, "site");
-        j->zone = g_strdup(x->valuestring);
-    }
-    static const char *const flags[] = {"together", "spread", "reclaimable"};
-    bool *const into[] = {&j->single_zone, &j->spread, &j->allows_spot};
-    for (int i = 0; i < 3; i++) {
-        x = cJSON_GetObjectItemCaseSensitive(o, flags[i]);
-        NEED(cJSON_IsBool(x), flags[i]);
-        *into[i] = cJSON_IsTrue(x);
-    }
-    x = cJSON_GetObjectItemCaseSensitive(o, "prereqs");
-    NEED(read_prerequisites(x, j), "prereqs");
-#undef NEED
-    return 0;
-}
-
-int job_spec_parse(const char *body, size_t len, const struct settings *s, struct job_spec *out, char *field,
-                   size_t n) {
-    const char *bad = "body";
-    cJSON *o = cJSON_ParseWithLength(body, len);
-    int rc = job_spec_read(o, s, out, &bad);
-    if (rc) {
-        g_strlcpy(field, bad, n);
-        job_spec_clear(out);
+/* ---- The fields of a submission ---- */
+
+struct field {
+    const char *name; /* on the wire */
+    size_t member;    /* offset in struct job_spec */
+    bool (*read)(const struct field_reading *field);
+    bool required;
+};
+
+#define MEMBER(name) offsetof(struct job_spec, name)
+
+/* In the order in which they are checked: the first invalid one is reported. */
+static const struct field fields[] = {
+    {JOB_SPEC_FIELD_ID, MEMBER(job_id), read_job_id, true},
+    {"jobclass", MEMBER(job_class), read_name, true},
+    {JOB_SPEC_FIELD_TEAM, MEMBER(team), read_team, true},
+    {"shape", MEMBER(kind), read_kind, true},
+    {"rank", MEMBER(priority), read_priority, true},
+    {"tasks", MEMBER(tasks), read_task_count, true},
+    {"vcpus", MEMBER(vcpus), read_positive_amount, true},
+    {"gpus", MEMBER(gpus), read_amount, true},
+    {"memory_gb", MEMBER(memory_gb), read_amount, true},
+    {"pull_gb", MEMBER(image_gb), read_amount, true},
+    {"runtime_s", MEMBER(runtime_s), read_amount, true},
+    {"checkpoint_s", MEMBER(checkpoint_s), read_amount, true},
+    {"flush_s", MEMBER(checkpoint_flush_s), read_amount, true},
+    {"due_s", MEMBER(deadline_s), read_optional_amount, false},
+    {"image", MEMBER(image), read_name, true},
+    {"flavours", MEMBER(machine_types), read_machine_types, false},
+    {"site", MEMBER(zone), read_zone, false},
+    {"together", MEMBER(single_zone), read_flag, true},
+    {"spread", MEMBER(spread), read_flag, true},
+    {"reclaimable", MEMBER(allows_spot), read_flag, true},
+    {JOB_SPEC_FIELD_PREREQUISITES, MEMBER(prerequisites), read_prerequisites, false},
+};
+
+const char *job_spec_read(const cJSON *submission, const struct settings *settings, struct job_spec *spec) {
+    memset(spec, 0, sizeof *spec);
+    if (!cJSON_IsObject(submission)) return "body";
+    for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
+        struct field_reading reading = {submission, settings, fields[i].name, (char *)spec + fields[i].member};
+        if (fields[i].read(&reading)) continue;
+        job_spec_clear(spec);
+        return fields[i].name;
     }
-    cJSON_Delete(o);
-    return rc;
+    return NULL;
 }
 
-int job_spec_check_feasible(const struct job_spec *j, const struct settings *s, const struct machine_type *f, int nf,
-                            char *why, size_t n) {
-    if (j->team < 0) {
-        g_strlcpy(why, "owner: unknown team", n);
-        return 422;
-    }
-    bool fits = false;
-    for (int i = 0; i < nf && !fits; i++) {
-        if (j->machine_types && !g_strv_contains((const char *const *)j->machine_types, f[i].type_name)) continue;
-        bool here = !j->zone;
-        for (int z = 0; z < f[i].n_zones && !here; z++) here = strcmp(f[i].zones[z], j->zone) == 0;
-        fits = here && j->vcpus <= f[i].vcpus + 1e-9 && j->gpus <= f[i].gpus + 1e-9 &&
-               j->memory_gb <= f[i].memory_gb + 1e-9;
-    }
-    if (!fits) {
-        g_strlcpy(why, "a task fits no allowed machine type", n);
-        return 422;
-    }
-    const struct settings_team *t = &s->teams[j->team];
-    double m = j->kind == JOB_ARRAY ? 1 : j->tasks;
-    if ((t->cpus_max > 0 && m * j->vcpus > t->cpus_max + 1e-9) ||
-        (t->gpus_max > 0 && m * j->gpus > t->gpus_max + 1e-9)) {
-        g_strlcpy(why, "needs more than the team's limit", n);
-        return 422;
+const char *job_spec_read_id(const cJSON *submission) {
+    const char *job_id = json_get_string(submission, JOB_SPEC_FIELD_ID);
+    return job_id_valid(job_id) ? job_id : NULL;
+}
+
+int job_spec_read_team(const cJSON *submission, const struct settings *settings) {
+    const char *name = json_get_string(submission, JOB_SPEC_FIELD_TEAM);
+    return name ? settings_team(settings, name) : -1;
+}
+
+bool job_spec_names_prerequisites(const cJSON *submission) {
+    return cJSON_GetArraySize(cJSON_GetObjectItemCaseSensitive(submission, JOB_SPEC_FIELD_PREREQUISITES)) > 0;
+}
+
+static bool is_required(const char *name) {
+    for (size_t i = 0; i < G_N_ELEMENTS(fields); i++)
+        if (strcmp(fields[i].name, name) == 0) return fields[i].required;
+    return false;
+}
+
+void job_spec_keep_required(cJSON *submission) {
+    cJSON *field = submission ? submission->child : NULL;
+    while (field) {
+        cJSON *next = field->next;
+        if (!is_required(field->string)) cJSON_Delete(cJSON_DetachItemViaPointer(submission, field));
+        field = next;
     }
-    return 0;
 }
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -176,12 +176,13 @@
 
 /* Reads what never changes in a job's record. */
 static bool read_spec(struct job *j, const cJSON *data) {
-    const char *bad = "uid";
     const cJSON *spec = cJSON_GetObjectItemCaseSensitive(data, SPEC);
     struct job_spec read;
     if (!spec) spec = cJSON_GetObjectItemCaseSensitive(data, CHAINED_SPEC);
-    if (job_spec_read(spec, cfg, &read, &bad) != 0 || strcmp(read.job_id, j->spec.job_id) != 0) {
-        log_error("job/%s: its %s can't be read", j->spec.job_id, bad);
+    const char *invalid_field = job_spec_read(spec, cfg, &read);
+    if (!invalid_field && strcmp(read.job_id, j->spec.job_id) != 0) invalid_field = JOB_SPEC_FIELD_ID;
+    if (invalid_field) {
+        log_error("job/%s: its %s can't be read", j->spec.job_id, invalid_field);
         job_spec_clear(&read);
         return false;
     }
@@ -271,12 +272,11 @@
 
 static cJSON *value_of(cJSON *spec, enum job_state state, double at, int shard) {
     cJSON *o = cJSON_CreateObject();
-    bool chained = cJSON_GetArraySize(cJSON_GetObjectItemCaseSensitive(spec, "prereqs")) > 0;
+    bool chained = job_spec_names_prerequisites(spec);
     cJSON_AddItemToObject(o, chained ? CHAINED_SPEC : SPEC, spec);
     cJSON_AddStringToObject(o, "state", state_names[state]);
     cJSON_AddNumberToObject(o, "at", at);
-    const char *owner = json_get_string(spec, "owner");
-    int team = owner ? settings_team(cfg, owner) : -1;
+    int team = job_spec_read_team(spec, cfg);
     /* Of an undivided team's job it is left out, so that its record is the one that all versions know. */
     if (team >= 0 && shard >= 0 && shard != team % cfg->size) cJSON_AddNumberToObject(o, SHARE, shard);
     return o;
@@ -297,23 +297,10 @@
 size_t jobs_record_bytes_max(void) { return (size_t)(cfg->next_value_kb * 1024); }
 size_t jobs_record_bytes(const char *spec_text) { return strlen(spec_text) + RECORD_BYTES; }
 
-/* Drops what a record does not need in order to be read: it is of no use once the job is over. */
-static void keep_needed_fields(cJSON *spec) {
-    static const char *const needed[] = {"uid",    "jobclass",    "owner",     "shape",        "rank",    "tasks",
-                                         "vcpus",  "gpus",        "memory_gb", "image",        "pull_gb", "together",
-                                         "spread", "reclaimable", "runtime_s", "checkpoint_s", "flush_s", NULL};
-    cJSON *x = spec ? spec->child : NULL;
-    while (x) {
-        cJSON *next = x->next;
-        if (!g_strv_contains(needed, x->string)) cJSON_Delete(cJSON_DetachItemViaPointer(spec, x));
-        x = next;
-    }
-}
-
 cJSON *jobs_final_value(const struct job *j, enum job_state state) {
     cJSON *spec = cJSON_Parse(j->spec_text);
     /* Accepted by the first version under the present limit, it may be too large to be rewritten under the next. */
-    if (jobs_record_bytes(j->spec_text) > jobs_record_bytes_max()) keep_needed_fields(spec);
+    if (jobs_record_bytes(j->spec_text) > jobs_record_bytes_max()) job_spec_keep_required(spec);
     cJSON *o = value_of(spec, state, j->submitted, j->shard);
     /* From when on the times of jobs that need it count, for whoever owns them by then. */
     if (state == JOB_DONE) cJSON_AddNumberToObject(o, "end", clock_time_of_day());
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -9,6 +9,7 @@
 #include "../../tests/standin/site.h"
 #include "allocations/allocations.h"
 #include "dependencies/dependencies.h"
+#include "jobs/feasibility.h"
 #include "json/json.h"
 #include "membership/membership.h"
 #include "placement/placement.h"
@@ -26,58 +27,71 @@
     "\"together\":true,\"spread\":false,\"reclaimable\":true,\"runtime_s\":240.0,\"checkpoint_s\":30.0,\"flush_s\":4.0,"
     "\"due_s\":900.0,\"extra\":1}";
 
-static void admission(void **state) {
+/* A submission with one thing changed: the field that is found invalid, or whether the job could run. */
+static void invalid_field_or_infeasible_job_is_named(void **state) {
     (void)state;
     static const struct {
-        const char *from, *to;
-        int status;
-        const char *names;
+        const char *from, *to, *invalid_field;
+        enum job_feasibility feasibility;
     } rows[] = {
-        {"\"extra\":1", "\"extra\":2", 0, ""},
-        {"req-000412", "job-000412", 400, "uid"},
-        {"req-000412", "req-00x412", 400, "uid"},
-        {"\"tasks\":2", "\"tasks\":0", 400, "tasks"},
-        {"\"tasks\":2", "\"tasks\":2.5", 400, "tasks"},
-        {"\"tasks\":2", "\"tasks\":100001", 400, "tasks"},
-        {"\"vcpus\":8.0", "\"vcpus\":-1", 400, "vcpus"},
-        {"\"vcpus\":8.0", "\"vcpus\":1e999", 400, "vcpus"},
-        {"\"gpus\":1.0", "\"gpus\":\"1\"", 400, "gpus"},
-        {"\"rank\":\"high\"", "\"rank\":\"urgent\"", 400, "rank"},
-        {"\"shape\":\"group\",", "", 400, "shape"},
-        {"\"together\":true", "\"together\":1", 400, "together"},
-        {"[\"g8\"]", "\"g8\"", 400, "flavours"},
-        {"[\"g8\"]", "null", 0, ""},
-        {"\"due_s\":900.0", "\"due_s\":null", 0, ""},
-        {"\"extra\":1", "\"prereqs\":null", 0, ""},
-        {"\"extra\":1", "\"prereqs\":[]", 0, ""},
-        {"\"extra\":1", "\"prereqs\":[\"req-000398\",\"req-000398\"]", 0, ""},
-        {"\"extra\":1", "\"prereqs\":\"req-000398\"", 400, "prereqs"},
-        {"\"extra\":1", "\"prereqs\":{}", 400, "prereqs"},
-        {"\"extra\":1", "\"prereqs\":[7]", 400, "prereqs"},
-        {"\"extra\":1", "\"prereqs\":[\"req-000398\",\"job-1\"]", 400, "prereqs"},
-        {"\"owner\":\"red\"", "\"owner\":\"nobody\"", 422, "owner"},
-        {"[\"g8\"]", "[\"g9\"]", 422, "machine type"},
-        {"\"site\":null", "\"site\":\"zz\"", 422, "machine type"},
-        {"\"site\":null", "\"site\":\"za\"", 0, ""},
-        {"\"gpus\":1.0", "\"gpus\":4.5", 422, "limit"}, /* 2 x 4.5 over the team's 8 */
-        {"\"memory_gb\":64.0", "\"memory_gb\":4000", 422, "machine type"},
+        {"\"extra\":1", "\"extra\":2", NULL, JOB_FEASIBLE},
+        {"req-000412", "job-000412", "uid", JOB_FEASIBLE},
+        {"req-000412", "req-00x412", "uid", JOB_FEASIBLE},
+        {"\"tasks\":2", "\"tasks\":0", "tasks", JOB_FEASIBLE},
+        {"\"tasks\":2", "\"tasks\":2.5", "tasks", JOB_FEASIBLE},
+        {"\"tasks\":2", "\"tasks\":100001", "tasks", JOB_FEASIBLE},
+        {"\"vcpus\":8.0", "\"vcpus\":-1", "vcpus", JOB_FEASIBLE},
+        {"\"vcpus\":8.0", "\"vcpus\":1e999", "vcpus", JOB_FEASIBLE},
+        {"\"gpus\":1.0", "\"gpus\":\"1\"", "gpus", JOB_FEASIBLE},
+        {"\"rank\":\"high\"", "\"rank\":\"urgent\"", "rank", JOB_FEASIBLE},
+        {"\"shape\":\"group\",", "", "shape", JOB_FEASIBLE},
+        {"\"together\":true", "\"together\":1", "together", JOB_FEASIBLE},
+        {"[\"g8\"]", "\"g8\"", "flavours", JOB_FEASIBLE},
+        {"[\"g8\"]", "null", NULL, JOB_FEASIBLE},
+        {"\"due_s\":900.0", "\"due_s\":null", NULL, JOB_FEASIBLE},
+        {"\"extra\":1", "\"prereqs\":null", NULL, JOB_FEASIBLE},
+        {"\"extra\":1", "\"prereqs\":[]", NULL, JOB_FEASIBLE},
+        {"\"extra\":1", "\"prereqs\":[\"req-000398\",\"req-000398\"]", NULL, JOB_FEASIBLE},
+        {"\"extra\":1", "\"prereqs\":\"req-000398\"", "prereqs", JOB_FEASIBLE},
+        {"\"extra\":1", "\"prereqs\":{}", "prereqs", JOB_FEASIBLE},
+        {"\"extra\":1", "\"prereqs\":[7]", "prereqs", JOB_FEASIBLE},
+        {"\"extra\":1", "\"prereqs\":[\"req-000398\",\"job-1\"]", "prereqs", JOB_FEASIBLE},
+        {"\"owner\":\"red\"", "\"owner\":\"nobody\"", NULL, JOB_TEAM_UNKNOWN},
+        {"[\"g8\"]", "[\"g9\"]", NULL, JOB_FITS_NO_MACHINE_TYPE},
+        {"\"site\":null", "\"site\":\"zz\"", NULL, JOB_FITS_NO_MACHINE_TYPE},
+        {"\"site\":null", "\"site\":\"za\"", NULL, JOB_FEASIBLE},
+        {"\"gpus\":1.0", "\"gpus\":4.5", NULL, JOB_ABOVE_TEAM_LIMIT}, /* 2 x 4.5 over the team's 8 */
+        {"\"memory_gb\":64.0", "\"memory_gb\":4000", NULL, JOB_FITS_NO_MACHINE_TYPE},
     };
-    struct machine_type f = {
+    const struct machine_type type = {
         .type_name = "g8", .vcpus = 96, .gpus = 8, .memory_gb = 768, .zones = {(char *)"za"}, .n_zones = 1};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        char *text = site_with(good, rows[i].from, rows[i].to), why[128] = "";
-        struct job_spec j;
-        int rc = job_spec_parse(text, strlen(text), &cfg, &j, why, sizeof why);
-        if (rc == 0) rc = job_spec_check_feasible(&j, &cfg, &f, 1, why, sizeof why);
-        assert_int_equal(rc, rows[i].status);
-        if (rc) assert_non_null(strstr(why, rows[i].names));
-        if (rc != 400) job_spec_clear(&j);
+        char *text = site_with(good, rows[i].from, rows[i].to);
+        cJSON *submission = cJSON_Parse(text);
+        assert_non_null(submission);
+        struct job_spec spec;
+        const char *invalid_field = job_spec_read(submission, &cfg, &spec);
+        if (g_strcmp0(invalid_field, rows[i].invalid_field) != 0) fail_msg("%s: %s", rows[i].to, invalid_field);
+        if (!invalid_field) {
+            assert_int_equal(job_check_feasible(&spec, &cfg, &type, 1), rows[i].feasibility);
+            job_spec_clear(&spec);
+        }
+        cJSON_Delete(submission);
         g_free(text);
     }
-    struct job_spec j;
-    char why[64];
-    assert_int_equal(job_spec_parse("[]", 2, &cfg, &j, why, sizeof why), 400);
-    assert_int_equal(job_spec_parse("{", 1, &cfg, &j, why, sizeof why), 400);
+}
+
+/* What is no JSON object is invalid as a whole. */
+static void submission_without_object_is_invalid(void **state) {
+    (void)state;
+    static const char *const texts[] = {"[]", "{", "", "7", "null"};
+    for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
+        struct job_spec spec;
+        cJSON *submission = cJSON_Parse(texts[i]);
+        assert_string_equal(job_spec_read(submission, &cfg, &spec), "body");
+        assert_null(job_spec_read_id(submission));
+        cJSON_Delete(submission);
+    }
 }
 
 static void bits(void **state) {
@@ -99,9 +113,10 @@
 static void prerequisites(void **state) {
     (void)state;
     char *text = site_with(good, "\"extra\":1", "\"prereqs\":[\"req-000398\",\"req-000405\",\"req-000398\"]");
-    char field[64];
     struct job_spec spec;
-    assert_int_equal(job_spec_parse(text, strlen(text), &cfg, &spec, field, sizeof field), 0);
+    cJSON *submission = cJSON_Parse(text);
+    assert_null(job_spec_read(submission, &cfg, &spec));
+    cJSON_Delete(submission);
     assert_int_equal(g_strv_length(spec.prerequisites), 2);
     assert_string_equal(spec.prerequisites[1], "req-000405");
     job_spec_clear(&spec);
@@ -120,7 +135,7 @@
     v = jobs_final_value(&j, JOB_DONE);
     char *written = cJSON_PrintUnformatted(v);
     assert_true(strlen(written) <= cfg.next_value_kb * 1024);
-    assert_int_equal(job_spec_read(cJSON_GetObjectItem(v, "spec"), &cfg, &spec, &(const char *){NULL}), 0);
+    assert_null(job_spec_read(cJSON_GetObjectItem(v, "spec"), &cfg, &spec));
     job_spec_clear(&spec);
     free(written);
     cJSON_Delete(v);
@@ -215,8 +230,11 @@
     placement_init(&cfg);
     scheduler_init(&cfg);
     workers_init(&cfg);
-    const struct CMUnitTest tests[] = {cmocka_unit_test(admission), cmocka_unit_test(bits),
-                                       cmocka_unit_test(prerequisites), cmocka_unit_test(records),
+    const struct CMUnitTest tests[] = {cmocka_unit_test(invalid_field_or_infeasible_job_is_named),
+                                       cmocka_unit_test(submission_without_object_is_invalid),
+                                       cmocka_unit_test(bits),
+                                       cmocka_unit_test(prerequisites),
+                                       cmocka_unit_test(records),
                                        cmocka_unit_test(shards)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/service/status.c
+++ b/src/service/status.c
@@ -1,5 +1,5 @@
 /* The periodic lines of the log: what this controller has to do, and how it stands with the store and the users. */
-#include "../api/api.h"
+#include "../api/latency.h"
 #include "../clock/clock.h"
 #include "../jobs/jobs.h"
 #include "../logging/logging.h"
@@ -13,15 +13,14 @@
 static void log_load(void) {
     static unsigned sent_before;
     unsigned sent = store_budget_requests_sent();
-    int responses;
-    double median_ms, p95_ms;
-    api_latency(&responses, &median_ms, &p95_ms);
+    struct latency_summary latency = latency_take_summary();
     store_lock();
     log_info(
         "status: %u unfinished jobs, %u machines, store %.1f requests/s (rate factor %.1f, of writes %.1f), store read "
         "%.1f s ago, %d responses to users (median %.1f ms, p95 %.1f ms)",
         jobs_active()->len, machines_all()->len, (sent - sent_before) / INTERVAL_S, store_budget_rate_factor(false),
-        store_budget_rate_factor(true), clock_seconds_since(store_last_read()), responses, median_ms, p95_ms);
+        store_budget_rate_factor(true), clock_seconds_since(store_last_read()), latency.answers, latency.median_ms,
+        latency.p95_ms);
     quota_log_status();
     store_unlock();
     sent_before = sent;
