--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -10,15 +10,9 @@
 #include "allocations/allocations.h"
 #include "autoscaler/scale_out.h"
 #include "clock/clock.h"
-#include "cloud/cloud.h"
 #include "liveness/liveness.h"
-#include "membership/membership.h"
 #include "placement/placement.h"
-#include "preemption/preemption.h"
-#include "priority/priority.h"
-#include "rebalancing/rebalancing.h"
 #include "scheduler/round.h"
-#include "workers/workers.h"
 
 static struct settings cfg;
 static const char *const zones[] = {"za", "zb", "zc"};
@@ -353,42 +347,6 @@
     }
 }
 
-/* Work that somebody expects by a time goes before work of its priority that nobody does, however old that is. */
-static void job_with_objective_goes_first(void **state) {
-    (void)state;
-    static const struct {
-        const char *what;
-        double age, expected_age; /* of the job without an objective, and of the one that is to be done within 400 s */
-        bool expected_first;
-    } rows[] = {
-        {"came together", 10, 10, true},
-        {"the one without an objective is older", 200, 10, true},
-        {"so old that its turn has come", 590, 10, false},
-        {"it has missed that and steps back, like all late work", 900, 10, true},
-    };
-    cfg.objectives[0] = (struct settings_objective){OBJECTIVE_FINISHED, (char *)"expected", 400, 0.9};
-    cfg.n_objectives = 1;
-    for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
-        char job_id[2][32];
-        for (int i = 0; i < 2; i++) g_snprintf(job_id[i], sizeof job_id[i], "req-83%zu0%d", row, i);
-        store_lock();
-        struct machine *machine = owned_machine("i-830000", "za", false);
-        struct job *plain = owned_job(job_id[0], "batch", "idle", 2, 16, 2, false, false, rows[row].age);
-        struct job *expected = owned_job(job_id[1], "batch", "idle", 1, 16, 2, false, false, rows[row].expected_age);
-        g_free(expected->spec.job_class);
-        expected->spec.job_class = g_strdup("expected");
-        plain->n_reported_done = 1; /* it has begun */
-        (void)machine;
-        GArray *order = priority_order_shard(0);
-        bool first = g_array_index(order, struct priority_entry, 0).job == expected;
-        g_array_free(order, TRUE);
-        owned_clear();
-        store_unlock();
-        if (first != rows[row].expected_first) fail_msg("%s: %d", rows[row].what, first);
-    }
-    cfg.n_objectives = 0;
-}
-
 /* A machine that should have come up by now is no supply: what waits gets another, a bounded number at a time. */
 static void overdue_machines_are_replaced_a_few_at_a_time(void **state) {
     (void)state;
@@ -454,7 +412,6 @@
                                        cmocka_unit_test(shard_with_gangs_keeps_spare_machines),
                                        cmocka_unit_test(silent_machines_are_returned_unless_their_zone_is_cut),
                                        cmocka_unit_test(wide_array_is_planned_at_bounded_cost),
-                                       cmocka_unit_test(job_with_objective_goes_first),
                                        cmocka_unit_test(overdue_machines_are_replaced_a_few_at_a_time),
                                        cmocka_unit_test(planning_examines_only_machines_with_room)};
     return cmocka_run_group_tests(tests, NULL, NULL);
