--- a/src/quota/allotments_properties.cpp
+++ b/src/quota/allotments_properties.cpp
@@ -22,10 +22,10 @@
 
 struct Operation {
     Kind kind;
-    int shard;  // by position among the parts
+    int shard;  // by position among the allotments
     int vcpus, gpus;
     int shards;       // of a change
-    unsigned owners;  // one bit a part: whose owner acts
+    unsigned owners;  // one bit an allotment: whose owner acts
 };
 
 std::ostream &operator<<(std::ostream &out, const Operation &o) {
@@ -40,7 +40,7 @@
         rc::gen::set(&Operation::kind,
                      rc::gen::element(Kind::kBook, Kind::kBook, Kind::kBook, Kind::kRelease, Kind::kRebalance,
                                       Kind::kRebalance, Kind::kChange, Kind::kPrune)),
-        rc::gen::set(&Operation::shard, rc::gen::inRange(0, QUOTA_SHARES_MAX)),
+        rc::gen::set(&Operation::shard, rc::gen::inRange(0, QUOTA_SHARDS_MAX)),
         rc::gen::set(&Operation::vcpus, rc::gen::inRange(0, 9)), rc::gen::set(&Operation::gpus, rc::gen::inRange(0, 5)),
         rc::gen::set(&Operation::shards, rc::gen::inRange(1, kSize + 1)),
         rc::gen::set(&Operation::owners, rc::gen::inRange(0u, 1u << kSize)));
@@ -48,10 +48,10 @@
 
 struct Team {
     quota_record record;
-    std::array<quota_amount, kSize> used_by_shard{};  // by shard, whatever parts there are
+    std::array<quota_amount, kSize> used_by_shard{};  // by shard, whatever allotments there are
 
     std::vector<quota_amount> used() const {
-        std::vector<quota_amount> out(QUOTA_SHARES_MAX);
+        std::vector<quota_amount> out(QUOTA_SHARDS_MAX);
         for (int i = 0; i < record.n_allotments; i++) out[i] = used_by_shard[record.allotments[i].shard];
         return out;
     }
@@ -95,7 +95,7 @@
         for (int d = 0; d < QUOTA_DIMENSIONS; d++)
             team.used_by_shard[shard].of[d] = std::max<int64_t>(team.used_by_shard[shard].of[d] - size.of[d], 0);
     } else if (o.kind == Kind::kRebalance) {
-        bool owned[QUOTA_SHARES_MAX] = {};
+        bool owned[QUOTA_SHARDS_MAX] = {};
         const quota_record before = r;
         for (int i = 0; i < r.n_allotments; i++) owned[i] = (o.owners >> r.allotments[i].shard & 1) != 0;
         quota_rebalance(&r, kHome, kSize, used.data(), &targets, owned);
@@ -144,7 +144,7 @@
         int changes = 0;
         for (int scheduling_round = 0; scheduling_round < kRoundsToSettle; scheduling_round++)
             for (int i = 0; i < team.record.n_allotments; i++) {
-                bool owned[QUOTA_SHARES_MAX] = {};
+                bool owned[QUOTA_SHARDS_MAX] = {};
                 owned[i] = true;
                 changes += quota_rebalance(&team.record, kHome, kSize, used.data(), &targets, owned);
             }
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -18,9 +18,11 @@
 struct quota_amount quota_amount_granted(double vcpus, double gpus);
 /* Of so many tasks: rounded up. */
 struct quota_amount quota_amount_used(const struct job_spec *spec, int tasks);
-struct quota_amount quota_amount_sum(struct quota_amount a, struct quota_amount b);
-struct quota_amount quota_amount_difference(struct quota_amount a, struct quota_amount b);
-struct quota_amount quota_amount_least(struct quota_amount a, struct quota_amount b);
-struct quota_amount quota_amount_most(struct quota_amount a, struct quota_amount b);
-bool quota_amount_equal(struct quota_amount a, struct quota_amount b);
+struct quota_amount quota_amount_sum(struct quota_amount left, struct quota_amount right);
+struct quota_amount quota_amount_difference(struct quota_amount left, struct quota_amount right);
+struct quota_amount quota_amount_least(struct quota_amount left, struct quota_amount right);
+struct quota_amount quota_amount_most(struct quota_amount left, struct quota_amount right);
+/* In whole processors or GPUs, for messages. */
+double quota_amount_units(struct quota_amount amount, enum quota_dimension dimension);
+bool quota_amount_equal(struct quota_amount left, struct quota_amount right);
 #endif
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -71,7 +71,7 @@
 static void largest(void **state) {
     (void)state;
     struct quota_amount much = quota_amount_granted(1e9, 1e9);
-    struct quota_record r = quota_record_create(0, 64, QUOTA_SHARES_MAX, much, much);
+    struct quota_record r = quota_record_create(0, 64, QUOTA_SHARDS_MAX, much, much);
     for (int i = 1; i < r.n_allotments; i++) {
         assert_true(quota_record_move(&r, 0, quota_amount_difference((struct quota_amount){{0}}, gpus(1000))));
         assert_true(quota_record_move(&r, i, gpus(1000)));
@@ -83,7 +83,7 @@
     cJSON_Delete(value);
 }
 
-/* Parts move by demand: what uses, waits and is due, of a limit of 12 of which the home holds all at first. */
+/* Allotments move by demand: what uses, waits and is due, of a limit of 12 of which the home holds all at first. */
 static void rebalances(void **state) {
     (void)state;
     static const struct {
@@ -138,7 +138,7 @@
     }
 }
 
-/* A lower limit binds at once, whatever the parts are; what runs beyond it is nobody's to start again. */
+/* A lower limit binds at once, whatever the allotments are; what runs beyond it is nobody's to start again. */
 static void lowered(void **state) {
     (void)state;
     struct quota_record r = quota_record_create(HOME, SIZE, 2, gpus(12), gpus(4));
--- a/src/quota/record.c
+++ b/src/quota/record.c
@@ -6,46 +6,48 @@
 
 #include "../json/json.h"
 
-static cJSON *amount_value(struct quota_amount a) {
+static cJSON *amount_value(struct quota_amount amount) {
     cJSON *list = cJSON_CreateArray();
-    for (int d = 0; d < QUOTA_DIMENSIONS; d++) cJSON_AddItemToArray(list, cJSON_CreateNumber((double)a.of[d]));
+    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
+        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)amount.of[dimension]));
     return list;
 }
 
 /* Reads the numbers of a list from one position on. */
 static bool read_amount(const cJSON *list, int from, struct quota_amount *out) {
-    for (int d = 0; d < QUOTA_DIMENSIONS; d++) {
-        const cJSON *x = cJSON_GetArrayItem(list, from + d);
-        if (!cJSON_IsNumber(x)) return false;
-        out->of[d] = (int64_t)x->valuedouble;
+    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
+        const cJSON *item = cJSON_GetArrayItem(list, from + dimension);
+        if (!cJSON_IsNumber(item)) return false;
+        out->of[dimension] = (int64_t)item->valuedouble;
     }
     return true;
 }
 
-static bool read_field(const cJSON *o, const char *name, struct quota_amount *out) {
-    return read_amount(cJSON_GetObjectItemCaseSensitive(o, name), 0, out);
+static bool read_field(const cJSON *object, const char *name, struct quota_amount *out) {
+    return read_amount(cJSON_GetObjectItemCaseSensitive(object, name), 0, out);
 }
 
-static cJSON *part_value(const struct quota_allotment *p) {
+static cJSON *part_value(const struct quota_allotment *allotment) {
     cJSON *list = cJSON_CreateArray();
-    cJSON_AddItemToArray(list, cJSON_CreateNumber(p->shard));
-    for (int d = 0; d < QUOTA_DIMENSIONS; d++) cJSON_AddItemToArray(list, cJSON_CreateNumber((double)p->limit.of[d]));
-    for (int d = 0; d < QUOTA_DIMENSIONS; d++)
-        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)p->guarantee.of[d]));
+    cJSON_AddItemToArray(list, cJSON_CreateNumber(allotment->shard));
+    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
+        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)allotment->limit.of[dimension]));
+    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
+        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)allotment->guarantee.of[dimension]));
     return list;
 }
 
-cJSON *quota_record_value(const struct quota_record *r) {
-    cJSON *o = cJSON_CreateObject();
-    cJSON_AddNumberToObject(o, "epoch", (double)r->epoch);
-    cJSON_AddNumberToObject(o, "shares", r->shards);
-    cJSON_AddItemToObject(o, "limit", amount_value(r->limit));
-    cJSON_AddItemToObject(o, "guarantee", amount_value(r->guarantee));
-    cJSON_AddItemToObject(o, "unassigned", amount_value(r->unassigned));
-    cJSON_AddItemToObject(o, "guarantee_unassigned", amount_value(r->guarantee_unassigned));
-    cJSON *allotments = cJSON_AddArrayToObject(o, "parts");
-    for (int i = 0; i < r->n_allotments; i++) cJSON_AddItemToArray(allotments, part_value(&r->allotments[i]));
-    return o;
+cJSON *quota_record_value(const struct quota_record *record) {
+    cJSON *object = cJSON_CreateObject();
+    cJSON_AddNumberToObject(object, "epoch", (double)record->epoch);
+    cJSON_AddNumberToObject(object, "shares", record->shards);
+    cJSON_AddItemToObject(object, "limit", amount_value(record->limit));
+    cJSON_AddItemToObject(object, "guarantee", amount_value(record->guarantee));
+    cJSON_AddItemToObject(object, "unassigned", amount_value(record->unassigned));
+    cJSON_AddItemToObject(object, "guarantee_unassigned", amount_value(record->guarantee_unassigned));
+    cJSON *allotments = cJSON_AddArrayToObject(object, "parts");
+    for (int i = 0; i < record->n_allotments; i++) cJSON_AddItemToArray(allotments, part_value(&record->allotments[i]));
+    return object;
 }
 
 static bool read_part(const cJSON *list, int size, struct quota_allotment *out) {
@@ -57,7 +59,7 @@
 
 bool quota_record_read(const cJSON *value, int size, struct quota_record *out, const char **fault) {
     int64_t shards = 0;
-    const cJSON *allotments = cJSON_GetObjectItemCaseSensitive(value, "parts"), *x;
+    const cJSON *allotments = cJSON_GetObjectItemCaseSensitive(value, "parts"), *item;
     *out = (struct quota_record){0};
     *fault = "its form";
     if (!json_get_int64(value, "epoch", &out->epoch) || !json_get_int64(value, "shares", &shards) ||
@@ -66,8 +68,8 @@
         !read_field(value, "guarantee_unassigned", &out->guarantee_unassigned))
         return false;
     out->shards = (int)CLAMP(shards, 0, INT32_MAX);
-    cJSON_ArrayForEach(x, allotments) {
-        if (out->n_allotments == QUOTA_SHARES_MAX || !read_part(x, size, &out->allotments[out->n_allotments]))
+    cJSON_ArrayForEach(item, allotments) {
+        if (out->n_allotments == QUOTA_SHARDS_MAX || !read_part(item, size, &out->allotments[out->n_allotments]))
             return false;
         out->n_allotments++;
     }
@@ -78,17 +80,17 @@
 void quota_view_add(cJSON *views, const char *team, const struct quota_view *view) {
     cJSON *list = cJSON_CreateArray();
     cJSON_AddItemToArray(list, cJSON_CreateNumber(view->shards));
-    for (int d = 0; d < QUOTA_DIMENSIONS; d++)
-        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)view->limit.of[d]));
-    for (int d = 0; d < QUOTA_DIMENSIONS; d++)
-        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)view->guarantee.of[d]));
+    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
+        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)view->limit.of[dimension]));
+    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
+        cJSON_AddItemToArray(list, cJSON_CreateNumber((double)view->guarantee.of[dimension]));
     cJSON_AddItemToObject(views, team, list);
 }
 
 bool quota_view_read(const cJSON *views, const char *team, struct quota_view *out) {
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(views, team), *shards = cJSON_GetArrayItem(list, 0);
     *out = (struct quota_view){0};
-    if (!cJSON_IsNumber(shards) || shards->valueint < 1 || shards->valueint > QUOTA_SHARES_MAX) return false;
+    if (!cJSON_IsNumber(shards) || shards->valueint < 1 || shards->valueint > QUOTA_SHARDS_MAX) return false;
     if (!read_amount(list, 1, &out->limit) || !read_amount(list, 1 + QUOTA_DIMENSIONS, &out->guarantee)) return false;
     out->shards = shards->valueint;
     return true;
--- a/src/quota/record.h
+++ b/src/quota/record.h
@@ -1,5 +1,5 @@
-/* The record of a divided team's parts in the state service, `quota/TEAM`, and what each controller's settings say of
- * the divided teams, `quota-view/NODE`. Only the forms: pure. */
+/* The record of a divided team's allotments in the state service, `quota/TEAM`, and what each controller's settings say
+ * of the divided teams, `quota-view/NODE`. Only the forms: pure. */
 #ifndef FF_QUOTA_RECORD_H
 #define FF_QUOTA_RECORD_H
 #include <stdbool.h>
@@ -7,7 +7,7 @@
 #include "../json/json.h"
 #include "allotments.h"
 
-cJSON *quota_record_value(const struct quota_record *r);
+cJSON *quota_record_value(const struct quota_record *record);
 /* False, with the fault named, where the value is of another form or breaks the invariant. */
 bool quota_record_read(const cJSON *value, int size, struct quota_record *out, const char **fault);
 
--- a/src/store/keys.c
+++ b/src/store/keys.c
@@ -54,3 +54,7 @@
 struct store_key store_key_quota(const char *team) {
     return key_of_name(STORE_PREFIX_QUOTA, team);
 }
+
+struct store_key store_key_quota_view(const char *node) {
+    return key_of_name(STORE_PREFIX_QUOTA_VIEW, node);
+}
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -13,6 +13,7 @@
 #define STORE_PREFIX_SHARD "share/"
 #define STORE_PREFIX_SCHEMA_VERSION "format/"
 #define STORE_PREFIX_QUOTA "quota/"
+#define STORE_PREFIX_QUOTA_VIEW "quota-view/"
 
 /* Keys of which there is one. */
 #define STORE_KEY_LEADER "leader"
@@ -41,4 +42,5 @@
 struct store_key store_key_node(const char *node);
 struct store_key store_key_schema_version(const char *node);
 struct store_key store_key_quota(const char *team);
+struct store_key store_key_quota_view(const char *node);
 #endif
