--- a/src/liveness/liveness.h
+++ b/src/liveness/liveness.h
@@ -1,4 +1,4 @@
-/* Silent machines, failed boots, notices, and whether it is us who hear nobody. */
+/* Which machines can be reached, which have to be returned, and whether it is this controller that hears nobody. */
 #ifndef FF_LIVENESS_H
 #define FF_LIVENESS_H
 #include <stdbool.h>
@@ -6,27 +6,33 @@
 #include "../http/client.h"
 #include "../machines/machines.h"
 
-void liveness_init(const struct settings *s);
-bool liveness_probe_workers(struct http_client *c); /* without the lock: whether one of a few workers answers */
-/* Of the machines of our shards that are up: how many were heard lately, how many have reported, and how long ago the
- * last of them was heard in any way. */
+/* Called before the threads are started; the settings must outlive them. */
+void liveness_init(const struct settings *settings);
+
+/* Whether one of a few workers, chosen at random, answers a probe; true also if none has an address. Without the lock,
+ * on membership's thread; takes up to half a second for each that does not answer. */
+bool liveness_probe_workers(struct http_client *client);
+
+/* What is heard of the machines of owned shards that are up. */
 struct liveness_summary {
-    int up, heard, reported;
-    double newest_s;
+    int up;
+    int heard;            /* lately, in any way */
+    int heartbeats_heard; /* lately, by a heartbeat */
+    double newest_s;      /* since any of them was heard in any way; HUGE_VAL: there are none */
 };
-struct liveness_summary liveness_summary(void); /* with store_lock held */
-/* Pure: so many machines are heard that often between them that this long a silence of all is this controller's own. */
-bool liveness_controller_isolated(int up, double newest_s, double report_s);
-/* Pure: after how long without a word from any of so many machines of a zone the zone counts as cut off. */
-double liveness_zone_silence_s(int machines, double report_s);
-/* Pure: whether a cancelled task that a machine still shows makes its return due, that long after the cancellation and
- * after its last report. */
-bool liveness_stop_overdue(double ended_s, double reported_s, double lease_s, double cancel_s);
-double liveness_zone_grace_s(const char *site);
-/* With store_lock held. Nothing is heard of the shard's machines in the zone. */
-bool liveness_zone_unreachable(int k, const char *site);
-/* With store_lock held. This controller stood still: all silence counts anew from now on. */
+
+/* Pure: so many machines are heard that often between them that this long a silence of all is this controller's own.
+ * heartbeat_interval_s: of each machine. */
+bool liveness_controller_isolated(int n_up, double newest_s, double heartbeat_interval_s);
+
+/* All of these with store_lock held. */
+
+struct liveness_summary liveness_summary(void);
+/* Finds the shard's machines that are to be returned, given what is heard of all machines of owned shards; has silent
+ * ones probed. On the scheduler's thread. */
+void liveness_check_machines(int shard, const struct liveness_summary *summary);
+/* Nothing is heard of the shard's machines in the zone, as of the last check of the shard. */
+bool liveness_zone_unreachable(int shard, const char *zone);
+/* This controller was paused: all silence counts anew from now on. */
 void liveness_reset_silence(void);
-/* With store_lock held. Finds the shard's machines that are to be returned, given what is heard of all of ours. */
-void liveness_check_machines(int k, const struct liveness_summary *hearing);
 #endif
--- a/src/liveness/liveness_test.c
+++ b/src/liveness/liveness_test.c
@@ -4,29 +4,31 @@
 #include <stdbool.h>
 
 #include "../../tests/standin/site.h"
+#include "liveness/return_checks.h"
+#include "liveness/zones.h"
 
-/* A zone counts as cut when nothing is heard from any of its machines; the more there are, the sooner that is told. */
-static void zone_silence(void **state) {
+/* A zone counts as cut when nothing is heard from any of its machines; the more there are, the sooner that shows. */
+static void zone_silence_gets_shorter_with_more_machines(void **state) {
     (void)state;
     static const struct {
         int machines;
-        double report_s, least, most;
+        double heartbeat_interval_s, least_s, most_s;
     } rows[] = {
         {0, 8, 1e8, 1e10}, {3, 8, 1e8, 1e10}, /* too few to tell a zone from its machines */
         {4, 8, 10, 11.5},  {40, 8, 2, 3},     {400, 8, 1.5, 2}, {40, 3, 1.5, 2},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        double s = liveness_zone_silence_s(rows[i].machines, rows[i].report_s);
-        if (s < rows[i].least || s > rows[i].most) fail_msg("row %zu: %.2f", i, s);
+        double silence_s = zones_silence_s(rows[i].machines, rows[i].heartbeat_interval_s);
+        if (silence_s < rows[i].least_s || silence_s > rows[i].most_s) fail_msg("row %zu: %.2f", i, silence_s);
     }
 }
 
 /* When a machine that still shows a cancelled task has to go. */
-static void end_overdue(void **state) {
+static void ignored_stop_makes_a_return_due(void **state) {
     (void)state;
     static const struct {
-        double ended_s, reported_s, lease_s, cancel_s;
-        bool want;
+        double cancelled_s, heartbeat_s, lease_s, cancel_s;
+        bool expected;
     } rows[] = {
         {1, 1, 26.5, 51.5, false},   {40, 1, 26.5, 51.5, false}, {46, 1, 26.5, 51.5, true},
         {46, 27, 26.5, 51.5, false}, /* its lease has ended it */
@@ -34,30 +36,32 @@
         {5.5, 0.1, 4, 8, false},     {6.5, 0.1, 4, 8, true}, /* short times leave half of the room at most */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        if (liveness_stop_overdue(rows[i].ended_s, rows[i].reported_s, rows[i].lease_s, rows[i].cancel_s) !=
-            rows[i].want)
+        if (return_checks_stop_overdue(rows[i].cancelled_s, rows[i].heartbeat_s, rows[i].lease_s, rows[i].cancel_s) !=
+            rows[i].expected)
             fail_msg("row %zu", i);
 }
 
 /* All of many machines silent at once: the controller is cut from its workers. Few, or not for long enough: not yet. */
-static void deaf(void **state) {
+static void silence_of_all_isolates_the_controller(void **state) {
     (void)state;
     static const struct {
         int up;
-        double newest_s, report_s;
-        bool want;
+        double newest_s, heartbeat_interval_s;
+        bool expected;
     } rows[] = {
         {200, 1, 8, false}, {200, 3, 8, false},   {200, 5, 8, true},  {19, 60, 8, false},
         {20, 4, 8, false},  {20, 7, 8, true},     {4000, 4, 8, true}, {4000, 3, 8, false},
         {300, 4, 4, true},  {300, 2.5, 4, false}, {0, 1e9, 8, false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        if (liveness_controller_isolated(rows[i].up, rows[i].newest_s, rows[i].report_s) != rows[i].want)
+        if (liveness_controller_isolated(rows[i].up, rows[i].newest_s, rows[i].heartbeat_interval_s) !=
+            rows[i].expected)
             fail_msg("row %zu", i);
 }
 
 int main(void) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(zone_silence), cmocka_unit_test(end_overdue),
-                                       cmocka_unit_test(deaf)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(zone_silence_gets_shorter_with_more_machines),
+                                       cmocka_unit_test(ignored_stop_makes_a_return_due),
+                                       cmocka_unit_test(silence_of_all_isolates_the_controller)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/liveness/process_pause_test.c
+++ b/src/liveness/process_pause_test.c
@@ -1,15 +1,15 @@
-/* Which late ticks are a stop of the whole process. */
+/* Which late ticks are a pause of the whole process. */
 #include "liveness/process_pause.h"
 
 #include <glib.h>
 
 #include "../../tests/standin/site.h"
 
-static void lengths(void **state) {
+static void only_a_long_wait_is_a_pause(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        double waited_s, tick_s, least, most;
+        double waited_s, tick_s, least_s, most_s;
     } rows[] = {
         {"in time", 0.25, 0.25, 0, 0},
         {"late by a moment, on a busy machine", 0.9, 0.25, 0, 0},
@@ -18,12 +18,12 @@
         {"a clock that went back", -3, 0.25, 0, 0},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        double s = process_pause_length(rows[i].waited_s, rows[i].tick_s);
-        if (s < rows[i].least || s > rows[i].most) fail_msg("%s: %.2f s", rows[i].what, s);
+        double paused_s = process_pause_length(rows[i].waited_s, rows[i].tick_s);
+        if (paused_s < rows[i].least_s || paused_s > rows[i].most_s) fail_msg("%s: %.2f s", rows[i].what, paused_s);
     }
 }
 
 int main(void) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(lengths)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(only_a_long_wait_is_a_pause)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/scheduler/isolation.c
+++ b/src/scheduler/isolation.c
@@ -12,7 +12,7 @@
 #define HEARD_PERCENT 30 /* of the machines that are up: where so many send heartbeats, the network is there */
 
 static bool enough_heard(const struct liveness_summary *summary) {
-    return summary->up < LEAST_MACHINES || summary->reported * 100 >= summary->up * HEARD_PERCENT;
+    return summary->up < LEAST_MACHINES || summary->heartbeats_heard * 100 >= summary->up * HEARD_PERCENT;
 }
 
 void isolation_watch_start(struct isolation_watch *watch) { watch->workers_heard = clock_now(); }
