--- a/src/allocations/records.c
+++ b/src/allocations/records.c
@@ -143,7 +143,7 @@
     allocation->task = entry->task;
     allocation->attempt = entry->attempt;
     allocation->allocated_at = allocation->state_since = clock_now();
-    allocation->inherited = true; /* until a round finds that it is its own */
+    allocation->inherited = true; /* until a scheduling round finds that it decided on it */
     allocation->stop_requested = job->state != JOB_QUEUED;
     allocation->index_in_job = job->allocations->len;
     allocation->index_in_machine = machine->allocations->len;
@@ -236,7 +236,7 @@
     return job_id_valid(job_id) ? jobs_find_or_stub(job_id) : NULL;
 }
 
-/* The chunk size of the record; 0: none that there may be. One that is gone had that of the job's others. */
+/* The chunk size of the record; 0: none that there may be. One that was deleted had that of the job's others. */
 static int record_chunk_size(const struct job *job, const cJSON *data, const struct allocation_record *record) {
     if (!data) return chunks_size(job);
     return record->names_chunk_size ? record->chunk_size : chunks_legacy_size();
@@ -266,7 +266,7 @@
     struct chunk_update update;
     update_begin(&update, job, first_task, size);
     bool whole = apply_entries(&update, &record) && (!data || cJSON_IsObject(data));
-    /* What follows an entry that can't be read is not known to be gone. */
+    /* What follows an entry that can't be read is not known to be absent. */
     if (whole) {
         free_unnamed(&update);
     } else {
@@ -274,7 +274,7 @@
     }
     update_end(&update);
 
-    /* What was reported while the record was under way is not in it. */
+    /* What was shown by heartbeats while the record was under way is not in it. */
     if (allocations_chunk_dirty(job, chunk)) jobs_mark_dirty(job, first_task);
     jobs_list(job);
 }
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -356,7 +356,7 @@
 int scale_out_plan(struct rental_request *out, int most) {
     int n = 0;
     for (int k = 0; k < cfg->size; k++)
-        if (membership_owns(k) && membership_may_answer() && clock_seconds_since(shard_states[k].since) > 4)
+        if (membership_owns(k) && membership_may_answer() && clock_seconds_since(shard_states[k].owned_since) > 4)
             rent_for_shard(k, out, most, &n);
     qsort(out, (size_t)n, sizeof *out, weightier);
     return n;
--- a/src/dependencies/cascade.c
+++ b/src/dependencies/cascade.c
@@ -82,15 +82,16 @@
 static bool is_acknowledged_here(const struct job *job) {
     for (guint i = 0; i < job->prerequisites->len; i++) {
         const struct job *prerequisite = job->prerequisites->pdata[i];
-        if (prerequisite->cancel_acknowledged || prerequisite->cascade_owned) return true;
+        if (prerequisite->cancel_acknowledged || prerequisite->cascade_acknowledged) return true;
     }
     return false;
 }
 
 static bool is_turn_here(struct job *job) {
-    job->cascade_owned = job->cascade_owned || is_acknowledged_here(job);
+    job->cascade_acknowledged = job->cascade_acknowledged || is_acknowledged_here(job);
     double waited = clock_seconds_since(job->cascade_since);
-    return job->cascade_owned || waited > ANY_AFTER_S || (waited > OWNER_AFTER_S && membership_owns(jobs_shard(job)));
+    return job->cascade_acknowledged || waited > ANY_AFTER_S ||
+           (waited > OWNER_AFTER_S && membership_owns(jobs_shard(job)));
 }
 
 int cascade_next(struct job **out, int most) {
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -90,7 +90,7 @@
     g_free(machine);
 }
 
-/* The cloud has confirmed the machine's return: what was allocated on it is gone. */
+/* The cloud has confirmed the machine's return: what was allocated on it is released. */
 static void release_allocations(struct machine *machine) {
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
@@ -149,8 +149,9 @@
 
 static void reset_allocation(struct allocation *allocation) {
     allocation->seen = allocation->released = allocation->stop_sent = false;
-    /* Whether its start was ever sent, and whether it has ended since, only a heartbeat under our fencing token tells.
-     * Sent again it might run beside what was allocated in its place when its end was known but not yet written. */
+    /* Whether its start was ever sent, and whether it has ended since, only a heartbeat under the present fencing token
+     * tells. Sent again it might run beside what was allocated in its place when its end was known but not yet written.
+     */
     allocation->inherited = true;
     allocation->state = TASK_UNSEEN;
     allocation->stop_requested = allocation->job->state != JOB_QUEUED;
@@ -195,7 +196,7 @@
         const struct allocation *allocation = machine->allocations->pdata[i];
         int shard = jobs_shard(allocation->job);
         if (!allocation->released && membership_owns(shard) &&
-            clock_seconds_since(shard_states[shard].since) > UNRECORDED_S)
+            clock_seconds_since(shard_states[shard].owned_since) > UNRECORDED_S)
             return true;
     }
     return false;
--- a/src/machines/machines.h
+++ b/src/machines/machines.h
@@ -21,8 +21,8 @@
 /* Once, before the mirror is started. The settings must outlive the program. */
 void machines_init(const struct settings *settings);
 
-/* Who wants to know that a machine is gone: its return was confirmed by the cloud and its record says so. Called with
- * store_lock held, before the machine is taken out of its shard. */
+/* Who wants to know that a machine no longer exists: its record is removed, which proves that the cloud has confirmed
+ * its return. Called with store_lock held, before the machine is taken out of its shard. */
 typedef void (*machines_returned_observer)(const struct machine *machine);
 /* Sets the one observer; before the mirror is started. */
 void machines_on_returned(machines_returned_observer observer);
@@ -44,7 +44,8 @@
  * id. */
 int machines_shard_of(const char *id);
 
-/* Whether its shard is ours. What was known under another fencing token of the shard is reset at the first call. */
+/* Whether its shard is owned by this controller. What was known under another fencing token of the shard is reset at
+ * the first call. */
 bool machines_owned(struct machine *machine);
 /* The fencing token under which it is sent directives: its own or its shard's, whichever is higher. */
 int64_t machines_fencing_token(const struct machine *machine);
@@ -52,17 +53,18 @@
 bool machines_leaving(const struct machine *machine);
 /* The cloud has confirmed its return: what was allocated on it is released. */
 void machines_returned(const char *id);
-/* Whether no record has named the machine, on which tasks of a shard of ours are allocated, for so long that none can
+/* Whether no record has named the machine, on which tasks of an owned shard are allocated, for so long that none can
  * be on its way. Only the cloud's answer to its return proves that the tasks are gone. */
 bool machines_unrecorded(const struct machine *machine);
 
-/* Unregistered machines: rented by us, or adopted, and not recorded yet. The next round records them. */
+/* Unregistered machines: rented by this controller, or adopted, and not recorded yet. The next scheduling round records
+ * them. */
 
 /* id -> struct unregistered_machine; belongs to the registry. */
 GHashTable *machines_unregistered(void);
-/* Whether the id needs no adoption: it is recorded, unregistered, or was recorded and is gone for good. */
+/* Whether the id needs no adoption: it is recorded, unregistered, or was recorded and has been released. */
 bool machines_known(const char *id);
-/* A worker sends heartbeats under an id that is not known: it is adopted if its shard is ours. */
+/* A worker sends heartbeats under an id that is not known: it is adopted if its shard is owned. */
 void machines_adopt(const char *id, const char *address, const char *type_name, const char *zone, bool spot);
 /* The cloud has rented a machine for the shard. */
 void machines_rented(int shard, const char *id, const char *type_name, const char *zone, bool spot);
--- a/src/machines/records.c
+++ b/src/machines/records.c
@@ -66,7 +66,8 @@
     return store_key_revision(store_key_machine(machine->id).text) != 0;
 }
 
-/* Machines that the page named before and no longer does are gone, unless they are on their way to another shard. */
+/* Machines that the page named before and no longer does are released, unless they are on their way to another shard.
+ */
 static void remove_unlisted(int shard, int number, GHashTable *listed) {
     GPtrArray *machines = machines_of_shard(shard);
     for (guint i = machines->len; i-- > 0;) {
@@ -89,8 +90,8 @@
     int shard, number;
     if (!parse_page_key(rest, &shard, &number)) return;
     machines_page_clear_stale(shard, number);
-    /* A machine that a page no longer names is gone. One that can't be read names nobody: taken for an empty one, or an
-     * entry of it for none, it would release what still runs. */
+    /* A machine that a page no longer names is released. A page that can't be read proves nothing: taken for an empty
+     * one, it would release what still runs. */
     struct machine_page page;
     bool readable = machine_page_read(data, &page) || !data;
     g_autoptr(GHashTable) listed = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -126,7 +127,7 @@
 
 static void apply_single(const char *id, const cJSON *data, int64_t mod_revision) {
     /* As for pages: what a later record has shown holds, in whatever order they are read. A page read on its own, ahead
-     * of the watch, was once undone by the transfer before it: machines that ran tasks were taken for gone. */
+     * of the watch, was once undone by the transfer before it: machines that ran tasks were taken for released. */
     struct machine *machine = machines_find(id);
     if (machine && machine->placement_revision > mod_revision) return;
     if (!data) {
--- a/src/model/allocation.h
+++ b/src/model/allocation.h
@@ -1,5 +1,5 @@
-/* An allocation: a task's place on a machine, and what is known of the task there. Types only; guarded by store_lock.
- */
+/* An allocation: the machine that a task is given, and what is known of the task there. Types only; guarded by
+ * store_lock. Instants are of the steady clock. */
 #ifndef FF_MODEL_ALLOCATION_H
 #define FF_MODEL_ALLOCATION_H
 #include <glib.h>
@@ -12,32 +12,41 @@
 struct job;
 struct machine;
 
-/* As the machine's agent reports it. */
-enum task_state { TASK_UNSEEN, TASK_FETCHING, TASK_GATHERING, TASK_RUNNING, TASK_FLUSHING, TASK_ENDED };
+/* What a task does, as the machine's agent lists it. */
+enum task_state {
+    TASK_UNSEEN,    /* not listed yet */
+    TASK_FETCHING,  /* its image */
+    TASK_GATHERING, /* waits for the rest of its gang */
+    TASK_RUNNING,
+    TASK_FLUSHING, /* saves a checkpoint before it stops */
+    TASK_ENDED
+};
 
+/* One start of a task on a machine. It belongs to allocations, and is freed when its record no longer names it. */
 struct allocation {
     struct job *job;
     struct machine *machine;
-    guint index_in_job, index_in_machine; /* where it stands in their lists */
+    guint index_in_job, index_in_machine; /* its index in their lists of allocations */
     int task;
     int64_t attempt;
     struct timespec allocated_at;
 
-    /* What its shard's owner knows. */
-    enum task_state state; /* as last reported under our token */
+    /* What the owner of its shard knows, under the present fencing token. */
+    enum task_state state; /* as last listed */
     struct timespec state_since;
-    bool seen;      /* listed at least once under our token */
-    bool inherited; /* not started by us under this token: never started by us, released when shown absent */
-    bool released;  /* proven absent or ended: its place is free, the record follows */
+    bool seen;      /* listed at least once */
+    bool inherited; /* not decided on under this fencing token: it is not started, and released when it is not listed */
+    bool released;  /* proven absent or ended: its room is free, the record follows */
     bool stop_requested, stop_sent;
-    double grace_s;    /* with which it is to stop */
-    int starts_sent;   /* answered heartbeats that carried its start */
-    int stop_requests; /* sent by us, not being its owner */
+    double grace_s;  /* with which it is to stop */
+    int starts_sent; /* responses to heartbeats that carried its start */
+
+    int stop_requests; /* sent by a controller that does not own its shard */
 };
 
 /* A task that the machine lists and that has no allocation. */
 struct unknown_task {
-    char task[TASK_NAME_SIZE];
+    char task[TASK_NAME_SIZE]; /* JOB/TASK */
     int64_t attempt;
     bool ended;
 };
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -33,7 +33,7 @@
     struct timespec last_heartbeat; /* by a heartbeat */
     int unanswered_probes;          /* in a row, since it was last heard */
     bool heartbeat_acknowledged;    /* its last heartbeat got a 200 under the fencing token it should show by now */
-    int ignored_responses;          /* heartbeats in a row that show nothing of our responses */
+    int ignored_responses;          /* heartbeats in a row that show nothing of the responses */
     double preemption_notice_s;     /* the cloud reclaims it in so many seconds; < 0: no notice */
     struct timespec notice_received;
 };
@@ -41,7 +41,7 @@
 /* Directives sent straight to it. Kept by workers. */
 struct machine_commands {
     bool wake;              /* something is to be sent */
-    bool needs_token_probe; /* it is to be shown our fencing token, and asked for its tasks */
+    bool needs_token_probe; /* it is to be shown its fencing token, and asked for its tasks */
     bool in_flight;
     bool probe_in_flight; /* what is in flight carries no directives */
     struct timespec last_probe;
@@ -49,7 +49,7 @@
     int64_t unknown_token, unknown_incarnation;
     bool needs_token_raise;    /* only a higher fencing token rules that start out */
     int64_t start_incarnation; /* the latest of it in which a response to a heartbeat carried starts; 0: none */
-    struct timespec stops_requested_at; /* when, not being its owner, we last asked it to stop tasks */
+    struct timespec stops_requested_at; /* when a controller that does not own it last asked it to stop tasks */
 };
 
 /* The components of a sample of occupancy. */
@@ -101,7 +101,7 @@
     GHashTable *images; /* names of those that it has cached */
 
     /* Its record. Kept by machines. */
-    bool known;                       /* false: only heard of through an allocation; no record means that it is gone */
+    bool known;                       /* false: no record names it, only an allocation */
     struct timespec unrecorded_since; /* where it is not known: since when */
     int shard;                        /* -1: none */
     int page;                         /* of its shard; -1: in a record of its own, on its way between shards */
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -15,11 +15,11 @@
 #define PREEMPT_AGAIN_S 3 /* time for what was preempted to stop */
 
 int64_t planning_last_attempt(int shard) {
-    return attempt_number(shard_states[shard].fencing_token, shard_states[shard].next);
+    return attempt_number(shard_states[shard].fencing_token, shard_states[shard].attempt_counter);
 }
 
 int64_t planning_next_attempt(int shard) {
-    shard_states[shard].next++;
+    shard_states[shard].attempt_counter++;
     return planning_last_attempt(shard);
 }
 
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -18,9 +18,9 @@
     int64_t fencing_token = membership_shard(shard)->fencing_token;
     if (state->fencing_token == fencing_token) return;
     state->fencing_token = fencing_token;
-    state->next = 0;
+    state->attempt_counter = 0;
     state->barrier_pending = false;
-    state->since = clock_now();
+    state->owned_since = clock_now();
     log_info("shard %d: owned under fencing token %lld", shard, (long long)fencing_token);
 }
 
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -135,7 +135,7 @@
     (void)state;
     struct rental_request out[16];
     store_lock();
-    shard_states[0].since = (struct timespec){0, 0};
+    shard_states[0].owned_since = (struct timespec){0, 0};
     struct job *job = owned_job("req-60001", "batch", "normal", 300, 8, 1, false, false, 10);
     scheduling_round_free(scheduling_round_decide(0, 20));
     assert_true(job->unplaced);
@@ -172,7 +172,7 @@
         {"too few machines to keep any", 5, 0, 30, 0},
     };
     store_lock();
-    shard_states[0].since = (struct timespec){0, 0};
+    shard_states[0].owned_since = (struct timespec){0, 0};
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
         struct machine *all[32];
         char id[32], one[32], two[32];
@@ -365,7 +365,7 @@
         char id[32], job_id[32];
         struct rental_request out[16];
         store_lock();
-        shard_states[0].since = (struct timespec){0, 0};
+        shard_states[0].owned_since = (struct timespec){0, 0};
         for (int i = 0; i < rows[row].booting + rows[row].up; i++) {
             g_snprintf(id, sizeof id, "i-6%zu%03d", row, i);
             struct machine *machine = owned_machine(id, "za", false);
