--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -19,7 +19,7 @@
 #define ATTEMPTS_S 1.5  /* no new attempt after that */
 #define OVER_RATE_S 0.5 /* for so long a write above the rate is tried again */
 #define OVER_RATE_PAUSE_S 0.08
-#define CONFIRMED_S 1.5 /* so long after it was asked for a confirmation of the store may be passed on */
+#define CONFIRMED_S 1.5 /* so long after the request for it a confirmation of the store may be passed on */
 
 static const struct settings *settings;
 static struct request_queue write_queue;
@@ -175,8 +175,8 @@
 
 static void respond_to_batch(const GPtrArray *batch, const struct attempt *attempt) {
     enum store_result result = attempt->result;
-    /* The process was paused since: another controller may have told of a newer state. Final states stay true, but are
-     * confirmed again as well. */
+    /* The process was paused since: another controller may have answered with a newer state. Final states stay true,
+     * but are confirmed again as well. */
     if (result == STORE_OK && clock_seconds_since(attempt->sent) > CONFIRMED_S) result = STORE_UNKNOWN;
     for (guint i = 0; i < batch->len; i++) {
         struct api_request *request = batch->pdata[i];
--- a/src/api/latency.h
+++ b/src/api/latency.h
@@ -9,6 +9,7 @@
 /* Counts an answer that is sent now, to a request that arrived at that instant. */
 void latency_record(struct timespec arrived);
 
+/* Answers in a period, and the time that they took. */
 struct latency_summary {
     int answers;
     double median_ms, p95_ms; /* 0 if there were no answers */
--- a/src/api/poll.c
+++ b/src/api/poll.c
@@ -16,9 +16,8 @@
 
 #define ANSWER_WITHIN_S 2.0 /* users wait no longer for the answer to a poll */
 #define GATHER_S 0.08       /* for so long more polls are gathered where requests to the store are scarce */
-#define BATCH_PER_TRANSACTION                                                              \
-    4 /* a batch of polls only compares: it may be so many times as large as one of writes \
-       */
+/* A batch of polls only compares: it may be so many times as large as one of writes. */
+#define BATCH_PER_TRANSACTION 4
 
 static const struct settings *settings;
 static struct request_queue poll_queue;
--- a/src/api/request.h
+++ b/src/api/request.h
@@ -13,8 +13,10 @@
 #include "../model/job.h"
 #include "responses.h"
 
+/* What the user wants. */
 enum request_kind { REQUEST_SUBMIT, REQUEST_POLL, REQUEST_CANCEL };
 
+/* One request, and what is known of it so far. */
 struct api_request {
     enum request_kind kind;
     struct http_request *http;
@@ -27,7 +29,7 @@
     char **prerequisites;
     struct refusal refusal; /* the answer, unless the job turns out to be known */
 
-    /* Of the latest transaction in which it was asked for. */
+    /* Of the latest transaction with this request. */
     int64_t compared_revision; /* of the job's record; 0: none */
     bool was_known;            /* the job, before the transaction was sent */
     bool repeated;             /* an earlier request of the batch is about the same job */
--- a/src/api/responses.c
+++ b/src/api/responses.c
@@ -19,43 +19,40 @@
 };
 
 #define BODY_BYTES 256
-#define TEXT_BYTES 128
-#define FIELD_BYTES_SHOWN 40 /* of a field's name that the user has chosen */
 
 struct refusal_response {
     enum http_status status;
-    int retry_after_s; /* 0: no such header */
-    const char *before_subject, *after_subject;
+    int retry_after_s;  /* 0: no such header */
+    const char *format; /* of the text: may show the refusal's subject, and after it the limit of a record's bytes */
 };
 
-/* Of REFUSAL_NONE there is no response. */
+#define TEAM JOB_SPEC_FIELD_TEAM
+#define PREREQUISITES JOB_SPEC_FIELD_PREREQUISITES
+
 static const struct refusal_response refusal_responses[] = {
-    [REFUSAL_NONE] = {0, 0, "", ""},
-    [REFUSAL_PATH_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such path", ""},
-    [REFUSAL_METHOD_NOT_ALLOWED] = {STATUS_METHOD_NOT_ALLOWED, 0, "method not allowed", ""},
-    [REFUSAL_BODY_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "body: above 64 KiB", ""},
-    [REFUSAL_FIELD_INVALID] = {STATUS_BAD_REQUEST, 0, "", ": missing or invalid"},
-    [REFUSAL_RECORD_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "",
-                                  ""}, /* its text names a limit: see record_too_large_text */
-    [REFUSAL_JOB_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such job", ""},
-    [REFUSAL_TEAM_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_TEAM ": unknown team", ""},
-    [REFUSAL_FITS_NO_MACHINE_TYPE] = {STATUS_UNPROCESSABLE, 0, "a task fits no allowed machine type", ""},
-    [REFUSAL_ABOVE_TEAM_LIMIT] = {STATUS_UNPROCESSABLE, 0, "needs more than the team's limit", ""},
-    [REFUSAL_PREREQUISITE_ITSELF] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_PREREQUISITES ": ", " names itself"},
-    [REFUSAL_PREREQUISITE_SERVICE] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_PREREQUISITES ": ", " is a service"},
-    [REFUSAL_PREREQUISITE_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, JOB_SPEC_FIELD_PREREQUISITES ": ",
-                                      " was never accepted"},
-    [REFUSAL_PREREQUISITE_UNREADABLE] = {STATUS_UNAVAILABLE, 2, JOB_SPEC_FIELD_PREREQUISITES ": the record of ",
-                                         " can't be read"},
-    [REFUSAL_QUEUE_FULL] = {STATUS_TOO_MANY_REQUESTS, 2, "too many requests wait here", ""},
-    [REFUSAL_WRITE_BUDGET] = {STATUS_TOO_MANY_REQUESTS, 1, "over the write budget", ""},
-    [REFUSAL_STORE_UNREACHABLE] = {STATUS_UNAVAILABLE, 2, "the state service is out of reach", ""},
-    [REFUSAL_STORE_SILENT] = {STATUS_UNAVAILABLE, 2, "the state service did not answer", ""},
-    [REFUSAL_MACHINE_TYPES_UNKNOWN] = {STATUS_UNAVAILABLE, 1, "machine types are not known yet", ""},
-    [REFUSAL_RECORD_UNCONFIRMED] = {STATUS_UNAVAILABLE, 1, "the state service did not answer", ""},
-    [REFUSAL_POLL_EXPIRED] = {STATUS_UNAVAILABLE, 1, "the answer took too long", ""},
-    [REFUSAL_CANCELLATION_UNDECIDED] = {STATUS_UNAVAILABLE, 1, "not decided yet", ""},
-    [REFUSAL_PREREQUISITE_CANCELLED] = {STATUS_UNAVAILABLE, 1, "a job that it needs is cancelled", ""},
+    [REFUSAL_NONE] = {0, 0, ""},
+    [REFUSAL_PATH_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such path"},
+    [REFUSAL_METHOD_NOT_ALLOWED] = {STATUS_METHOD_NOT_ALLOWED, 0, "method not allowed"},
+    [REFUSAL_BODY_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "body: above 64 KiB"},
+    [REFUSAL_FIELD_INVALID] = {STATUS_BAD_REQUEST, 0, "%s: missing or invalid"},
+    [REFUSAL_RECORD_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "%.40s: too long, a job's record may take %zu bytes"},
+    [REFUSAL_JOB_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such job"},
+    [REFUSAL_TEAM_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, TEAM ": unknown team"},
+    [REFUSAL_FITS_NO_MACHINE_TYPE] = {STATUS_UNPROCESSABLE, 0, "a task fits no allowed machine type"},
+    [REFUSAL_ABOVE_TEAM_LIMIT] = {STATUS_UNPROCESSABLE, 0, "needs more than the team's limit"},
+    [REFUSAL_PREREQUISITE_ITSELF] = {STATUS_UNPROCESSABLE, 0, PREREQUISITES ": %s names itself"},
+    [REFUSAL_PREREQUISITE_SERVICE] = {STATUS_UNPROCESSABLE, 0, PREREQUISITES ": %s is a service"},
+    [REFUSAL_PREREQUISITE_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, PREREQUISITES ": %s was never accepted"},
+    [REFUSAL_PREREQUISITE_UNREADABLE] = {STATUS_UNAVAILABLE, 2, PREREQUISITES ": the record of %s can't be read"},
+    [REFUSAL_QUEUE_FULL] = {STATUS_TOO_MANY_REQUESTS, 2, "too many requests wait here"},
+    [REFUSAL_WRITE_BUDGET] = {STATUS_TOO_MANY_REQUESTS, 1, "over the write budget"},
+    [REFUSAL_STORE_UNREACHABLE] = {STATUS_UNAVAILABLE, 2, "the state service is out of reach"},
+    [REFUSAL_STORE_SILENT] = {STATUS_UNAVAILABLE, 2, "the state service did not answer"},
+    [REFUSAL_MACHINE_TYPES_UNKNOWN] = {STATUS_UNAVAILABLE, 1, "machine types are not known yet"},
+    [REFUSAL_RECORD_UNCONFIRMED] = {STATUS_UNAVAILABLE, 1, "the state service did not answer"},
+    [REFUSAL_POLL_EXPIRED] = {STATUS_UNAVAILABLE, 1, "the answer took too long"},
+    [REFUSAL_CANCELLATION_UNDECIDED] = {STATUS_UNAVAILABLE, 1, "not decided yet"},
+    [REFUSAL_PREREQUISITE_CANCELLED] = {STATUS_UNAVAILABLE, 1, "a job that it needs is cancelled"},
 };
 
 struct refusal refusal_about(enum refusal_reason reason, const char *subject) {
@@ -90,19 +87,14 @@
     return refusal_responses[reason].status == STATUS_UNAVAILABLE;
 }
 
-static void record_too_large_text(char *text, size_t n, const char *field) {
-    snprintf(text, n, "%.*s: too long, a job's record may take %zu bytes", FIELD_BYTES_SHOWN, field,
-             jobs_record_bytes_max());
+void refusal_text(const struct refusal *refusal, char *text, size_t n) {
+    snprintf(text, n, refusal_responses[refusal->reason].format, refusal->subject, jobs_record_bytes_max());
 }
 
 void respond_refusal(struct http_request *http, const struct refusal *refusal) {
     const struct refusal_response *response = &refusal_responses[refusal->reason];
-    char text[TEXT_BYTES], body[BODY_BYTES];
-    if (refusal->reason == REFUSAL_RECORD_TOO_LARGE) {
-        record_too_large_text(text, sizeof text, refusal->subject);
-    } else {
-        snprintf(text, sizeof text, "%s%s%s", response->before_subject, refusal->subject, response->after_subject);
-    }
+    char text[REFUSAL_TEXT_SIZE], body[BODY_BYTES];
+    refusal_text(refusal, text, sizeof text);
     snprintf(body, sizeof body, "{\"error\":\"%s\"}", text);
     http_reply(http, response->status, body, response->retry_after_s);
 }
--- a/src/api/responses.h
+++ b/src/api/responses.h
@@ -3,6 +3,7 @@
 #ifndef FF_API_RESPONSES_H
 #define FF_API_RESPONSES_H
 #include <stdbool.h>
+#include <stddef.h>
 
 #include "../dependencies/dependencies.h"
 #include "../http/server.h"
@@ -41,10 +42,12 @@
 };
 
 #define REFUSAL_SUBJECT_SIZE 64
+#define REFUSAL_TEXT_SIZE 128
 
+/* A refusal as a value. */
 struct refusal {
     enum refusal_reason reason;
-    char subject[REFUSAL_SUBJECT_SIZE]; /* which reasons have one: see there */
+    char subject[REFUSAL_SUBJECT_SIZE]; /* shown only with the reasons that have one */
 };
 
 /* Refusals from what the packages below find. */
@@ -53,6 +56,8 @@
 struct refusal refusal_of_prerequisites(struct prerequisites_check check);
 /* The refusal says that something is not available here and now, not that anything is wrong with the request. */
 bool refusal_is_unavailability(enum refusal_reason reason);
+/* The text that the user is given, in a buffer of REFUSAL_TEXT_SIZE. */
+void refusal_text(const struct refusal *refusal, char *text, size_t n);
 
 /* Answer with an error. */
 void respond_refusal(struct http_request *http, const struct refusal *refusal);
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -24,8 +24,8 @@
 /* What becomes of a submission at its arrival. */
 enum submit_decision { SUBMIT_ANSWERED, SUBMIT_STORE_UNREACHABLE, SUBMIT_MACHINE_TYPES_UNKNOWN, SUBMIT_QUEUED };
 
-/* Decides by what the mirror says, and refuses a new job that could never run. A final state is true for good, and told
- * at once. */
+/* Decides by what the mirror says, and refuses a new job that could never run. A final state is true for good, and is
+ * answered at once. */
 static enum submit_decision decide(struct api_request *request, const struct job_spec *spec) {
     enum submit_decision decision = SUBMIT_QUEUED;
     store_lock();
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -21,14 +21,14 @@
 /* Starts the cascade's thread. */
 void dependencies_start(void);
 
-/* Makes the cascade's thread look for cancellations now. From any thread, with or without the lock. */
+/* Makes the cascade's thread search for cancellations now. From any thread, with or without the lock. */
 void dependencies_wake(void);
 
 /* With store_lock held. */
 
 /* A prerequisite is not recorded as done: nothing of the job may start, and it takes part in nothing. */
 bool dependencies_unmet(const struct job *job);
-/* The job's record still has to be changed to cancelled: its user is told nothing else any more. */
+/* The job's record still has to be changed to cancelled: its user gets no other answer any more. */
 bool dependencies_must_cancel(const struct job *job);
 /* Whether a job with these prerequisites is to be cancelled. A list of ids, ended by NULL; NULL: none. */
 bool dependencies_any_cancelled(char *const *prerequisites);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,12 +1,11 @@
 /* Jobs: every job that is known here, by its id, as the records in the store say. Records are taken in by the thread
- * that read or wrote them, and observers are told. Jobs are never freed: a pointer to one stays valid.
+ * that read or wrote them, and observers are called. Jobs are never freed: a pointer to one stays valid.
  *
  * This header includes the others of the package, but for feasibility.h. */
 #ifndef FF_JOBS_H
 #define FF_JOBS_H
 #include "../model/job.h"
 #include "../settings/settings.h"
-#include "../store/store.h" /* for the headers that include this one */
 #include "chunks.h"
 #include "done_bits.h"
 #include "job_lists.h"
--- a/src/jobs/progress.h
+++ b/src/jobs/progress.h
@@ -12,6 +12,6 @@
 void jobs_apply_done_bits(struct job *job, const char *bits, int from, int n);
 /* All tasks are reported done, and the record does not say so yet. */
 bool jobs_complete(const struct job *job);
-/* The state that the job's user is told, and how many of its tasks are allocated. */
+/* The state that answers to users name, and how many of its tasks are allocated. */
 const char *jobs_state_name(const struct job *job, int *running);
 #endif
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -8,6 +8,7 @@
 
 #include "../http/client.h"
 #include "../machines/machines.h"
+#include "../store/store.h"
 
 void quota_init(const struct settings *settings);
 
--- a/src/workers/unregistered.c
+++ b/src/workers/unregistered.c
@@ -6,6 +6,7 @@
 
 #include "../clock/clock.h"
 #include "../machines/machines.h"
+#include "../store/store.h"
 #include "codec.h"
 #include "commands.h"
 
