--- a/src/allocations/records.c
+++ b/src/allocations/records.c
@@ -98,7 +98,7 @@
 /* The bits of the tasks that are done, to be freed; NULL: none is. */
 static char *write_done(const struct job *job, struct task_range range) {
     if (!job->reported_done) return NULL;
-    char *done = jobs_bits_text(job->reported_done, range.first, range.end - range.first);
+    char *done = task_bits_text(job->reported_done, range.first, range.end - range.first);
     if (strspn(done, "0") < strlen(done)) return done;
     g_free(done);
     return NULL;
@@ -258,8 +258,8 @@
     if (chunk < 0 || chunk >= JOB_TASKS_MAX || chunk * size >= JOB_TASKS_MAX) return;
     int first_task = chunk * size;
 
-    jobs_set_chunk_size(job, size);
-    jobs_set_chunk_recorded(job, chunk, data != NULL);
+    chunks_set_size(job, size);
+    chunks_set_recorded(job, chunk, data != NULL);
     if (record.done) jobs_apply_done_bits(job, record.done, first_task, size);
     if (chunk == 0) quarantine_restore(job, record.failed_tries);
 
@@ -275,7 +275,7 @@
     update_end(&update);
 
     /* What was shown by heartbeats while the record was under way is not in it. */
-    if (allocations_chunk_dirty(job, chunk)) jobs_mark_dirty(job, first_task);
+    if (allocations_chunk_dirty(job, chunk)) chunks_mark_dirty(job, first_task);
     jobs_update_lists(job);
 }
 
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -37,16 +37,16 @@
     return job->chunk_flags != NULL;
 }
 
-void jobs_set_chunk_size(struct job *job, int chunk_size) {
+void chunks_set_size(struct job *job, int chunk_size) {
     if (chunks_size(job) == chunk_size) return;
     bool dirty = job->n_dirty_chunks > 0;
     g_clear_pointer(&job->chunk_flags, g_free);
     job->n_recorded_chunks = job->n_dirty_chunks = 0;
     job->chunk_size = chunk_size;
-    for (int task = 0; dirty && task < job->spec.tasks; task += chunk_size) jobs_mark_dirty(job, task);
+    for (int task = 0; dirty && task < job->spec.tasks; task += chunk_size) chunks_mark_dirty(job, task);
 }
 
-void jobs_set_chunk_recorded(struct job *job, int chunk, bool recorded) {
+void chunks_set_recorded(struct job *job, int chunk, bool recorded) {
     if (!has_flags(job) || chunk >= chunks_count(job)) return;
     uint8_t *flags = &job->chunk_flags[chunk];
     job->n_recorded_chunks += recorded - ((*flags & CHUNK_RECORDED) != 0);
@@ -54,7 +54,7 @@
     *flags = recorded ? CHUNK_RECORDED : 0;
 }
 
-void jobs_mark_dirty(struct job *job, int task) {
+void chunks_mark_dirty(struct job *job, int task) {
     if (!has_flags(job) || task < 0 || task >= job->spec.tasks) return;
     uint8_t *flags = &job->chunk_flags[task / chunks_size(job)];
     if (*flags & CHUNK_DIRTY) return;
@@ -67,5 +67,5 @@
     if (job->n_recorded_chunks == 0) return;
     int size = chunks_size(job), count = chunks_count(job);
     for (int i = 0; i < count; i++)
-        if (job->chunk_flags[i] & CHUNK_RECORDED) jobs_mark_dirty(job, i * size);
+        if (job->chunk_flags[i] & CHUNK_RECORDED) chunks_mark_dirty(job, i * size);
 }
--- a/src/jobs/chunks.h
+++ b/src/jobs/chunks.h
@@ -26,11 +26,11 @@
 int chunks_count(const struct job *job);
 
 /* The job's records have that chunk size from now on; what was known of its chunks is dropped. */
-void jobs_set_chunk_size(struct job *job, int chunk_size);
+void chunks_set_size(struct job *job, int chunk_size);
 /* A chunk's record was read or written, or found to be absent: what is known of the chunk is what the store says. */
-void jobs_set_chunk_recorded(struct job *job, int chunk, bool recorded);
+void chunks_set_recorded(struct job *job, int chunk, bool recorded);
 /* What is known of the task differs from its chunk's record, which is to be written in the next scheduling round. */
-void jobs_mark_dirty(struct job *job, int task);
+void chunks_mark_dirty(struct job *job, int task);
 /* The same for all chunks that are on record. */
 void chunks_mark_recorded_dirty(struct job *job);
 #endif
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -62,8 +62,8 @@
     job->known = true;
     job->spec_text = cJSON_PrintUnformatted(submission);
     job->submitted = job_record_submitted(data);
-    job->done = done_bits_new(job->spec.tasks);
-    job->reported_done = done_bits_new(job->spec.tasks);
+    job->done = task_bits_new(job->spec.tasks);
+    job->reported_done = task_bits_new(job->spec.tasks);
     return true;
 }
 
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -7,11 +7,11 @@
 #include "../model/job.h"
 #include "../settings/settings.h"
 #include "chunks.h"
-#include "done_bits.h"
 #include "job_lists.h"
 #include "job_record.h"
 #include "job_spec.h"
 #include "progress.h"
+#include "task_bits.h"
 
 /* By service, at the start, after store_init; the settings have to outlive the process. */
 void jobs_init(const struct settings *settings);
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -101,10 +101,10 @@
     uint8_t bits[BYTES] = {0}, read[BYTES] = {0};
     static const int done[] = {0, 7, 8, 4095, 4096, 4700};
     for (size_t i = 0; i < G_N_ELEMENTS(done); i++) bits[done[i] / 8] |= (uint8_t)(1 << (done[i] % 8));
-    char *first = jobs_bits_text(bits, 0, CHUNK), *second = jobs_bits_text(bits, CHUNK, REST);
+    char *first = task_bits_text(bits, 0, CHUNK), *second = task_bits_text(bits, CHUNK, REST);
     assert_int_equal(strlen(first), CHUNK / 4);
-    jobs_bits_read(first, read, 0, CHUNK);
-    jobs_bits_read(second, read, CHUNK, REST);
+    task_bits_read(first, read, 0, CHUNK);
+    task_bits_read(second, read, CHUNK, REST);
     assert_memory_equal(bits, read, sizeof bits);
     g_free(first);
     g_free(second);
--- a/src/jobs/progress.c
+++ b/src/jobs/progress.c
@@ -5,14 +5,14 @@
 
 #include "../model/allocation.h"
 #include "chunks.h"
-#include "done_bits.h"
 #include "job_record.h"
+#include "task_bits.h"
 
 static void mark_task_done(struct job *job, int task) {
-    if (jobs_bit(job->reported_done, task)) return;
-    done_bits_set(job->reported_done, task);
+    if (task_bits_get(job->reported_done, task)) return;
+    task_bits_set(job->reported_done, task);
     job->n_reported_done++;
-    jobs_mark_dirty(job, task);
+    chunks_mark_dirty(job, task);
 }
 
 void jobs_mark_done(struct job *job, int task) {
@@ -27,12 +27,12 @@
 void jobs_apply_done_bits(struct job *job, const char *bits, int from, int n) {
     if (!job->done || from >= job->spec.tasks) return;
     n = MIN(n, job->spec.tasks - from);
-    int done_before = done_bits_count(job->done, from, n);
-    int reported_before = done_bits_count(job->reported_done, from, n);
-    jobs_bits_read(bits, job->done, from, n);
-    jobs_bits_read(bits, job->reported_done, from, n);
-    job->n_done += done_bits_count(job->done, from, n) - done_before;
-    job->n_reported_done += done_bits_count(job->reported_done, from, n) - reported_before;
+    int done_before = task_bits_count(job->done, from, n);
+    int reported_before = task_bits_count(job->reported_done, from, n);
+    task_bits_read(bits, job->done, from, n);
+    task_bits_read(bits, job->reported_done, from, n);
+    job->n_done += task_bits_count(job->done, from, n) - done_before;
+    job->n_reported_done += task_bits_count(job->reported_done, from, n) - reported_before;
 }
 
 bool jobs_complete(const struct job *job) {
--- a/src/jobs/progress.h
+++ b/src/jobs/progress.h
@@ -8,7 +8,7 @@
 /* A machine reported the task done; it is recorded in the next scheduling round. A gang completes together: one task is
  * enough for all. */
 void jobs_mark_done(struct job *job, int task);
-/* A record says which of so many tasks are done; bits as in done_bits.h. */
+/* A record says which of so many tasks are done; bits as in task_bits.h. */
 void jobs_apply_done_bits(struct job *job, const char *bits, int from, int n);
 /* All tasks are reported done, and the record does not say so yet. */
 bool jobs_complete(const struct job *job);
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -95,7 +95,7 @@
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         allocation->released = true;
-        jobs_mark_dirty(allocation->job, allocation->task);
+        chunks_mark_dirty(allocation->job, allocation->task);
     }
 }
 
--- a/src/quarantine/quarantine.c
+++ b/src/quarantine/quarantine.c
@@ -61,7 +61,7 @@
     job->failed_tries = MIN(job->failed_tries + 1, FAILED_TRIES_MAX);
     double pause_s = quarantine_retry_s(job->failed_tries);
     retry_in(job, pause_s);
-    jobs_mark_dirty(job, 0); /* the first record of its allocations holds the number of tries */
+    chunks_mark_dirty(job, 0); /* the first record of its allocations holds the number of tries */
     log_info("job %s: quarantined, fails on every machine, retrying in %.0f s", job->spec.job_id, pause_s);
 }
 
@@ -80,7 +80,7 @@
         log_info("job %s: released from quarantine", job->spec.job_id);
         job->failed_tries = 0;
         job->retry_at = clock_now();
-        jobs_mark_dirty(job, 0);
+        chunks_mark_dirty(job, 0);
     }
     if (job->failed_on) g_ptr_array_set_size(job->failed_on, 0);
 }
--- a/src/scheduler/commit_jobs.c
+++ b/src/scheduler/commit_jobs.c
@@ -85,7 +85,7 @@
     bool same = need == CHUNK_TO_COMPARE && !complete && !allocations_chunk_dirty(job, chunk);
     if (same || (!value && !recorded)) {
         cJSON_Delete(value);
-        jobs_set_chunk_recorded(job, chunk, recorded);
+        chunks_set_recorded(job, chunk, recorded);
         return;
     }
     write_chunk(transactions_with_room(round, 1, 2), job, chunk, value);
@@ -96,7 +96,7 @@
     if (rejected_keys_contain(first.text)) return;
     bool complete = jobs_complete(job);
     int chunk_size = allocations_next_chunk_size(job);
-    if (job->n_recorded_chunks == 0) jobs_set_chunk_size(job, chunk_size);
+    if (job->n_recorded_chunks == 0) chunks_set_size(job, chunk_size);
     if (chunk_size != chunks_size(job) && !complete && keeps_allocations(round, job)) {
         write_in_chunk_size(round, job, chunk_size);
         return;
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -70,7 +70,7 @@
     struct plan_mark mark = mark_plans(pass, job);
     g_autofree uint8_t *allocated = allocations_task_bits(job);
     for (int task = 0; task < job->spec.tasks; task++) {
-        if (jobs_bit(allocated, task)) continue;
+        if (task_bits_get(allocated, task)) continue;
         struct machine *machine =
             placement_choose(pass->machines_with_room, job, NULL, &pass->rules, pass->round->plans);
         if (!machine || lists_attempt(machine, job, task, attempt)) {
--- a/src/scheduler/plan_tasks.c
+++ b/src/scheduler/plan_tasks.c
@@ -79,7 +79,7 @@
     struct machine *machine = NULL;
     g_autofree uint8_t *busy = busy_tasks(job);
     for (int task = 0; task < job->spec.tasks && missing > 0; task++) {
-        if (jobs_bit(busy, task)) continue;
+        if (task_bits_get(busy, task)) continue;
         if (!preemption_quota_left(&pass->usage[job->spec.team], job, 1)) return false;
         if (pass->round->plans->len >= PLANS_MAX) {
             pass->round->more_waits = true;
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -113,7 +113,7 @@
         struct allocation *allocation = job->allocations->pdata[i];
         allocation->released = true;
         if (job->state == JOB_QUEUED) jobs_mark_done(job, allocation->task);
-        jobs_mark_dirty(job, allocation->task);
+        chunks_mark_dirty(job, allocation->task);
     }
 }
 
--- a/src/workers/listed_tasks.c
+++ b/src/workers/listed_tasks.c
@@ -81,7 +81,7 @@
 
 static void release(struct allocation *allocation) {
     allocation->released = true;
-    jobs_mark_dirty(allocation->job, allocation->task);
+    chunks_mark_dirty(allocation->job, allocation->task);
 }
 
 static void take_success(const struct allocation *allocation) {
