--- a/src/service/status.c
+++ b/src/service/status.c
@@ -18,9 +18,9 @@
     log_info(
         "status: %u unfinished jobs, %u machines, store %.1f requests/s (rate factor %.1f, of writes %.1f), store read "
         "%.1f s ago, %d responses to users (median %.1f ms, p95 %.1f ms)",
-        jobs_active()->len, machines_all()->len, (sent - sent_before) / INTERVAL_S, store_budget_rate_factor(false),
-        store_budget_rate_factor(true), clock_seconds_since(store_last_read()), latency.answers, latency.median_ms,
-        latency.p95_ms);
+        jobs_active()->len, machines_all()->len, (sent - sent_before) / INTERVAL_S,
+        store_budget_rate_factor(STORE_RATE_REQUESTS), store_budget_rate_factor(STORE_RATE_CHANGES),
+        clock_seconds_since(store_last_read()), latency.answers, latency.median_ms, latency.p95_ms);
     quota_log_status();
     store_unlock();
     sent_before = sent;
--- /dev/null
+++ b/src/store/client.c
@@ -0,0 +1,168 @@
+#include "client.h"
+
+#include <glib.h>
+#include <pthread.h>
+#include <stdint.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "../clock/clock.h"
+#include "../logging/logging.h"
+#include "keys.h"
+#include "request.h"
+
+/* Users wait 2 s for a poll and 5 s for a submission: a silent store must leave time for a refusal. */
+enum { CHECK_TIMEOUT_MS = 1200, COMMIT_TIMEOUT_MS = 2000 };
+enum { READ_TIMEOUT_MS = 1500, GRANT_TIMEOUT_MS = 1500, RENEWAL_TIMEOUT_MS = 1200 };
+enum { GRANT_BODY_BYTES = 64, MS_PER_SECOND = 1000 };
+
+/* What an answer means for a request that changes something. Each request treats answers of its own before. */
+static enum store_result result_of(enum store_answer answer) {
+    switch (answer) {
+        case STORE_ANSWER_OK:
+            return STORE_OK;
+        case STORE_ANSWER_NOT_SENT:
+        case STORE_ANSWER_OVER_RATE:
+        case STORE_ANSWER_UNAVAILABLE:
+            return STORE_REJECTED;
+        case STORE_ANSWER_MALFORMED:
+            return STORE_INVALID;
+        default:
+            return STORE_UNKNOWN;
+    }
+}
+
+/* ---- transactions ---- */
+
+/* The store names no reason. What it may be is in the sizes: a value, or the number of operations. */
+static void log_invalid(const struct store_txn *txn) {
+    const cJSON *operation;
+    GString *writes = g_string_new("");
+    cJSON_ArrayForEach(operation, txn->operations) {
+        struct store_change change = store_change_read(operation);
+        char *value = cJSON_PrintUnformatted(change.data);
+        g_string_append_printf(writes, " %s (%zu bytes)", change.key, value ? strlen(value) : 0);
+        free(value);
+    }
+    log_error("store rejects a transaction as malformed: %d operations, %d comparisons:%s", txn->writes,
+              cJSON_GetArraySize(txn->comparisons), writes->str);
+    g_string_free(writes, TRUE);
+}
+
+static struct {
+    pthread_mutex_t lock;
+    struct store_write_counts counts;
+} written = {.lock = PTHREAD_MUTEX_INITIALIZER};
+
+static unsigned *count_of(struct store_change change) {
+    if (g_str_has_prefix(change.key, STORE_PREFIX_JOB)) return &written.counts.jobs;
+    if (g_str_has_prefix(change.key, STORE_PREFIX_ALLOCATIONS))
+        return change.data ? &written.counts.allocations : &written.counts.releases;
+    if (g_str_has_prefix(change.key, STORE_PREFIX_MACHINE_PAGE)) return &written.counts.pages;
+    if (g_str_has_prefix(change.key, STORE_PREFIX_MACHINE)) return &written.counts.pages;
+    return &written.counts.others;
+}
+
+static void count_writes(const struct store_txn *txn) {
+    const cJSON *operation;
+    pthread_mutex_lock(&written.lock);
+    cJSON_ArrayForEach(operation, txn->operations)++ *count_of(store_change_read(operation));
+    pthread_mutex_unlock(&written.lock);
+}
+
+struct store_write_counts store_writes_counted(void) {
+    pthread_mutex_lock(&written.lock);
+    struct store_write_counts counts = written.counts;
+    pthread_mutex_unlock(&written.lock);
+    return counts;
+}
+
+static char *transaction_body(const struct store_txn *txn) {
+    cJSON *object = cJSON_CreateObject();
+    cJSON_AddItemReferenceToObject(object, "if", txn->comparisons);
+    if (txn->writes) cJSON_AddItemReferenceToObject(object, "then", txn->operations);
+    char *body = cJSON_PrintUnformatted(object);
+    cJSON_Delete(object);
+    return body;
+}
+
+static enum store_result read_conflict(const cJSON *answer, struct store_response *response) {
+    const cJSON *key;
+    json_get_int64(answer, "epoch", &response->revision);
+    response->conflicts = g_ptr_array_new_with_free_func(g_free);
+    cJSON_ArrayForEach(key, cJSON_GetObjectItemCaseSensitive(answer, "failed")) {
+        if (cJSON_IsString(key)) g_ptr_array_add(response->conflicts, g_strdup(key->valuestring));
+    }
+    return STORE_CONFLICT;
+}
+
+enum store_result store_commit(struct http_client *client, enum store_priority priority, struct store_txn *txn,
+                               struct store_response *response) {
+    *response = (struct store_response){0};
+    if (!store_budget_take(priority, txn->writes)) return STORE_REJECTED;
+    char *text = transaction_body(txn);
+    struct store_request request = {.method = "POST", .path = "/multi", .body = text};
+    request.timeout_ms = txn->writes ? COMMIT_TIMEOUT_MS : CHECK_TIMEOUT_MS;
+    request.rate = txn->writes ? STORE_RATE_CHANGES : STORE_RATE_REQUESTS;
+    cJSON *body;
+    enum store_answer answer = store_request_send(client, &request, &body);
+    enum store_result result = answer == STORE_ANSWER_CONFLICT ? read_conflict(body, response) : result_of(answer);
+    if (result == STORE_OK && !json_get_int64(body, "epoch", &response->revision)) result = STORE_UNKNOWN;
+    if (result == STORE_INVALID) log_invalid(txn);
+    if (result == STORE_OK) count_writes(txn);
+    free(text);
+    cJSON_Delete(body);
+    return result;
+}
+
+/* ---- reads ---- */
+
+enum store_result store_get(struct http_client *client, const char *key, cJSON **data, int64_t *mod_revision,
+                            int64_t *revision) {
+    char path[STORE_PATH_BYTES];
+    *data = NULL;
+    *mod_revision = 0;
+    *revision = 0;
+    if (!store_budget_take(STORE_PRIORITY_CANCEL, 0)) return STORE_REJECTED;
+    snprintf(path, sizeof path, "/kv/%s", key);
+    const struct store_request request = {.method = "GET", .path = path, .timeout_ms = READ_TIMEOUT_MS};
+    cJSON *body;
+    enum store_answer answer = store_request_send(client, &request, &body);
+    enum store_result result = STORE_REJECTED; /* a read that brought nothing changed nothing */
+    if (answer == STORE_ANSWER_OK && json_get_int64(body, "stamp", mod_revision)) {
+        *data = cJSON_DetachItemFromObjectCaseSensitive(body, "data");
+        result = STORE_OK;
+    } else if (answer == STORE_ANSWER_NOT_FOUND && json_get_int64(body, "epoch", revision)) {
+        result = STORE_OK;
+    }
+    cJSON_Delete(body);
+    return result;
+}
+
+/* ---- leases ---- */
+
+enum store_result store_lease_grant(struct http_client *client, struct timespec ttl, int64_t *lease) {
+    char text[GRANT_BODY_BYTES];
+    snprintf(text, sizeof text, "{\"ttl_ms\":%lld}", (long long)(clock_to_seconds(ttl) * MS_PER_SECOND));
+    const struct store_request request = {
+        .method = "POST", .path = "/grants", .body = text, .timeout_ms = GRANT_TIMEOUT_MS};
+    cJSON *body;
+    store_budget_take(STORE_PRIORITY_LEASE, 0);
+    enum store_result result = result_of(store_request_send(client, &request, &body));
+    if (result == STORE_OK && !json_get_int64(body, "lease", lease)) result = STORE_UNKNOWN;
+    cJSON_Delete(body);
+    return result;
+}
+
+enum store_result store_lease_renew(struct http_client *client, int64_t lease) {
+    char path[STORE_PATH_BYTES];
+    snprintf(path, sizeof path, "/grants/%lld/renew", (long long)lease);
+    const struct store_request request = {
+        .method = "POST", .path = path, .body = "{}", .timeout_ms = RENEWAL_TIMEOUT_MS};
+    cJSON *body;
+    store_budget_take(STORE_PRIORITY_LEASE, 0);
+    enum store_answer answer = store_request_send(client, &request, &body);
+    cJSON_Delete(body);
+    return answer == STORE_ANSWER_NOT_FOUND ? STORE_CONFLICT : result_of(answer);
+}
--- /dev/null
+++ b/src/store/mirror.c
@@ -0,0 +1,161 @@
+#include "mirror.h"
+
+#include <glib.h>
+#include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <string.h>
+#include <time.h>
+
+#include "../clock/clock.h"
+#include "../http/client.h"
+#include "../json/json.h"
+#include "client.h"
+#include "mirror_updates.h"
+
+/* For so many revisions a removed key is remembered: a slow read that began before must not bring it back. */
+enum { REMOVED_KEYS_KEPT_REVISIONS = 5000 };
+enum { MS_PER_SECOND = 1000 };
+
+struct observer {
+    char *prefix;
+    store_observer notify;
+};
+
+struct key_revision {
+    int64_t mod_revision;
+    bool removed;
+};
+
+static const struct settings *cfg;
+static struct {
+    pthread_mutex_t lock; /* store_lock */
+    GArray *observers;
+    GHashTable *key_revisions; /* key -> struct key_revision, also of keys that were removed lately */
+    int64_t revision;
+    bool synced;
+    struct timespec read_at;
+} mirror = {.lock = PTHREAD_MUTEX_INITIALIZER};
+
+void store_mirror_init(const struct settings *settings) { cfg = settings; }
+
+void store_lock(void) { pthread_mutex_lock(&mirror.lock); }
+void store_unlock(void) { pthread_mutex_unlock(&mirror.lock); }
+
+/* ---- records ---- */
+
+void store_observe_prefix(const char *prefix, store_observer observer) {
+    if (!mirror.observers) mirror.observers = g_array_new(FALSE, FALSE, sizeof(struct observer));
+    if (!mirror.key_revisions) mirror.key_revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    struct observer added = {g_strdup(prefix), observer};
+    g_array_append_val(mirror.observers, added);
+}
+
+void store_apply(const char *key, const cJSON *data, int64_t mod_revision) {
+    struct key_revision *known = g_hash_table_lookup(mirror.key_revisions, key);
+    /* What a late watch or read brings must not undo what a newer one, or our own write, has shown. */
+    if (known && known->mod_revision >= mod_revision) return;
+    if (!known) {
+        known = g_new0(struct key_revision, 1);
+        g_hash_table_insert(mirror.key_revisions, g_strdup(key), known);
+    }
+    known->mod_revision = mod_revision;
+    known->removed = data == NULL;
+    for (guint i = 0; i < mirror.observers->len; i++) {
+        const struct observer *observer = &g_array_index(mirror.observers, struct observer, i);
+        if (g_str_has_prefix(key, observer->prefix))
+            observer->notify(key + strlen(observer->prefix), data, mod_revision);
+    }
+}
+
+void store_apply_committed(const struct store_txn *txn, int64_t revision) {
+    const cJSON *operation;
+    cJSON_ArrayForEach(operation, txn->operations) {
+        struct store_change change = store_change_read(operation);
+        if (change.key) store_apply(change.key, change.data, revision);
+    }
+}
+
+int64_t store_key_revision(const char *key) {
+    const struct key_revision *known = g_hash_table_lookup(mirror.key_revisions, key);
+    return known && !known->removed ? known->mod_revision : 0;
+}
+
+bool store_refresh(struct http_client *client, const char *key) {
+    cJSON *data;
+    int64_t mod_revision, revision;
+    if (store_get(client, key, &data, &mod_revision, &revision) != STORE_OK) return false;
+    store_lock();
+    if (data) {
+        store_apply(key, data, mod_revision);
+    } else if (store_key_revision(key) && store_key_revision(key) <= revision) {
+        store_apply(key, NULL, revision);
+    }
+    store_unlock();
+    cJSON_Delete(data);
+    return true;
+}
+
+/* ---- freshness ---- */
+
+int64_t store_revision(void) { return mirror.revision; }
+bool store_synced(void) { return mirror.synced; }
+struct timespec store_last_read(void) {
+    return mirror.read_at;
+}
+
+int store_watch_hold_ms(void) {
+    static const double hold_min_s = 0.1, hold_max_s = 0.7;
+    /* An idle watch must return well within the time for which a read entitles to answer workers. */
+    double validity_s = clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease);
+    return (int)(CLAMP(validity_s / 8, hold_min_s, hold_max_s) * MS_PER_SECOND);
+}
+
+struct timespec store_watch_gap(void) {
+    return cfg->tuning.watch_gap;
+}
+
+bool store_unreachable(void) {
+    static const double answer_margin_s = 0.9;
+    /* Just before an idle watch returns, the last one that did was sent two holds ago. */
+    double longest_s =
+        2 * store_watch_hold_ms() / (double)MS_PER_SECOND + clock_to_seconds(cfg->tuning.watch_gap) + answer_margin_s;
+    return !mirror.synced || clock_seconds_since(mirror.read_at) > longest_s;
+}
+
+/* ---- what the watch brings ---- */
+
+static gboolean forgettable(gpointer key, gpointer value, gpointer data) {
+    (void)key;
+    (void)data;
+    const struct key_revision *known = value;
+    return known->removed && known->mod_revision + REMOVED_KEYS_KEPT_REVISIONS <= mirror.revision;
+}
+
+void store_mirror_watched(int64_t revision, struct timespec sent) {
+    if (revision > mirror.revision) mirror.revision = revision;
+    g_hash_table_foreach_remove(mirror.key_revisions, forgettable, NULL);
+    mirror.read_at = sent;
+}
+
+/* After a gap in the watch, the keys that were removed meanwhile are those that are not listed any more. */
+static void remove_unlisted(GHashTable *listed, int64_t revision) {
+    GPtrArray *removed = g_ptr_array_new_with_free_func(g_free);
+    GHashTableIter iterator;
+    gpointer key, value;
+    g_hash_table_iter_init(&iterator, mirror.key_revisions);
+    while (g_hash_table_iter_next(&iterator, &key, &value)) {
+        const struct key_revision *known = value;
+        if (!known->removed && known->mod_revision <= revision && !g_hash_table_contains(listed, key))
+            g_ptr_array_add(removed, g_strdup(key));
+    }
+    for (guint i = 0; i < removed->len; i++) store_apply(removed->pdata[i], NULL, revision);
+    g_ptr_array_free(removed, TRUE);
+}
+
+void store_mirror_read_in_full(GHashTable *listed, int64_t revision, struct timespec sent) {
+    remove_unlisted(listed, revision);
+    mirror.revision = revision;
+    mirror.read_at = sent;
+    mirror.synced = true;
+}
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -1,23 +1,18 @@
 #include "store/store.h"
 
-#include <arpa/inet.h>
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 #include <string.h>
-#include <sys/socket.h>
-#include <unistd.h>
 
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/state.h"
 #include "clock/clock.h"
 #include "http/client.h"
-#include "http/server.h"
 #include "json/json.h"
-#include "sync/sync.h"
 
 static struct settings cfg;
-static struct http_client *c;
+static struct http_client *client;
 static int applied;
 
 static void count_applied(const char *rest, const cJSON *data, int64_t mod_revision) {
@@ -27,59 +22,59 @@
     applied++;
 }
 
-static enum store_result set(const char *key, const char *json, int64_t mod_revision, int64_t lease,
-                             struct store_response *a) {
-    struct store_txn t;
-    store_txn_init(&t);
-    store_txn_compare(&t, key, mod_revision);
-    store_txn_put(&t, key, cJSON_Parse(json), lease);
+static enum store_result commit_put(const char *key, const char *json, int64_t mod_revision, int64_t lease,
+                                    struct store_response *response) {
+    struct store_txn txn;
+    store_txn_init(&txn);
+    store_txn_compare(&txn, key, mod_revision);
+    store_txn_put(&txn, key, cJSON_Parse(json), lease);
     clock_sleep(clock_from_seconds(0.15)); /* the budget refills */
-    enum store_result r = store_commit(c, STORE_PRIORITY_LEASE, &t, a);
-    store_txn_free(&t);
-    return r;
+    enum store_result result = store_commit(client, STORE_PRIORITY_LEASE, &txn, response);
+    store_txn_free(&txn);
+    return result;
 }
 
 /* What each answer of the service means to the caller; an unknown outcome is never taken for a refusal. */
-static void results(void **state) {
+static void each_answer_of_the_store_has_its_result(void **state) {
     (void)state;
     static const struct {
         enum standin_trouble trouble;
         int64_t mod_revision, lease;
         enum store_result want;
         bool there;
-    } rows[] = {
+    } cases[] = {
         {STANDIN_OUTAGE, 0, 0, STORE_REJECTED, false},    {STANDIN_BUDGET, 0, 0, STORE_REJECTED, false},
         {STANDIN_NONE, 0, 99, STORE_INVALID, false},      {STANDIN_NONE, 7, 0, STORE_CONFLICT, false},
         {STANDIN_LOST_ANSWER, 0, 0, STORE_UNKNOWN, true}, {STANDIN_NONE, 0, 0, STORE_OK, true},
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         char key[16];
-        struct store_response a;
+        struct store_response response;
         g_snprintf(key, sizeof key, "x/%zu", i);
-        standin_state_trouble(rows[i].trouble);
-        assert_int_equal(set(key, "{\"v\":1}", rows[i].mod_revision, rows[i].lease, &a), rows[i].want);
-        if (rows[i].want == STORE_CONFLICT) assert_string_equal(a.conflicts->pdata[0], key);
-        if (rows[i].want == STORE_OK) assert_true(a.revision > 0);
-        store_response_clear(&a);
+        standin_state_trouble(cases[i].trouble);
+        assert_int_equal(commit_put(key, "{\"v\":1}", cases[i].mod_revision, cases[i].lease, &response), cases[i].want);
+        if (cases[i].want == STORE_CONFLICT) assert_string_equal(response.conflicts->pdata[0], key);
+        if (cases[i].want == STORE_OK) assert_true(response.revision > 0);
+        store_response_clear(&response);
         standin_state_trouble(STANDIN_NONE);
-        char *v = standin_state_value(key);
-        assert_int_equal(v != NULL, rows[i].there);
-        g_free(v);
+        char *value = standin_state_value(key);
+        assert_int_equal(value != NULL, cases[i].there);
+        g_free(value);
     }
 }
 
 /* A transaction that is applied late fails once the mod revision it names has moved. */
-static void late_transaction(void **state) {
+static void a_late_transaction_conflicts(void **state) {
     (void)state;
-    struct store_response a;
-    assert_int_equal(set("y", "{\"owner\":\"old\"}", 0, 0, &a), STORE_OK);
-    int64_t old = a.revision;
-    assert_int_equal(set("y", "{\"owner\":\"new\"}", old, 0, &a), STORE_OK);
-    assert_int_equal(set("y", "{\"owner\":\"old\"}", old, 0, &a), STORE_CONFLICT);
-    store_response_clear(&a);
-    char *v = standin_state_value("y");
-    assert_string_equal(v, "{\"owner\":\"new\"}");
-    g_free(v);
+    struct store_response response;
+    assert_int_equal(commit_put("y", "{\"owner\":\"old\"}", 0, 0, &response), STORE_OK);
+    int64_t old = response.revision;
+    assert_int_equal(commit_put("y", "{\"owner\":\"new\"}", old, 0, &response), STORE_OK);
+    assert_int_equal(commit_put("y", "{\"owner\":\"old\"}", old, 0, &response), STORE_CONFLICT);
+    store_response_clear(&response);
+    char *value = standin_state_value("y");
+    assert_string_equal(value, "{\"owner\":\"new\"}");
+    g_free(value);
 }
 
 static bool mirrored(const char *key, bool there) {
@@ -94,7 +89,7 @@
 }
 
 /* The mirror follows, through an outage, and reads all again when the watch is told that it is too old. */
-static void mirror(void **state) {
+static void the_mirror_follows_through_an_outage_and_a_compaction(void **state) {
     (void)state;
     standin_state_put("z/1", "1");
     store_mirror_start();
@@ -118,64 +113,24 @@
     assert_true(applied >= 3);
 }
 
-static void *swallow(void *arg) {
-    /* Accepts one connection, answers its first request, and is silent after the second. */
-    int at = accept(*(int *)arg, NULL, NULL);
-    char buf[4096];
-    static const char ok[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-    if (at >= 0 && read(at, buf, sizeof buf) > 0 && write(at, ok, sizeof ok - 1) > 0) (void)!read(at, buf, sizeof buf);
-    clock_sleep(clock_from_seconds(1));
-    if (at >= 0) close(at);
-    return NULL;
-}
-
-/* What was sent and not answered is unknown, also on a kept connection; what found no listener was not sent. */
-static void sent_or_not(void **state) {
-    (void)state;
-    struct sockaddr_in sa = {.sin_family = AF_INET, .sin_port = htons(18186), .sin_addr = {htonl(INADDR_LOOPBACK)}};
-    int one = 1, fd = socket(AF_INET, SOCK_STREAM, 0);
-    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-    assert_int_equal(bind(fd, (struct sockaddr *)&sa, sizeof sa), 0);
-    assert_int_equal(listen(fd, 4), 0);
-    assert_int_equal(sync_start_thread(swallow, &fd), 0);
-    struct http_client *h = http_client_new();
-    long status;
-    assert_int_equal(http_call(h, "POST", "http://127.0.0.1:18186/a", "{}", 500, &status, NULL), HTTP_ANSWERED);
-    assert_int_equal(http_call(h, "POST", "http://127.0.0.1:18186/a", "{}", 300, &status, NULL), HTTP_UNKNOWN);
-    assert_int_equal(http_call(h, "POST", "http://127.0.0.1:18187/a", "{}", 300, &status, NULL), HTTP_NOT_SENT);
-    http_client_free(h);
-    close(fd);
-}
-
-/* Workers' connections are closed while there is still room for everybody else. */
-static void crowded(void **state) {
-    (void)state;
-    static const struct {
-        unsigned open, most;
-        bool want;
-    } rows[] = {{0, 1594, false}, {797, 1594, false}, {798, 1594, true}, {1594, 1594, true}, {1, 1, true}};
-    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-        assert_int_equal(http_crowded(rows[i].open, rows[i].most), rows[i].want);
-}
-
 /* A refusal of a transaction without changes was over the rate of requests: it slows down requests, and changes not. */
-static void refusals(void **state) {
+static void a_refused_check_slows_down_requests_only(void **state) {
     (void)state;
     for (int changes = 0; changes < 2; changes++) {
-        double before[] = {store_budget_rate_factor(false), store_budget_rate_factor(true)};
-        struct store_txn t;
-        struct store_response a;
-        store_txn_init(&t);
-        store_txn_compare(&t, "x/refused", 0);
-        if (changes) store_txn_put(&t, "x/refused", cJSON_CreateObject(), 0);
+        double before[] = {store_budget_rate_factor(STORE_RATE_REQUESTS), store_budget_rate_factor(STORE_RATE_CHANGES)};
+        struct store_txn txn;
+        struct store_response response;
+        store_txn_init(&txn);
+        store_txn_compare(&txn, "x/refused", 0);
+        if (changes) store_txn_put(&txn, "x/refused", cJSON_CreateObject(), 0);
         clock_sleep(clock_from_seconds(0.3)); /* the budget refills */
         standin_state_trouble(STANDIN_BUDGET);
-        assert_int_equal(store_commit(c, STORE_PRIORITY_CANCEL, &t, &a), STORE_REJECTED);
+        assert_int_equal(store_commit(client, STORE_PRIORITY_CANCEL, &txn, &response), STORE_REJECTED);
         standin_state_trouble(STANDIN_NONE);
-        store_response_clear(&a);
-        store_txn_free(&t);
-        assert_true(store_budget_rate_factor(false) < before[0]);
-        assert_int_equal(store_budget_rate_factor(true) < before[1], changes);
+        store_response_clear(&response);
+        store_txn_free(&txn);
+        assert_true(store_budget_rate_factor(STORE_RATE_REQUESTS) < before[0]);
+        assert_int_equal(store_budget_rate_factor(STORE_RATE_CHANGES) < before[1], changes);
     }
 }
 
@@ -185,9 +140,12 @@
     g_free(text);
     store_init(&cfg);
     store_observe_prefix("z/", count_applied);
-    c = http_client_new();
-    const struct CMUnitTest tests[] = {cmocka_unit_test(results), cmocka_unit_test(late_transaction),
-                                       cmocka_unit_test(mirror),  cmocka_unit_test(sent_or_not),
-                                       cmocka_unit_test(crowded), cmocka_unit_test(refusals)};
+    client = http_client_new();
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(each_answer_of_the_store_has_its_result),
+        cmocka_unit_test(a_late_transaction_conflicts),
+        cmocka_unit_test(the_mirror_follows_through_an_outage_and_a_compaction),
+        cmocka_unit_test(a_refused_check_slows_down_requests_only),
+    };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
