--- a/rehearsal/main.c
+++ b/rehearsal/main.c
@@ -16,6 +16,10 @@
 
 enum { EXIT_PASSED = 0, EXIT_FAILED = 1, EXIT_ARGUMENT = 2 };
 #define RUNS_MAX 200
+#define HISTOGRAM_BINS 8
+#define HISTOGRAM_MARGIN 0.001 /* of the range: the largest value lies within the last bin */
+#define HISTOGRAM_MARGIN_LEAST 1e-6
+#define FAULT_BYTES 512
 
 struct options {
     char *program, *scenario;
@@ -32,7 +36,8 @@
 }
 
 /* Each run in a process of its own: the stand-ins begin from nothing, and end with it in any way it ends. */
-static bool run_apart(const struct options *o, const struct scenario *s, unsigned seed, struct play_result *out) {
+static bool run_apart(const struct options *options, const struct scenario *scenario, unsigned seed,
+                      struct play_result *out) {
     int ends[2];
     if (pipe(ends) != 0) return false;
     fflush(stdout);
@@ -40,10 +45,10 @@
     if (child == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         close(ends[0]);
-        struct play_result r;
-        play_scenario(o->program, s, seed, o->undivided, &r);
+        struct play_result result;
+        play_scenario(options->program, scenario, seed, options->undivided, &result);
         fflush(stdout);
-        _exit(write(ends[1], &r, sizeof r) == (ssize_t)sizeof r ? EXIT_PASSED : EXIT_FAILED);
+        _exit(write(ends[1], &result, sizeof result) == (ssize_t)sizeof result ? EXIT_PASSED : EXIT_FAILED);
     }
     close(ends[1]);
     bool got = child > 0 && read(ends[0], out, sizeof *out) == (ssize_t)sizeof *out;
@@ -63,64 +68,69 @@
     gsl_stats_minmax(&least, &most, series->values, 1, (size_t)n);
     printf("%-44s median %8.2f, from %8.2f to %8.2f  |", series->what,
            gsl_stats_median_from_sorted_data(series->values, 1, (size_t)n), least, most);
-    gsl_histogram *h = gsl_histogram_alloc(8);
-    gsl_histogram_set_ranges_uniform(h, least, most + (most - least) * 0.001 + 1e-6);
-    for (int i = 0; i < n; i++) gsl_histogram_increment(h, series->values[i]);
-    for (size_t b = 0; b < 8; b++) printf(" %.0f", gsl_histogram_get(h, b));
+    gsl_histogram *histogram = gsl_histogram_alloc(HISTOGRAM_BINS);
+    gsl_histogram_set_ranges_uniform(histogram, least,
+                                     most + (most - least) * HISTOGRAM_MARGIN + HISTOGRAM_MARGIN_LEAST);
+    for (int i = 0; i < n; i++) gsl_histogram_increment(histogram, series->values[i]);
+    for (size_t bin = 0; bin < HISTOGRAM_BINS; bin++) printf(" %.0f", gsl_histogram_get(histogram, bin));
     printf("\n");
-    gsl_histogram_free(h);
+    gsl_histogram_free(histogram);
 }
 
+enum series_id { FILLED, USED, STARVED, CHANGES, PAUSE, REQUESTS, PROCESSOR, SERIES };
+
 static void summarise(const struct play_result *results, int n) {
-    struct series all[] = {{"until the limit is in use (s)", {0}},
-                           {"part of the limit in use", {0}},
-                           {"longest below a guarantee (s)", {0}},
-                           {"changes of the store a 100 starts", {0}},
-                           {"longest without a start, work waiting (s)", {0}},
-                           {"requests to the store a 100 starts", {0}},
-                           {"processor time of the busiest (s)", {0}}};
+    struct series all[SERIES] = {
+        [FILLED] = {"until the limit is in use (s)", {0}},
+        [USED] = {"part of the limit in use", {0}},
+        [STARVED] = {"longest below a guarantee (s)", {0}},
+        [CHANGES] = {"changes of the store a 100 starts", {0}},
+        [PAUSE] = {"longest without a start, work waiting (s)", {0}},
+        [REQUESTS] = {"requests to the store a 100 starts", {0}},
+        [PROCESSOR] = {"processor time of the busiest (s)", {0}},
+    };
     for (int i = 0; i < n; i++) {
-        const struct play_result *r = &results[i];
-        double starts = MAX(r->starts, 1);
-        all[0].values[i] = r->filled_s;
-        all[1].values[i] = r->used;
-        all[2].values[i] = r->starved_s;
-        all[3].values[i] = 100 * r->changes / starts;
-        all[4].values[i] = r->pause_s;
-        all[5].values[i] = 100 * r->requests / starts;
-        all[6].values[i] = r->busiest_s;
+        const struct play_result *result = &results[i];
+        double starts = MAX(result->starts, 1);
+        all[FILLED].values[i] = result->filled_s;
+        all[USED].values[i] = result->used;
+        all[STARVED].values[i] = result->starved_s;
+        all[CHANGES].values[i] = 100 * result->changes / starts;
+        all[PAUSE].values[i] = result->pause_s;
+        all[REQUESTS].values[i] = 100 * result->requests / starts;
+        all[PROCESSOR].values[i] = result->busiest_s;
     }
     printf("\n%d runs on loopback; a histogram of eight equal steps behind each:\n", n);
-    for (size_t i = 0; i < G_N_ELEMENTS(all); i++) print_series(&all[i], n);
+    for (size_t i = 0; i < SERIES; i++) print_series(&all[i], n);
 }
 
-static void options_clear(struct options *o) {
-    g_free(o->program);
-    g_free(o->scenario);
+static void options_clear(struct options *options) {
+    g_free(options->program);
+    g_free(options->scenario);
 }
 
-static int rehearse(const struct options *o, const struct scenario *s) {
+static int rehearse(const struct options *options, const struct scenario *scenario) {
     static struct play_result results[RUNS_MAX];
     int passed = 0;
-    for (int i = 0; i < o->runs; i++) {
-        bool got = run_apart(o, s, (unsigned)(o->seed + i), &results[i]);
+    for (int i = 0; i < options->runs; i++) {
+        bool got = run_apart(options, scenario, (unsigned)(options->seed + i), &results[i]);
         passed += got && results[i].passed;
         printf("%s\n", got && results[i].passed ? "PASS" : "FAIL");
     }
-    if (o->runs > 1) summarise(results, o->runs);
-    printf("%d of %d passed\n", passed, o->runs);
-    return passed == o->runs ? EXIT_PASSED : EXIT_FAILED;
+    if (options->runs > 1) summarise(results, options->runs);
+    printf("%d of %d passed\n", passed, options->runs);
+    return passed == options->runs ? EXIT_PASSED : EXIT_FAILED;
 }
 
 /* Reads the command line; what is wrong with it is printed. */
-static bool read_options(struct options *o, int argc, char **argv) {
+static bool read_options(struct options *options, int argc, char **argv) {
     const GOptionEntry entries[] = {
-        {"program", 'p', 0, G_OPTION_ARG_FILENAME, &o->program, "the controllers' program", "FILE"},
-        {"scenario", 's', 0, G_OPTION_ARG_FILENAME, &o->scenario, "what is played", "FILE"},
-        {"seed", 0, 0, G_OPTION_ARG_INT, &o->seed, "of the first run; each run adds one", "N"},
-        {"runs", 'n', 0, G_OPTION_ARG_INT, &o->runs, "how many, one after the other", "N"},
-        {"undivided", 0, 0, G_OPTION_ARG_NONE, &o->undivided, "every team in one share, to compare with", NULL},
-        {"check", 0, 0, G_OPTION_ARG_NONE, &o->check, "check the scenario and end", NULL},
+        {"program", 'p', 0, G_OPTION_ARG_FILENAME, &options->program, "the controllers' program", "FILE"},
+        {"scenario", 's', 0, G_OPTION_ARG_FILENAME, &options->scenario, "what is played", "FILE"},
+        {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed, "of the first run; each run adds one", "N"},
+        {"runs", 'n', 0, G_OPTION_ARG_INT, &options->runs, "how many, one after the other", "N"},
+        {"undivided", 0, 0, G_OPTION_ARG_NONE, &options->undivided, "every team in one share, to compare with", NULL},
+        {"check", 0, 0, G_OPTION_ARG_NONE, &options->check, "check the scenario and end", NULL},
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
     GError *error = NULL;
@@ -129,25 +139,26 @@
     bool parsed = g_option_context_parse(context, &argc, &argv, &error);
     g_option_context_free(context);
     const char *fault = NULL;
-    if (!parsed)
+    if (!parsed) {
         fault = error->message;
-    else if (argc > 1 || !o->scenario || (!o->program && !o->check))
+    } else if (argc > 1 || !options->scenario || (!options->program && !options->check)) {
         fault = "--scenario FILE, and --program FILE unless only checking, are needed (see --help)";
-    else if (o->runs < 1 || o->runs > RUNS_MAX)
+    } else if (options->runs < 1 || options->runs > RUNS_MAX) {
         fault = "--runs: not from 1 to 200";
+    }
     if (fault) fprintf(stderr, "fieldfield-rehearse: %s\n", fault);
     g_clear_error(&error);
     return fault == NULL;
 }
 
-static int run(const struct options *o) {
-    char fault[512] = "";
-    struct scenario s;
-    if (!scenario_read(o->scenario, &s, fault, sizeof fault)) {
+static int run(const struct options *options) {
+    char fault[FAULT_BYTES] = "";
+    struct scenario scenario;
+    if (!scenario_read(options->scenario, &scenario, fault, sizeof fault)) {
         fprintf(stderr, "fieldfield-rehearse: %s\n", fault);
         return EXIT_ARGUMENT;
     }
-    if (o->check) {
+    if (options->check) {
         puts("the scenario is good");
         return EXIT_PASSED;
     }
@@ -155,12 +166,12 @@
         fprintf(stderr, "fieldfield-rehearse: another rehearsal is still running on this machine; wait for its end\n");
         return EXIT_ARGUMENT;
     }
-    return rehearse(o, &s);
+    return rehearse(options, &scenario);
 }
 
 int main(int argc, char **argv) {
-    struct options o = {.seed = 1, .runs = 1};
-    int status = read_options(&o, argc, argv) ? run(&o) : EXIT_ARGUMENT;
-    options_clear(&o);
+    struct options options = {.seed = 1, .runs = 1};
+    int status = read_options(&options, argc, argv) ? run(&options) : EXIT_ARGUMENT;
+    options_clear(&options);
     return status;
 }
--- a/rehearsal/play.h
+++ b/rehearsal/play.h
@@ -16,6 +16,6 @@
 };
 
 /* Prints what happens in order. Undivided: every team keeps to one shard, whatever the scenario says. */
-bool play_scenario(const char *program, const struct scenario *s, unsigned seed, bool undivided,
+bool play_scenario(const char *program, const struct scenario *scenario, unsigned seed, bool undivided,
                    struct play_result *out);
 #endif
--- a/rehearsal/scenario.h
+++ b/rehearsal/scenario.h
@@ -7,6 +7,7 @@
 #define SCENARIO_TEAMS 4
 #define SCENARIO_STEPS 32
 #define SCENARIO_NAME 32
+#define SCENARIO_DESCRIPTION_BYTES 128
 
 enum scenario_action {
     SCENARIO_BURST, /* arrays and gangs of a team, at every controller in turn */
@@ -34,7 +35,7 @@
 };
 
 struct scenario {
-    char what[128];
+    char what[SCENARIO_DESCRIPTION_BYTES];
     int controllers, machines;
     double starved_most; /* for how long a team may be below its guarantee while it has work */
     double jobs_end_within;
--- a/tests/standin/cluster.h
+++ b/tests/standin/cluster.h
@@ -20,20 +20,20 @@
 
 bool cluster_start(const char *program, const struct cluster_site *site); /* the stand-ins; no controller yet */
 void cluster_clear(void);                                                 /* ends what runs */
-void cluster_program(int i, const char *program); /* what that controller is from its next beginning on */
+void cluster_program(int index, const char *program); /* what that controller is from its next beginning on */
 /* Its file of divided teams from its next beginning on; NULL: none. */
-bool cluster_quota(int i, const char *hcl);
-bool cluster_teams(int i, const char *teams); /* another list in its settings from its next beginning on */
-void cluster_begin(int i);
-void cluster_end(int i);
-void cluster_stop(int i); /* stands still as a whole until it is continued */
-void cluster_continue(int i);
-double cluster_processor_s(int i);   /* processor time of its process so far */
-void cluster_shut(int i, bool shut); /* the store refuses this controller alone */
+bool cluster_quota(int index, const char *hcl);
+bool cluster_teams(int index, const char *teams); /* another list in its settings from its next beginning on */
+void cluster_begin(int index);
+void cluster_end(int index);
+void cluster_stop(int index); /* stands still as a whole until it is continued */
+void cluster_continue(int index);
+double cluster_processor_s(int index);   /* processor time of its process so far */
+void cluster_shut(int index, bool shut); /* the store refuses this controller alone */
 
-bool cluster_names(const char *key, const char *field, int i); /* the record's field names that controller */
-int cluster_owner(int shard);                                  /* index of its owner; -1: none that lives */
-bool cluster_shared(double within);                            /* every shard has an owner */
+bool cluster_names(const char *key, const char *field, int index); /* the record's field names that controller */
+int cluster_owner(int shard);                                      /* index of its owner; -1: none that lives */
+bool cluster_shared(double within);                                /* every shard has an owner */
 
 struct cluster_job {
     const char *job_id, *team, *kind, *priority;
@@ -42,8 +42,8 @@
     const char *prerequisites; /* JSON list; NULL: none */
 };
 /* Asks one controller; 0: no answer. The state, where it is asked for, is empty if the answer has none. */
-long cluster_ask(int i, const char *method, const char *path, const char *body, char *state, size_t n);
-long cluster_submit_once(int i, const struct cluster_job *job);
+long cluster_ask(int index, const char *method, const char *path, const char *body, char *state, size_t n);
+long cluster_submit_once(int index, const struct cluster_job *job);
 /* Submits at one controller, then the next, until it is accepted or refused for good; the status that ended it. */
 long cluster_submit(int first, const struct cluster_job *job);
 long cluster_cancel(int first, const char *job_id, double within); /* until somebody confirms it */
--- a/tests/standin/fleet.c
+++ b/tests/standin/fleet.c
@@ -80,21 +80,23 @@
 
 static int running_now(const char *task) {
     int n = 0;
-    for (int i = 0; i < n_workers; i++)
+    for (int i = 0; i < n_workers; i++) {
         for (guint t = 0; workers[i].alive && t < workers[i].tasks->len; t++) {
             struct task *x = &g_array_index(workers[i].tasks, struct task, t);
             n += !x->ended && has_image(x) && strcmp(x->name, task) == 0;
         }
+    }
     return n;
 }
 
 static int held_now(const char *prefix) {
     int n = 0;
-    for (int i = 0; i < n_workers; i++)
+    for (int i = 0; i < n_workers; i++) {
         for (guint t = 0; workers[i].alive && t < workers[i].tasks->len; t++) {
             const struct task *x = &g_array_index(workers[i].tasks, struct task, t);
             n += !x->ended && g_str_has_prefix(x->name, prefix);
         }
+    }
     return n;
 }
 
@@ -367,13 +369,12 @@
             "\"fetch_gb_per_s\":1,\"hourly\":10,\"market_price\":3,\"startup_s\":1,\"sites\":[\"za\"]}]}");
     } else if (strcmp(p, "/rentals/return") == 0) {
         const cJSON *x;
-        cJSON_ArrayForEach(x,
-                           cJSON_GetObjectItem(o, "hosts")) for (int i = 0; i < n_workers;
-                                                                 i++) if (strcmp(workers[i].id, x->valuestring) == 0 &&
-                                                                          workers[i].alive) {
-            workers[i].alive = false;
-            lose_tasks(&workers[i]);
-            returned++;
+        cJSON_ArrayForEach(x, cJSON_GetObjectItem(o, "hosts")) for (int i = 0; i < n_workers; i++) {
+            if (strcmp(workers[i].id, x->valuestring) == 0 && workers[i].alive) {
+                workers[i].alive = false;
+                lose_tasks(&workers[i]);
+                returned++;
+            }
         }
         out = cJSON_CreateObject();
     } else if (strcmp(http_method(r), "POST") == 0) {
@@ -447,13 +448,14 @@
 
 static int holding(const char *task, int *on) {
     int n = 0;
-    for (int i = 0; i < n_workers; i++)
+    for (int i = 0; i < n_workers; i++) {
         for (guint t = 0; workers[i].alive && t < workers[i].tasks->len; t++) {
             const struct task *x = &g_array_index(workers[i].tasks, struct task, t);
             if (x->ended || strcmp(x->name, task) != 0) continue;
             n++;
             if (on) *on = i;
         }
+    }
     return n;
 }
 int standin_workers_holding(const char *task) { GET(holding(task, NULL)) }
@@ -474,11 +476,12 @@
 
 void standin_workers_reach(int index, enum standin_reach reach) {
     pthread_mutex_lock(&lock);
-    for (int i = 0; i < n_workers; i++)
+    for (int i = 0; i < n_workers; i++) {
         if (index < 0 || index == i) {
             if (workers[i].alive) check_lease(&workers[i]);
             workers[i].reach = reach;
         }
+    }
     for (guint i = held->len; reach == STANDIN_WELL && i-- > 0;) {
         struct held *h = held->pdata[i];
         if (index >= 0 && h->w != &workers[index]) continue;
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -19,9 +19,9 @@
     return ++mod_revision;
 }
 
-void owned_start(const struct settings *s) {
+void owned_start(const struct settings *settings) {
     logging_init("error");
-    service_init(s);
+    service_init(settings);
     store_mirror_start();
     membership_start();
     for (int i = 0; i < 100; i++) {
@@ -34,32 +34,32 @@
 }
 
 void owned_put(const char *key, const char *json) {
-    cJSON *x = json ? cJSON_Parse(json) : NULL;
-    assert_true(!json || x);
-    store_apply(key, x, owned_next_stamp());
-    cJSON_Delete(x);
+    cJSON *parsed = json ? cJSON_Parse(json) : NULL;
+    assert_true(!json || parsed);
+    store_apply(key, parsed, owned_next_stamp());
+    cJSON_Delete(parsed);
 }
 
 /* A steady machine of ours with a free room of 16 CPUs, 2 GPUs, 64 GB, on page 0 and up. */
 struct machine *owned_machine(const char *id, const char *zone, bool spot) {
     machines_rented(0, id, "g16", zone, spot);
-    struct unregistered_machine *n = g_hash_table_lookup(machines_unregistered(), id);
+    struct unregistered_machine *found = g_hash_table_lookup(machines_unregistered(), id);
     struct shard_page_fills fills;
     machines_page_fills(0, &fills);
-    int page = n->page = machines_page_fills_add(&fills, id), count;
-    cJSON *v = machines_page_value(0, page, &count);
+    int page = found->page = machines_page_fills_add(&fills, id), count;
+    cJSON *value = machines_page_value(0, page, &count);
     char key[32];
     g_snprintf(key, sizeof key, "fleet/0/%d", page);
-    store_apply(key, v, owned_next_stamp());
-    cJSON_Delete(v);
-    struct machine *m = machines_find(id);
-    assert_non_null(m);
-    assert_true(machines_owned(m));
-    m->liveness.up = true;
-    m->agent.seen_token = machines_fencing_token(m);
-    m->liveness.last_heartbeat = m->liveness.last_heard = clock_now();
-    m->occupancy.n_samples = 6;
-    return m;
+    store_apply(key, value, owned_next_stamp());
+    cJSON_Delete(value);
+    struct machine *machine = machines_find(id);
+    assert_non_null(machine);
+    assert_true(machines_owned(machine));
+    machine->liveness.up = true;
+    machine->agent.seen_token = machines_fencing_token(machine);
+    machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
+    machine->occupancy.n_samples = 6;
+    return machine;
 }
 
 void owned_fleet(struct machine **all, int n, bool spot) {
@@ -69,32 +69,32 @@
         g_snprintf(id, sizeof id, "i-%06d", 100000 + i);
         machines_rented(0, id, "g16", zones[i % 3], spot);
     }
-    GHashTableIter it;
-    gpointer v;
+    GHashTableIter iterator;
+    gpointer value;
     struct shard_page_fills fills;
     machines_page_fills(0, &fills);
-    g_hash_table_iter_init(&it, machines_unregistered());
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct unregistered_machine *m = v;
-        m->page = machines_page_fills_add(&fills, m->id);
-        assert_true(m->page >= 0);
+    g_hash_table_iter_init(&iterator, machines_unregistered());
+    while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+        struct unregistered_machine *machine = value;
+        machine->page = machines_page_fills_add(&fills, machine->id);
+        assert_true(machine->page >= 0);
     }
     cJSON *pages[MACHINE_PAGES_MAX];
     int counts[MACHINE_PAGES_MAX];
-    for (int p = 0; p < MACHINE_PAGES_MAX; p++) pages[p] = machines_page_value(0, p, &counts[p]);
-    for (int p = 0; p < MACHINE_PAGES_MAX; p++) {
-        g_snprintf(id, sizeof id, "fleet/0/%d", p);
-        if (counts[p]) store_apply(id, pages[p], owned_next_stamp());
-        cJSON_Delete(pages[p]);
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++) pages[page] = machines_page_value(0, page, &counts[page]);
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
+        g_snprintf(id, sizeof id, "fleet/0/%d", page);
+        if (counts[page]) store_apply(id, pages[page], owned_next_stamp());
+        cJSON_Delete(pages[page]);
     }
     assert_int_equal(machines_of_shard(0)->len, n);
     for (int i = 0; i < n; i++) {
-        struct machine *m = all[i] = machines_of_shard(0)->pdata[i];
-        assert_true(machines_owned(m));
-        m->liveness.up = true;
-        m->agent.seen_token = machines_fencing_token(m);
-        m->liveness.last_heartbeat = m->liveness.last_heard = clock_now();
-        m->occupancy.n_samples = 6;
+        struct machine *machine = all[i] = machines_of_shard(0)->pdata[i];
+        assert_true(machines_owned(machine));
+        machine->liveness.up = true;
+        machine->agent.seen_token = machines_fencing_token(machine);
+        machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
+        machine->occupancy.n_samples = 6;
     }
 }
 
@@ -111,29 +111,29 @@
     g_snprintf(key, sizeof key, "job/%s", job_id);
     owned_put(key, json);
     g_free(json);
-    struct job *j = jobs_find(job_id);
-    assert_non_null(j);
-    assert_int_equal(jobs_shard(j), 0);
-    return j;
+    struct job *job = jobs_find(job_id);
+    assert_non_null(job);
+    assert_int_equal(jobs_shard(job), 0);
+    return job;
 }
 
 /* Books tasks 0.. of the job, one on each of the machines named by index, running for long. */
-void owned_book(struct job *j, struct machine **on, int n) {
+void owned_book(struct job *job, struct machine **machines, int n) {
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     for (int i = 0; i < n; i++) {
-        struct planned_task p = {on[i], j, i, 100 + i};
-        g_array_append_val(plans, p);
+        struct planned_task page = {machines[i], job, i, 100 + i};
+        g_array_append_val(plans, page);
     }
-    cJSON *v = allocations_value(j, 0, chunks_size(j), plans, ALLOCATIONS_OF_OPEN_JOB);
-    store_apply(store_key_allocations(j->spec.job_id, 0).text, v, owned_next_stamp());
-    cJSON_Delete(v);
+    cJSON *value = allocations_value(job, 0, chunks_size(job), plans, ALLOCATIONS_OF_OPEN_JOB);
+    store_apply(store_key_allocations(job->spec.job_id, 0).text, value, owned_next_stamp());
+    cJSON_Delete(value);
     g_array_free(plans, TRUE);
-    for (guint i = 0; i < j->allocations->len; i++) {
-        struct allocation *b = j->allocations->pdata[i];
-        b->inherited = false;
-        b->seen = true;
-        b->state = TASK_RUNNING;
-        b->state_since.tv_sec -= 100;
+    for (guint i = 0; i < job->allocations->len; i++) {
+        struct allocation *allocation = job->allocations->pdata[i];
+        allocation->inherited = false;
+        allocation->seen = true;
+        allocation->state = TASK_RUNNING;
+        allocation->state_since.tv_sec -= 100;
     }
 }
 
@@ -150,17 +150,17 @@
 void owned_clear(void) {
     char key[96];
     for (guint i = jobs_active()->len; i-- > 0;) {
-        struct job *j = jobs_active()->pdata[i];
-        char *text = g_strdup_printf("{\"spec\":%s,\"state\":\"cancelled\",\"at\":1}", j->spec_text);
-        g_snprintf(key, sizeof key, "job/%s", j->spec.job_id);
+        struct job *job = jobs_active()->pdata[i];
+        char *text = g_strdup_printf("{\"spec\":%s,\"state\":\"cancelled\",\"at\":1}", job->spec_text);
+        g_snprintf(key, sizeof key, "job/%s", job->spec.job_id);
         owned_put(key, text);
         g_free(text);
-        for (int c = 0; c < chunks_count(j); c++) {
-            owned_put(store_key_allocations(j->spec.job_id, c).text, NULL);
+        for (int chunk = 0; chunk < chunks_count(job); chunk++) {
+            owned_put(store_key_allocations(job->spec.job_id, chunk).text, NULL);
         }
     }
-    for (int p = 0; p < 256; p++) {
-        g_snprintf(key, sizeof key, "fleet/0/%d", p);
+    for (int page = 0; page < 256; page++) {
+        g_snprintf(key, sizeof key, "fleet/0/%d", page);
         owned_put(key, NULL);
     }
     assert_int_equal(machines_of_shard(0)->len, 0);
--- a/tests/standin/owned.h
+++ b/tests/standin/owned.h
@@ -10,7 +10,7 @@
 #include "service/service.h"
 #include "store/store.h"
 
-void owned_start(const struct settings *s);
+void owned_start(const struct settings *settings);
 
 /* All with store_lock held. */
 int64_t owned_next_stamp(void);
@@ -23,7 +23,7 @@
 struct job *owned_job(const char *job_id, const char *shape, const char *rank, int tasks, double cpus, double gpus,
                       bool together, bool reclaimable, double age);
 /* Books tasks 0.. of the job, one on each of the machines, running for long. */
-void owned_book(struct job *j, struct machine **on, int n);
+void owned_book(struct job *job, struct machine **machines, int n);
 /* Tasks that the round plans, of one job or (job_id NULL) of all. */
 int owned_planned_tasks(const struct scheduling_round *round, const char *job_id);
 /* Everything of a test goes, so that the next begins with an empty shard. */
--- a/tests/standin/pair.c
+++ b/tests/standin/pair.c
@@ -20,13 +20,13 @@
 void pair_next_limits(const char *json) { site.next_limits = json; }
 bool pair_start(const char *program) { return cluster_start(program, &site); }
 void pair_clear(void) { cluster_clear(); }
-void pair_program(int i, const char *program) { cluster_program(i, program); }
-void pair_begin(int i) { cluster_begin(i); }
-void pair_end(int i) { cluster_end(i); }
-void pair_stop(int i) { cluster_stop(i); }
-void pair_continue(int i) { cluster_continue(i); }
+void pair_program(int index, const char *program) { cluster_program(index, program); }
+void pair_begin(int index) { cluster_begin(index); }
+void pair_end(int index) { cluster_end(index); }
+void pair_stop(int index) { cluster_stop(index); }
+void pair_continue(int index) { cluster_continue(index); }
 
-bool pair_leads(int i) { return cluster_names("leader", "node", i); }
+bool pair_leads(int index) { return cluster_names("leader", "node", index); }
 
 const char *pair_team_of(int owner) {
     if (cluster_names("share/0", "owner", owner)) return teams[0];
@@ -52,14 +52,14 @@
     return pair_leads(first) && pair_team_of(0) && pair_team_of(1);
 }
 
-long pair_ask_one(int i, const char *method, const char *path, const char *body, char *state, size_t n) {
-    return cluster_ask(i, method, path, body, state, n);
+long pair_ask_one(int index, const char *method, const char *path, const char *body, char *state, size_t n) {
+    return cluster_ask(index, method, path, body, state, n);
 }
 
 long pair_ask(int first, const char *method, const char *path, const char *body, char *state, size_t n) {
     long status = 0;
-    for (int i = 0; i < 2 && (status == 0 || status >= 429); i++)
-        status = pair_ask_one((first + i) % 2, method, path, body, state, n);
+    for (int index = 0; index < 2 && (status == 0 || status >= 429); index++)
+        status = pair_ask_one((first + index) % 2, method, path, body, state, n);
     return status;
 }
 
--- a/tests/standin/pair.h
+++ b/tests/standin/pair.h
@@ -9,18 +9,18 @@
 #define PAIR_LEASE_S CLUSTER_LEASE_S
 #define PAIR_CANCEL_S CLUSTER_CANCEL_S
 
-void pair_next_limits(const char *json);       /* `state.next` of the settings; before pair_start */
-bool pair_start(const char *program);          /* the stand-ins; no controller yet */
-void pair_clear(void);                         /* ends what runs */
-void pair_program(int i, const char *program); /* what that controller is from its next beginning on */
-void pair_begin(int i);
-void pair_end(int i);
-void pair_stop(int i); /* stands still as a whole until it is continued */
-void pair_continue(int i);
+void pair_next_limits(const char *json);           /* `state.next` of the settings; before pair_start */
+bool pair_start(const char *program);              /* the stand-ins; no controller yet */
+void pair_clear(void);                             /* ends what runs */
+void pair_program(int index, const char *program); /* what that controller is from its next beginning on */
+void pair_begin(int index);
+void pair_end(int index);
+void pair_stop(int index); /* stands still as a whole until it is continued */
+void pair_continue(int index);
 /* Begins both anew with controller `first` leading; false if that was not so within 15 s. */
 bool pair_begin_led_by(int first);
 
-long pair_ask_one(int i, const char *method, const char *path, const char *body, char *state, size_t n);
+long pair_ask_one(int index, const char *method, const char *path, const char *body, char *state, size_t n);
 /* Asks one controller, or the other if that does not answer. */
 long pair_ask(int first, const char *method, const char *path, const char *body, char *state, size_t n);
 /* Submits until it is accepted, up to 20 s. Tasks of uids req-9... run on, others for 0.6 s. Team green has a limit of
@@ -29,7 +29,7 @@
 /* The same with `prereqs`, a JSON list; the status that ended it. */
 long pair_submit_after(const char *job_id, const char *team, const char *shape, int tasks, const char *prereqs);
 const char *pair_team_of(int owner); /* a team whose shard that controller owns; NULL: none */
-bool pair_leads(int i);
+bool pair_leads(int index);
 bool pair_runs(const char *task, int want, double within); /* on so many machines */
 bool pair_becomes(const char *job_id, const char *state, double within);
 void pair_wait(struct timespec since, double seconds);
--- a/tests/standin/state.h
+++ b/tests/standin/state.h
@@ -17,7 +17,7 @@
 #define STANDIN_DOORS 8
 bool standin_state_door(int door, const char *address);
 void standin_state_shut(int door, bool shut);
-void standin_state_trouble(enum standin_trouble t);
+void standin_state_trouble(enum standin_trouble trouble);
 /* Every second transaction that writes gets no useful answer and is carried out that much later, after newer ones; 0:
  * none. */
 void standin_state_late(double seconds);
