--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -62,7 +62,7 @@
 
 /* The first job of another shard that waits for a machine none of its own can give: every controller mirrors all
  * records, so that the donor sees it without being asked. */
-static struct job *needy_job(int s, bool reclaimable, bool *within) {
+static bool needy_job(int s, bool reclaimable, struct priority_entry *entry) {
     GArray *vms = g_array_new(FALSE, FALSE, sizeof(struct planned_machine));
     for (guint i = 0; i < machines_all()->len; i++) {
         struct machine *m = machines_all()->pdata[i];
@@ -81,7 +81,7 @@
             v->mem -= x->memory_gb;
         }
     }
-    struct job *found = NULL;
+    bool found = false;
     GArray *order = priority_order_shard(s);
     for (guint i = 0; i < order->len && !found; i++) {
         struct job *j = g_array_index(order, struct priority_entry, i).job;
@@ -96,8 +96,8 @@
             (t->gpus_max > 0 && preemption_over_guarantee(j->spec.team) + t->gpus + tasks * j->spec.gpus > t->gpus_max))
             continue;
         if (!takes_all(vms, j, left)) {
-            found = j;
-            *within = g_array_index(order, struct priority_entry, i).within_guarantee;
+            found = true;
+            *entry = g_array_index(order, struct priority_entry, i);
         }
     }
     g_array_free(order, TRUE);
@@ -131,7 +131,9 @@
 
 /* The machine of shard K that is easiest to spare for the job: an empty one, else one whose tasks may all be stopped
  * for it. */
-static struct machine *donation(int k, const struct job *j, bool within) {
+static struct machine *donation(int k, const struct priority_entry *entry) {
+    const struct job *j = entry->job;
+    bool within = entry->within_guarantee;
     struct machine *best = NULL, *reception = placement_reception(k);
     double best_cost = 0;
     const char *site = placement_zone(j);
@@ -151,8 +153,7 @@
         if (j->spec.allows_spot && !within && !m->spot && !m->retirement.draining) continue;
         if (j->spec.allows_spot && m->allocations->len == 0 && shard_states[k].fit_nowhere && !within) continue;
         bool all = true;
-        for (guint b = 0; b < m->allocations->len; b++)
-            all &= preemption_evictable(m->allocations->pdata[b], j, within);
+        for (guint b = 0; b < m->allocations->len; b++) all &= preemption_allowed(m->allocations->pdata[b], entry);
         if (!all || !quota_may_preempt_all(m, j->priority)) continue;
         double cost = m->allocations->len * 2.0;
         for (guint b = 0; b < m->allocations->len; b++) cost += preemption_recently_started(m->allocations->pdata[b]);
@@ -175,16 +176,14 @@
     for (int s = 0; s < cfg->size; s++) {
         if (s == k || jobs_active_of(s)->len == 0) continue;
         struct machine *m = NULL;
-        struct job *j = NULL;
+        struct priority_entry entry = {0};
         for (int reclaimable = 0; reclaimable < 2 && !m; reclaimable++) {
-            bool within = false;
-            j = needy_job(s, reclaimable, &within);
-            if (j) m = donation(k, j, within);
+            if (needy_job(s, reclaimable, &entry)) m = donation(k, &entry);
         }
         if (!m) continue;
         m->rebalance.to = s;
         m->rebalance.since = clock_now();
-        log_info("machine %s: rebalancing from shard %d to shard %d for job %s", m->id, k, s, j->spec.job_id);
+        log_info("machine %s: rebalancing from shard %d to shard %d for job %s", m->id, k, s, entry.job->spec.job_id);
         for (guint b = 0; b < m->allocations->len; b++) {
             struct allocation *x = m->allocations->pdata[b];
             if (!x->stop_requested) quota_note_preempted(x);
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -28,8 +28,8 @@
     struct planned_task plan = {.machine = machine, .job = job, .task = task, .attempt = attempt};
     g_array_append_val(pass->round->plans, plan);
     placement_reserve(machine, &job->spec);
-    pass->usage[job->spec.team].cpu += job->spec.vcpus;
-    pass->usage[job->spec.team].gpu += job->spec.gpus;
+    pass->usage[job->spec.team].vcpus += job->spec.vcpus;
+    pass->usage[job->spec.team].gpus += job->spec.gpus;
 }
 
 bool planning_may_preempt(const struct priority_entry *entry) {
@@ -76,8 +76,8 @@
             const struct job *job = lists[i]->pdata[k];
             if (job->spec.team < 0) continue;
             int tasks = allocations_count(job);
-            usage[job->spec.team].cpu += tasks * job->spec.vcpus;
-            usage[job->spec.team].gpu += tasks * job->spec.gpus;
+            usage[job->spec.team].vcpus += tasks * job->spec.vcpus;
+            usage[job->spec.team].gpus += tasks * job->spec.gpus;
         }
     }
 }
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -101,7 +101,8 @@
         if (!machine->round.schedulable || (zone && strcmp(zone, machine->zone) != 0) ||
             !placement_allowed(machine, job, NULL, NULL))
             continue;
-        int tasks = MIN(preemption_tasks_that_fit(machine, &job->spec), job->spec.tasks - kept);
+        struct resources free = resources_free(machine);
+        int tasks = MIN(resources_tasks_that_fit(&free, &job->spec), job->spec.tasks - kept);
         for (int k = 0; k < tasks; k++) placement_reserve(machine, &job->spec);
         kept += tasks;
     }
@@ -111,16 +112,15 @@
 /* The gang finds no room: what there is is kept for it, and work is preempted for the rest. */
 static void gather_room(struct planning_pass *pass, const struct priority_entry *entry) {
     struct job *job = entry->job;
-    int now, with;
-    const char *zone = preemption_gang_zone(job, entry->within_guarantee, pass->machines, &now, &with);
-    bool enough_with_preemption = with >= job->spec.tasks;
-    if (!enough_with_preemption && job->zone) zone = job->zone;
+    struct gang_zone chosen = preemption_gang_zone(entry, pass->machines);
+    bool enough_with_preemption = chosen.with_preemption >= job->spec.tasks;
+    const char *zone = !enough_with_preemption && job->zone ? job->zone : chosen.name;
     int kept = reserve_room(pass, job, zone);
     /* Only if all of it gets room by that: a gang that lacks one place runs as little as one that lacks all. */
     if (!enough_with_preemption || !planning_may_preempt(entry)) return;
     bool any = false;
     for (int task = kept; task < job->spec.tasks; task++)
-        any |= preemption_make_room(job, entry->within_guarantee, pass->machines, zone, pass->usage);
+        any |= preemption_make_room(entry, pass->machines, zone, pass->usage);
     if (any) job->preempted_at = clock_now();
 }
 
--- a/src/scheduler/plan_tasks.c
+++ b/src/scheduler/plan_tasks.c
@@ -53,9 +53,7 @@
 static bool preempt_for(struct planning_pass *pass, const struct priority_entry *entry, int tasks) {
     if (!planning_may_preempt(entry)) return false;
     int made = 0;
-    while (made < MIN(tasks, PREEMPTIONS_MAX) &&
-           preemption_make_room(entry->job, entry->within_guarantee, pass->machines, NULL, pass->usage))
-        made++;
+    while (made < MIN(tasks, PREEMPTIONS_MAX) && preemption_make_room(entry, pass->machines, NULL, pass->usage)) made++;
     if (made > 0) entry->job->preempted_at = clock_now();
     return made > 0;
 }
