--- a/src/settings/reader.c
+++ b/src/settings/reader.c
@@ -4,7 +4,7 @@
 
 #define LINE_NAME_BYTES 32
 
-G_DEFINE_QUARK(fieldfield - settings - error - quark, settings_error)
+GQuark settings_error_quark(void) { return g_quark_from_static_string("fieldfield-settings-error"); }
 
 void settings_reader_fail(struct settings_reader *reader, enum settings_error code, const char *field,
                           const char *what) {
--- a/tests/standin/fleet.c
+++ b/tests/standin/fleet.c
@@ -27,7 +27,7 @@
     double fetch_s;
 };
 struct held {
-    struct worker *w;
+    struct worker *worker;
     cJSON *directives;
 };
 struct copy {
@@ -68,12 +68,12 @@
 }
 
 /* The machine loses all that runs on it. */
-static void lose_tasks(struct worker *w) {
-    for (guint i = 0; i < w->tasks->len; i++) {
-        struct task *t = &g_array_index(w->tasks, struct task, i);
+static void lose_tasks(struct worker *worker) {
+    for (guint i = 0; i < worker->tasks->len; i++) {
+        struct task *t = &g_array_index(worker->tasks, struct task, i);
         if (!t->ended) log_task(t, false);
     }
-    g_array_set_size(w->tasks, 0);
+    g_array_set_size(worker->tasks, 0);
 }
 
 static bool has_image(const struct task *t) { return clock_seconds_since(t->since) >= t->fetch_s; }
@@ -100,30 +100,30 @@
     return n;
 }
 
-static cJSON *heartbeat_of(struct worker *w) {
-    cJSON *o = cJSON_CreateObject(), *list;
-    cJSON_AddStringToObject(o, "host", w->id);
-    cJSON_AddStringToObject(o, "address", w->address);
-    cJSON_AddStringToObject(o, "flavour", "g4");
-    cJSON_AddStringToObject(o, "site", "za");
-    cJSON_AddBoolToObject(o, "reclaimable", w->spot);
-    cJSON_AddNumberToObject(o, "tenure", (double)w->incarnation);
-    cJSON_AddNumberToObject(o, "seq", (double)++w->sequence);
-    cJSON_AddNumberToObject(o, "fence", (double)w->fencing_token);
-    list = cJSON_AddArrayToObject(o, "tasks");
-    for (guint t = 0; t < w->tasks->len; t++) {
-        struct task *x = &g_array_index(w->tasks, struct task, t);
+static cJSON *heartbeat_of(struct worker *worker) {
+    cJSON *object = cJSON_CreateObject(), *list;
+    cJSON_AddStringToObject(object, "host", worker->id);
+    cJSON_AddStringToObject(object, "address", worker->address);
+    cJSON_AddStringToObject(object, "flavour", "g4");
+    cJSON_AddStringToObject(object, "site", "za");
+    cJSON_AddBoolToObject(object, "reclaimable", worker->spot);
+    cJSON_AddNumberToObject(object, "tenure", (double)worker->incarnation);
+    cJSON_AddNumberToObject(object, "seq", (double)++worker->sequence);
+    cJSON_AddNumberToObject(object, "fence", (double)worker->fencing_token);
+    list = cJSON_AddArrayToObject(object, "tasks");
+    for (guint t = 0; t < worker->tasks->len; t++) {
+        struct task *x = &g_array_index(worker->tasks, struct task, t);
         if (!x->ended && !x->stays && clock_seconds_since(x->since) > x->fetch_s + RUN_S) {
             end_task(x, "done");
         }
-        cJSON *e = cJSON_CreateObject();
-        cJSON_AddStringToObject(e, "task", x->name);
-        cJSON_AddNumberToObject(e, "try", (double)x->attempt);
-        cJSON_AddStringToObject(e, "state", x->ended ? "ended" : has_image(x) ? "running" : "fetching");
-        if (x->ended) cJSON_AddStringToObject(e, "cause", x->cause);
-        cJSON_AddItemToArray(list, e);
+        cJSON *entry = cJSON_CreateObject();
+        cJSON_AddStringToObject(entry, "task", x->name);
+        cJSON_AddNumberToObject(entry, "try", (double)x->attempt);
+        cJSON_AddStringToObject(entry, "state", x->ended ? "ended" : has_image(x) ? "running" : "fetching");
+        if (x->ended) cJSON_AddStringToObject(entry, "cause", x->cause);
+        cJSON_AddItemToArray(list, entry);
     }
-    return o;
+    return object;
 }
 
 /* When a task was started first, and how often. */
@@ -145,12 +145,12 @@
 }
 
 static int starts_of(const char *prefix) {
-    GHashTableIter it;
+    GHashTableIter iterator;
     gpointer task, s;
     int n = 0;
     if (!started) return 0;
-    g_hash_table_iter_init(&it, started);
-    while (g_hash_table_iter_next(&it, &task, &s))
+    g_hash_table_iter_init(&iterator, started);
+    while (g_hash_table_iter_next(&iterator, &task, &s))
         if (g_str_has_prefix(task, prefix)) n += ((const struct start *)s)->count;
     return n;
 }
@@ -160,10 +160,10 @@
     return s ? s->first : (struct timespec){0, 0};
 }
 
-static void obey(struct worker *w, const cJSON *answer) {
+static void obey(struct worker *worker, const cJSON *answer) {
     int64_t fencing_token = 0;
-    if (!json_get_int64(answer, "fence", &fencing_token) || fencing_token < w->fencing_token) return;
-    w->fencing_token = fencing_token;
+    if (!json_get_int64(answer, "fence", &fencing_token) || fencing_token < worker->fencing_token) return;
+    worker->fencing_token = fencing_token;
     const cJSON *x;
     cJSON_ArrayForEach(x, cJSON_GetObjectItem(answer, "orders")) {
         const char *verb = json_get_string(x, "verb"), *task = json_get_string(x, "task");
@@ -171,8 +171,8 @@
         json_get_int64(x, "try", &attempt);
         struct task *have = NULL;
         guint at = 0;
-        for (guint t = 0; t < w->tasks->len; t++) {
-            struct task *y = &g_array_index(w->tasks, struct task, t);
+        for (guint t = 0; t < worker->tasks->len; t++) {
+            struct task *y = &g_array_index(worker->tasks, struct task, t);
             if (y->attempt == attempt && strcmp(y->name, task) == 0) {
                 have = y;
                 at = t;
@@ -186,165 +186,166 @@
             y.since = clock_now();
             y.stays = strncmp(task, "req-9", 5) == 0;
             y.fetch_s = fetch_prefix && g_str_has_prefix(task, fetch_prefix) ? fetch_s : 0;
-            g_array_append_val(w->tasks, y);
+            g_array_append_val(worker->tasks, y);
             starts++;
             log_task(&y, true);
             note_start(task);
             most = MAX(most, running_now(task));
             if (peak_prefix) peak = MAX(peak, held_now(peak_prefix));
-        } else if (strcmp(verb, "stop") == 0 && have && !have->ended && w->reach != STANDIN_DEFIANT) {
+        } else if (strcmp(verb, "stop") == 0 && have && !have->ended && worker->reach != STANDIN_DEFIANT) {
             end_task(have, "stopped");
         } else if (strcmp(verb, "forget") == 0 && have && have->ended) {
-            g_array_remove_index(w->tasks, at);
+            g_array_remove_index(worker->tasks, at);
         }
     }
 }
 
 /* Executes commands if token and incarnation match. */
-static bool command(struct worker *w, const cJSON *o) {
+static bool command(struct worker *worker, const cJSON *object) {
     int64_t fencing_token = 0, incarnation = 0;
-    bool good = json_get_int64(o, "fence", &fencing_token) && json_get_int64(o, "tenure", &incarnation) &&
-                fencing_token >= w->fencing_token && incarnation == w->incarnation;
-    if (good) obey(w, o);
+    bool good = json_get_int64(object, "fence", &fencing_token) && json_get_int64(object, "tenure", &incarnation) &&
+                fencing_token >= worker->fencing_token && incarnation == worker->incarnation;
+    if (good) obey(worker, object);
     return good;
 }
 
-static void on_commands(struct http_request *r, void *ctx) {
-    struct worker *w = ctx;
+static void on_commands(struct http_request *request, void *ctx) {
+    struct worker *worker = ctx;
     size_t len;
-    const char *body = http_body(r, &len);
-    cJSON *o = cJSON_ParseWithLength(body, len);
+    const char *body = http_body(request, &len);
+    cJSON *object = cJSON_ParseWithLength(body, len);
     pthread_mutex_lock(&lock);
-    if (!w->alive || mute || w->muted || w->reach >= STANDIN_DEAF) {
+    if (!worker->alive || mute || worker->muted || worker->reach >= STANDIN_DEAF) {
         /* Held commands are executed later, whatever became of who sent them. */
-        if (w->alive && (w->reach == STANDIN_HELD || w->reach == STANDIN_HANGS)) {
-            struct held *h = g_new0(struct held, 1);
-            h->w = w;
-            h->directives = cJSON_Duplicate(o, true);
-            g_ptr_array_add(held, h);
+        if (worker->alive && (worker->reach == STANDIN_HELD || worker->reach == STANDIN_HANGS)) {
+            struct held *held_command = g_new0(struct held, 1);
+            held_command->worker = worker;
+            held_command->directives = cJSON_Duplicate(object, true);
+            g_ptr_array_add(held, held_command);
         }
         pthread_mutex_unlock(&lock);
-        cJSON_Delete(o);
-        http_reply(r, 500, NULL, 0);
+        cJSON_Delete(object);
+        http_reply(request, 500, NULL, 0);
         return;
     }
-    bool good = command(w, o);
-    cJSON *rep = heartbeat_of(w);
+    bool good = command(worker, object);
+    cJSON *heartbeat = heartbeat_of(worker);
     pthread_mutex_unlock(&lock);
-    cJSON_Delete(o);
-    http_reply_json(r, good ? 200 : 409, rep, 0);
+    cJSON_Delete(object);
+    http_reply_json(request, good ? 200 : 409, heartbeat, 0);
 }
 
 /* A lease that ran out: all tasks are killed and a new incarnation begins. */
-static void check_lease(struct worker *w) {
-    if (clock_seconds_since(w->answered) < lease_s) return;
-    lose_tasks(w);
-    w->incarnation++;
-    w->answered = clock_now();
+static void check_lease(struct worker *worker) {
+    if (clock_seconds_since(worker->answered) < lease_s) return;
+    lose_tasks(worker);
+    worker->incarnation++;
+    worker->answered = clock_now();
 }
 
 /* Where the next report goes, after an answer that was not 200. */
-static void turn(struct worker *w, long status, const cJSON *answer) {
+static void turn(struct worker *worker, long status, const cJSON *answer) {
     const char *master = status == 421 ? json_get_string(answer, "master") : NULL;
-    int next = (w->at + 1) % n_controllers;
+    int next = (worker->at + 1) % n_controllers;
     for (int i = 0; master && i < n_controllers; i++)
         if (names[i] && strcmp(names[i], master) == 0) next = i;
-    w->at = next;
+    worker->at = next;
 }
 
 static void *worker_main(void *arg) {
-    struct worker *w = arg;
-    struct http_client *c = http_client_new();
+    struct worker *worker = arg;
+    struct http_client *client = http_client_new();
     char url[96];
     for (;;) {
         clock_sleep(clock_from_seconds(0.15));
         pthread_mutex_lock(&lock);
-        check_lease(w);
-        bool quiet = mute || w->muted || w->reach == STANDIN_MUTE || w->reach == STANDIN_HANGS, alive = w->alive;
-        if (w->reach == STANDIN_ISLAND) w->at = 0;
-        int at = w->at;
-        cJSON *rep = heartbeat_of(w);
-        int64_t incarnation = w->incarnation;
+        check_lease(worker);
+        bool quiet = mute || worker->muted || worker->reach == STANDIN_MUTE || worker->reach == STANDIN_HANGS,
+             alive = worker->alive;
+        if (worker->reach == STANDIN_ISLAND) worker->at = 0;
+        int at = worker->at;
+        cJSON *heartbeat = heartbeat_of(worker);
+        int64_t incarnation = worker->incarnation;
         g_snprintf(url, sizeof url, "http://%s/checkin", controllers[at]);
-        char *text = cJSON_PrintUnformatted(rep);
+        char *text = cJSON_PrintUnformatted(heartbeat);
         if (copy_after_s > 0 && alive && !quiet) {
-            struct copy *k = g_new0(struct copy, 1);
-            k->text = g_strdup(text);
-            k->from = at;
-            k->due = clock_instant_in(clock_from_seconds(copy_after_s));
-            g_queue_push_tail(copies, k);
+            struct copy *copy = g_new0(struct copy, 1);
+            copy->text = g_strdup(text);
+            copy->from = at;
+            copy->due = clock_instant_in(clock_from_seconds(copy_after_s));
+            g_queue_push_tail(copies, copy);
         }
         pthread_mutex_unlock(&lock);
-        cJSON_Delete(rep);
+        cJSON_Delete(heartbeat);
         long status = 0;
-        cJSON *a = NULL;
+        cJSON *answer = NULL;
         struct timespec sent = clock_now();
         if (alive && !quiet) {
-            bool got = http_call(c, "POST", url, text, 1000, &status, &a) == HTTP_ANSWERED;
+            bool got = http_call(client, "POST", url, text, 1000, &status, &answer) == HTTP_ANSWERED;
             int64_t fencing_token = 0;
             pthread_mutex_lock(&lock);
-            if (w->reach == STANDIN_DEAF || w->reach == STANDIN_HANGS) {
+            if (worker->reach == STANDIN_DEAF || worker->reach == STANDIN_HANGS) {
                 /* Lost. */
-            } else if (got && status == 200 && incarnation == w->incarnation &&
-                       json_get_int64(a, "fence", &fencing_token) && fencing_token >= w->fencing_token) {
-                w->answered = sent;
-                obey(w, a);
+            } else if (got && status == 200 && incarnation == worker->incarnation &&
+                       json_get_int64(answer, "fence", &fencing_token) && fencing_token >= worker->fencing_token) {
+                worker->answered = sent;
+                obey(worker, answer);
             } else if (!got || status != 200) {
-                turn(w, status, a);
+                turn(worker, status, answer);
             }
             pthread_mutex_unlock(&lock);
         }
-        cJSON_Delete(a);
+        cJSON_Delete(answer);
         free(text);
         if (!alive) break;
     }
-    http_client_free(c);
+    http_client_free(client);
     return NULL;
 }
 
 /* Sends the copies that are due, each to a controller that had not the original. */
 static void *copies_main(void *arg) {
     (void)arg;
-    struct http_client *c = http_client_new();
+    struct http_client *client = http_client_new();
     for (;;) {
         pthread_mutex_lock(&lock);
-        struct copy *k = g_queue_peek_head(copies);
-        if (k && clock_seconds_since(k->due) < 0) k = NULL;
-        if (k) g_queue_pop_head(copies);
+        struct copy *copy = g_queue_peek_head(copies);
+        if (copy && clock_seconds_since(copy->due) < 0) copy = NULL;
+        if (copy) g_queue_pop_head(copies);
         char url[96];
-        if (k) g_snprintf(url, sizeof url, "http://%s/checkin", controllers[(k->from + 1) % n_controllers]);
+        if (copy) g_snprintf(url, sizeof url, "http://%s/checkin", controllers[(copy->from + 1) % n_controllers]);
         pthread_mutex_unlock(&lock);
-        if (!k) {
+        if (!copy) {
             clock_sleep(clock_from_seconds(0.05));
             continue;
         }
         long status;
-        http_call(c, "POST", url, k->text, 1000, &status, NULL);
-        g_free(k->text);
-        g_free(k);
+        http_call(client, "POST", url, copy->text, 1000, &status, NULL);
+        g_free(copy->text);
+        g_free(copy);
     }
     return NULL;
 }
 
-static cJSON *rent(const cJSON *o) {
+static cJSON *rent(const cJSON *object) {
     int64_t n = 0;
-    json_get_int64(o, "how_many", &n);
+    json_get_int64(object, "how_many", &n);
     cJSON *out = cJSON_CreateObject(), *hosts = cJSON_AddArrayToObject(out, "hosts");
     int rented = 0;
     for (int i = 0; i < n_workers; i++) rented += workers[i].alive;
     for (int64_t i = 0; i < n && n_workers < MOST && rented + i < capacity; i++) {
-        struct worker *w = &workers[n_workers];
-        g_snprintf(w->id, sizeof w->id, "i-%06d", n_workers);
-        g_snprintf(w->address, sizeof w->address, "127.0.0.1:%d", first_port + n_workers);
-        w->spot = json_get_bool(o, "reclaimable");
-        w->alive = true;
-        w->answered = clock_now();
-        w->incarnation = 1;
-        w->tasks = g_array_new(FALSE, FALSE, sizeof(struct task));
+        struct worker *worker = &workers[n_workers];
+        g_snprintf(worker->id, sizeof worker->id, "i-%06d", n_workers);
+        g_snprintf(worker->address, sizeof worker->address, "127.0.0.1:%d", first_port + n_workers);
+        worker->spot = json_get_bool(object, "reclaimable");
+        worker->alive = true;
+        worker->answered = clock_now();
+        worker->incarnation = 1;
+        worker->tasks = g_array_new(FALSE, FALSE, sizeof(struct task));
         n_workers++;
-        http_server_start(w->address, 16, on_commands, w);
-        sync_start_thread(worker_main, w);
-        cJSON_AddItemToArray(hosts, cJSON_CreateString(w->id));
+        http_server_start(worker->address, 16, on_commands, worker);
+        sync_start_thread(worker_main, worker);
+        cJSON_AddItemToArray(hosts, cJSON_CreateString(worker->id));
     }
     return out;
 }
@@ -356,20 +357,20 @@
 } refusals[] = {{429, "{}"}, {503, "{\"error\":\"trouble\"}"}, {503, "{\"error\":\"no capacity\"}"}};
 static unsigned refused;
 
-static void on_cloud(struct http_request *r, void *ctx) {
+static void on_cloud(struct http_request *request, void *ctx) {
     (void)ctx;
     size_t len;
-    const char *p = http_path(r), *body = http_body(r, &len);
-    cJSON *o = cJSON_ParseWithLength(body, len), *out = NULL;
+    const char *path = http_path(request), *body = http_body(request, &len);
+    cJSON *object = cJSON_ParseWithLength(body, len), *out = NULL;
     unsigned status = 200;
     pthread_mutex_lock(&lock);
-    if (strcmp(p, "/flavors") == 0) {
+    if (strcmp(path, "/flavors") == 0) {
         out = cJSON_Parse(
             "{\"flavours\":[{\"sku\":\"g4\",\"vcpus\":16,\"gpus\":4,\"memory_gb\":64,\"local_gb\":50,"
             "\"fetch_gb_per_s\":1,\"hourly\":10,\"market_price\":3,\"startup_s\":1,\"sites\":[\"za\"]}]}");
-    } else if (strcmp(p, "/rentals/return") == 0) {
+    } else if (strcmp(path, "/rentals/return") == 0) {
         const cJSON *x;
-        cJSON_ArrayForEach(x, cJSON_GetObjectItem(o, "hosts")) for (int i = 0; i < n_workers; i++) {
+        cJSON_ArrayForEach(x, cJSON_GetObjectItem(object, "hosts")) for (int i = 0; i < n_workers; i++) {
             if (strcmp(workers[i].id, x->valuestring) == 0 && workers[i].alive) {
                 workers[i].alive = false;
                 lose_tasks(&workers[i]);
@@ -377,9 +378,9 @@
             }
         }
         out = cJSON_CreateObject();
-    } else if (strcmp(http_method(r), "POST") == 0) {
-        const char *claim = json_get_string(o, "claim"), *old = g_hash_table_lookup(claims, claim);
-        char *text = cJSON_PrintUnformatted(o);
+    } else if (strcmp(http_method(request), "POST") == 0) {
+        const char *claim = json_get_string(object, "claim"), *old = g_hash_table_lookup(claims, claim);
+        char *text = cJSON_PrintUnformatted(object);
         if (old && strcmp(old, text) != 0) reused++;
         g_hash_table_insert(claims, g_strdup(claim), g_strdup(text));
         free(text);
@@ -387,14 +388,14 @@
             status = refusals[refused].status;
             out = cJSON_Parse(refusals[refused++].body);
         } else {
-            out = rent(o);
+            out = rent(object);
         }
     } else {
         out = cJSON_Parse("{\"hosts\":[],\"has_next\":false}");
     }
     pthread_mutex_unlock(&lock);
-    cJSON_Delete(o);
-    http_reply_json(r, status, out, 0);
+    cJSON_Delete(object);
+    http_reply_json(request, status, out, 0);
 }
 
 bool standin_cloud_start(const char *address, const char *controller) {
@@ -446,25 +447,25 @@
 int standin_workers_peak(void) { GET(peak) }
 void standin_workers_copies(double after_s) { SET(copy_after_s = after_s) }
 
-static int holding(const char *task, int *on) {
+static int holding(const char *task, int *index) {
     int n = 0;
     for (int i = 0; i < n_workers; i++) {
         for (guint t = 0; workers[i].alive && t < workers[i].tasks->len; t++) {
             const struct task *x = &g_array_index(workers[i].tasks, struct task, t);
             if (x->ended || strcmp(x->name, task) != 0) continue;
             n++;
-            if (on) *on = i;
+            if (index) *index = i;
         }
     }
     return n;
 }
 int standin_workers_holding(const char *task) { GET(holding(task, NULL)) }
 int standin_workers_on(const char *task) {
-    int on = -1;
+    int index = -1;
     pthread_mutex_lock(&lock);
-    holding(task, &on);
+    holding(task, &index);
     pthread_mutex_unlock(&lock);
-    return on;
+    return index;
 }
 
 void standin_workers_fetch(const char *prefix, double seconds) {
@@ -483,11 +484,11 @@
         }
     }
     for (guint i = held->len; reach == STANDIN_WELL && i-- > 0;) {
-        struct held *h = held->pdata[i];
-        if (index >= 0 && h->w != &workers[index]) continue;
-        if (h->w->alive) command(h->w, h->directives);
-        cJSON_Delete(h->directives);
-        g_free(h);
+        struct held *held_command = held->pdata[i];
+        if (index >= 0 && held_command->worker != &workers[index]) continue;
+        if (held_command->worker->alive) command(held_command->worker, held_command->directives);
+        cJSON_Delete(held_command->directives);
+        g_free(held_command);
         g_ptr_array_remove_index(held, i);
     }
     pthread_mutex_unlock(&lock);
--- a/tests/standin/state.c
+++ b/tests/standin/state.c
@@ -41,23 +41,23 @@
 };
 static GQueue *late;
 
-static int by_key(gconstpointer a, gconstpointer b, gpointer d) {
-    (void)d;
-    return strcmp(a, b);
+static int by_key(gconstpointer first, gconstpointer second, gpointer unused) {
+    (void)unused;
+    return strcmp(first, second);
 }
 
-static void row_free(gpointer p) {
-    struct row *r = p;
-    g_free(r->text);
-    g_free(r);
+static void row_free(gpointer path) {
+    struct row *row = path;
+    g_free(row->text);
+    g_free(row);
 }
 
 static void note(const char *key, const char *text) {
-    struct event *e = g_new0(struct event, 1);
-    e->key = g_strdup(key);
-    e->text = g_strdup(text);
-    e->mod_revision = revision;
-    g_ptr_array_add(events, e);
+    struct event *event = g_new0(struct event, 1);
+    event->key = g_strdup(key);
+    event->text = g_strdup(text);
+    event->mod_revision = revision;
+    g_ptr_array_add(events, event);
 }
 
 static GHashTable *done_at; /* uid -> struct timespec */
@@ -73,11 +73,11 @@
 
 static void put(const char *key, const char *text, int64_t lease) {
     note_done(key, text);
-    struct row *r = g_new0(struct row, 1);
-    r->text = g_strdup(text);
-    r->mod_revision = revision;
-    r->lease = lease;
-    g_tree_replace(rows, g_strdup(key), r);
+    struct row *row = g_new0(struct row, 1);
+    row->text = g_strdup(text);
+    row->mod_revision = revision;
+    row->lease = lease;
+    g_tree_replace(rows, g_strdup(key), row);
     note(key, text);
 }
 
@@ -86,8 +86,8 @@
 }
 
 static int64_t stamp_of(const char *key) {
-    struct row *r = g_tree_lookup(rows, key);
-    return r ? r->mod_revision : 0;
+    struct row *row = g_tree_lookup(rows, key);
+    return row ? row->mod_revision : 0;
 }
 
 struct keys_of {
@@ -95,26 +95,26 @@
     GPtrArray *keys;
 };
 
-static gboolean collect(gpointer k, gpointer v, gpointer data) {
-    struct keys_of *c = data;
-    if (((struct row *)v)->lease == c->lease) g_ptr_array_add(c->keys, g_strdup(k));
+static gboolean collect(gpointer key, gpointer value, gpointer data) {
+    struct keys_of *found = data;
+    if (((struct row *)value)->lease == found->lease) g_ptr_array_add(found->keys, g_strdup(key));
     return FALSE;
 }
 
 /* Leases that were not renewed in time end, and their keys with them. */
 static void end_leases(void) {
-    GHashTableIter it;
-    gpointer k, v;
-    g_hash_table_iter_init(&it, leases);
-    while (g_hash_table_iter_next(&it, &k, &v)) {
-        struct lease *l = v;
-        if (clock_seconds_since(l->renewed) < l->ttl_s) continue;
-        struct keys_of c = {GPOINTER_TO_INT(k), g_ptr_array_new_with_free_func(g_free)};
-        g_tree_foreach(rows, collect, &c);
-        if (c.keys->len) revision++;
-        for (guint i = 0; i < c.keys->len; i++) drop(c.keys->pdata[i]);
-        g_ptr_array_free(c.keys, TRUE);
-        g_hash_table_iter_remove(&it);
+    GHashTableIter iterator;
+    gpointer key, value;
+    g_hash_table_iter_init(&iterator, leases);
+    while (g_hash_table_iter_next(&iterator, &key, &value)) {
+        struct lease *lease = value;
+        if (clock_seconds_since(lease->renewed) < lease->ttl_s) continue;
+        struct keys_of found = {GPOINTER_TO_INT(key), g_ptr_array_new_with_free_func(g_free)};
+        g_tree_foreach(rows, collect, &found);
+        if (found.keys->len) revision++;
+        for (guint i = 0; i < found.keys->len; i++) drop(found.keys->pdata[i]);
+        g_ptr_array_free(found.keys, TRUE);
+        g_hash_table_iter_remove(&iterator);
     }
 }
 
@@ -127,9 +127,9 @@
 /* 0, or what a transaction gets that is beyond the limits. Even one whose conditions fail counts as changes. */
 static unsigned beyond_limits(const cJSON *then) {
     bool too_large = cJSON_GetArraySize(then) > limit_ops;
-    const cJSON *x;
-    cJSON_ArrayForEach(x, then) {
-        char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(x, "data"));
+    const cJSON *item;
+    cJSON_ArrayForEach(item, then) {
+        char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(item, "data"));
         too_large |= text && (double)strlen(text) > limit_value_kb * 1024;
         free(text);
     }
@@ -144,28 +144,28 @@
 }
 
 static bool names_own(const cJSON *comparisons, const char *key) {
-    const cJSON *x;
-    cJSON_ArrayForEach(x, comparisons) if (strcmp(json_get_string(x, "path"), key) == 0) return true;
+    const cJSON *item;
+    cJSON_ArrayForEach(item, comparisons) if (strcmp(json_get_string(item, "path"), key) == 0) return true;
     return false;
 }
 
-static unsigned multi(const cJSON *o, cJSON *out) {
-    const cJSON *x, *then = cJSON_GetObjectItem(o, "then");
+static unsigned multi(const cJSON *object, cJSON *out) {
+    const cJSON *item, *then = cJSON_GetObjectItem(object, "then");
     unsigned beyond = beyond_limits(then);
     if (beyond) return beyond;
     cJSON *failed = cJSON_CreateArray();
-    cJSON_ArrayForEach(x, cJSON_GetObjectItem(o, "if")) {
+    cJSON_ArrayForEach(item, cJSON_GetObjectItem(object, "if")) {
         int64_t want = -1;
-        json_get_int64(x, "stamp", &want);
-        if (stamp_of(json_get_string(x, "path")) != want)
-            cJSON_AddItemToArray(failed, cJSON_CreateString(json_get_string(x, "path")));
+        json_get_int64(item, "stamp", &want);
+        if (stamp_of(json_get_string(item, "path")) != want)
+            cJSON_AddItemToArray(failed, cJSON_CreateString(json_get_string(item, "path")));
     }
-    cJSON_ArrayForEach(x, then) {
-        const char *key = json_get_string(x, "set") ? json_get_string(x, "set") : json_get_string(x, "remove");
+    cJSON_ArrayForEach(item, then) {
+        const char *key = json_get_string(item, "set") ? json_get_string(item, "set") : json_get_string(item, "remove");
         bool held = g_str_has_prefix(key, "run/") || g_str_has_prefix(key, "fleet/");
-        unguarded += held && !names_own(cJSON_GetObjectItem(o, "if"), key);
-        int64_t l = 0;
-        if (json_get_int64(x, "lease", &l) && !g_hash_table_contains(leases, GINT_TO_POINTER((int)l))) {
+        unguarded += held && !names_own(cJSON_GetObjectItem(object, "if"), key);
+        int64_t lease = 0;
+        if (json_get_int64(item, "lease", &lease) && !g_hash_table_contains(leases, GINT_TO_POINTER((int)lease))) {
             cJSON_Delete(failed);
             return 400;
         }
@@ -177,15 +177,15 @@
     }
     cJSON_Delete(failed);
     if (cJSON_GetArraySize(then)) revision++;
-    cJSON_ArrayForEach(x, then) {
-        int64_t l = 0;
-        json_get_int64(x, "lease", &l);
-        if (json_get_string(x, "set")) {
-            char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(x, "data"));
-            put(json_get_string(x, "set"), text, l);
+    cJSON_ArrayForEach(item, then) {
+        int64_t lease = 0;
+        json_get_int64(item, "lease", &lease);
+        if (json_get_string(item, "set")) {
+            char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(item, "data"));
+            put(json_get_string(item, "set"), text, lease);
             free(text);
         } else {
-            drop(json_get_string(x, "remove"));
+            drop(json_get_string(item, "remove"));
         }
     }
     cJSON_AddNumberToObject(out, "epoch", (double)revision);
@@ -193,23 +193,23 @@
 }
 
 static void carry_out_late(void) {
-    for (struct late *l; (l = g_queue_peek_head(late)) && clock_seconds_since(l->due) >= 0;) {
+    for (struct late *lease; (lease = g_queue_peek_head(late)) && clock_seconds_since(lease->due) >= 0;) {
         cJSON *out = cJSON_CreateObject();
         g_queue_pop_head(late);
-        multi(l->body, out);
+        multi(lease->body, out);
         cJSON_Delete(out);
-        cJSON_Delete(l->body);
-        g_free(l);
+        cJSON_Delete(lease->body);
+        g_free(lease);
     }
 }
 
-static gboolean list_row(gpointer k, gpointer v, gpointer data) {
-    struct row *r = v;
-    cJSON *x = cJSON_CreateObject();
-    cJSON_AddStringToObject(x, "path", k);
-    cJSON_AddItemToObject(x, "data", cJSON_Parse(r->text));
-    cJSON_AddNumberToObject(x, "stamp", (double)r->mod_revision);
-    cJSON_AddItemToArray(data, x);
+static gboolean list_row(gpointer key, gpointer value, gpointer data) {
+    struct row *row = value;
+    cJSON *item = cJSON_CreateObject();
+    cJSON_AddStringToObject(item, "path", key);
+    cJSON_AddItemToObject(item, "data", cJSON_Parse(row->text));
+    cJSON_AddNumberToObject(item, "stamp", (double)row->mod_revision);
+    cJSON_AddItemToArray(data, item);
     return FALSE;
 }
 
@@ -218,29 +218,30 @@
 static void tell_changes(cJSON *out) {
     cJSON *list = cJSON_AddArrayToObject(out, "events");
     for (guint i = 0; i < events->len; i++) {
-        struct event *e = events->pdata[i];
-        cJSON *x = cJSON_CreateObject();
-        cJSON_AddStringToObject(x, e->text ? "set" : "remove", e->key);
-        if (e->text) cJSON_AddItemToObject(x, "data", cJSON_Parse(e->text));
-        cJSON_AddNumberToObject(x, "stamp", (double)e->mod_revision);
-        cJSON_AddItemToArray(list, x);
+        struct event *event = events->pdata[i];
+        cJSON *item = cJSON_CreateObject();
+        cJSON_AddStringToObject(item, event->text ? "set" : "remove", event->key);
+        if (event->text) cJSON_AddItemToObject(item, "data", cJSON_Parse(event->text));
+        cJSON_AddNumberToObject(item, "stamp", (double)event->mod_revision);
+        cJSON_AddItemToArray(list, item);
     }
     cJSON_AddNumberToObject(out, "epoch", (double)revision);
 }
 
-static void on_request(struct http_request *r, void *ctx) {
+static void on_request(struct http_request *row, void *ctx) {
     const bool *shut = ctx;
-    const char *p = http_path(r);
+    const char *path = http_path(row);
     size_t len;
-    cJSON *body = cJSON_ParseWithLength(http_body(r, &len), strlen(http_body(r, NULL))), *out = cJSON_CreateObject();
+    cJSON *body = cJSON_ParseWithLength(http_body(row, &len), strlen(http_body(row, NULL))),
+          *out = cJSON_CreateObject();
     unsigned status = 200;
     pthread_mutex_lock(&lock);
     double wait = slow_s;
     pthread_mutex_unlock(&lock);
     if (wait > 0) clock_sleep(clock_from_seconds(wait)); /* one thread serves all: everybody waits */
     pthread_mutex_lock(&lock);
-    g_hash_table_insert(calls, g_strdup(p), GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(calls, p)) + 1));
-    bool is_multi = strcmp(p, "/multi") == 0;
+    g_hash_table_insert(calls, g_strdup(path), GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(calls, path)) + 1));
+    bool is_multi = strcmp(path, "/multi") == 0;
     end_leases();
     carry_out_late();
     if (trouble == STANDIN_OUTAGE || *shut) {
@@ -249,10 +250,10 @@
         status = 429;
         trouble = STANDIN_NONE;
     } else if (is_multi && late_s > 0 && cJSON_GetArraySize(cJSON_GetObjectItem(body, "then")) && ++written % 2 == 0) {
-        struct late *l = g_new0(struct late, 1);
-        l->body = cJSON_Duplicate(body, true);
-        l->due = clock_instant_in(clock_from_seconds(late_s));
-        g_queue_push_tail(late, l);
+        struct late *lease = g_new0(struct late, 1);
+        lease->body = cJSON_Duplicate(body, true);
+        lease->due = clock_instant_in(clock_from_seconds(late_s));
+        g_queue_push_tail(late, lease);
         status = 500;
     } else if (is_multi) {
         status = multi(body, out);
@@ -260,12 +261,12 @@
             status = 500;
             trouble = STANDIN_NONE;
         }
-    } else if (strcmp(p, "/kv") == 0) {
+    } else if (strcmp(path, "/kv") == 0) {
         g_tree_foreach(rows, list_row, cJSON_AddArrayToObject(out, "rows"));
         cJSON_AddNumberToObject(out, "epoch", (double)revision);
         cJSON_AddBoolToObject(out, "has_next", false);
-    } else if (g_str_has_prefix(p, "/kv/")) {
-        struct row *row = g_tree_lookup(rows, p + 4);
+    } else if (g_str_has_prefix(path, "/kv/")) {
+        struct row *row = g_tree_lookup(rows, path + 4);
         if (row) {
             cJSON_AddItemToObject(out, "data", cJSON_Parse(row->text));
             cJSON_AddNumberToObject(out, "stamp", (double)row->mod_revision);
@@ -273,17 +274,17 @@
             status = 404;
             cJSON_AddNumberToObject(out, "epoch", (double)revision);
         }
-    } else if (strcmp(p, "/grants") == 0) {
-        struct lease *l = g_new0(struct lease, 1);
-        l->ttl_s = json_get_double(body, "ttl_ms", 5000) / 1000;
-        l->renewed = clock_now();
-        g_hash_table_insert(leases, GINT_TO_POINTER((int)next_lease), l);
+    } else if (strcmp(path, "/grants") == 0) {
+        struct lease *lease = g_new0(struct lease, 1);
+        lease->ttl_s = json_get_double(body, "ttl_ms", 5000) / 1000;
+        lease->renewed = clock_now();
+        g_hash_table_insert(leases, GINT_TO_POINTER((int)next_lease), lease);
         cJSON_AddNumberToObject(out, "lease", (double)next_lease++);
-    } else if (g_str_has_prefix(p, "/grants/")) {
-        struct lease *l = g_hash_table_lookup(leases, GINT_TO_POINTER(atoi(p + 8)));
-        if (l) l->renewed = clock_now();
-        status = l ? 200 : 404;
-    } else if (strcmp(p, "/changes") == 0) {
+    } else if (g_str_has_prefix(path, "/grants/")) {
+        struct lease *lease = g_hash_table_lookup(leases, GINT_TO_POINTER(atoi(path + 8)));
+        if (lease) lease->renewed = clock_now();
+        status = lease ? 200 : 404;
+    } else if (strcmp(path, "/changes") == 0) {
         if (trouble == STANDIN_GONE_410) {
             status = 410;
             trouble = STANDIN_NONE;
@@ -295,7 +296,7 @@
     }
     pthread_mutex_unlock(&lock);
     cJSON_Delete(body);
-    http_reply_json(r, status, out, 0);
+    http_reply_json(row, status, out, 0);
 }
 
 bool standin_state_start(const char *address) {
@@ -317,9 +318,9 @@
     pthread_mutex_unlock(&lock);
 }
 
-void standin_state_trouble(enum standin_trouble t) {
+void standin_state_trouble(enum standin_trouble wanted) {
     pthread_mutex_lock(&lock);
-    trouble = t;
+    trouble = wanted;
     pthread_mutex_unlock(&lock);
 }
 
@@ -343,16 +344,16 @@
 };
 
 /* Takes the machine out of the page, if it is there. */
-static gboolean drop_from_page(gpointer k, gpointer v, gpointer data) {
-    struct page_of *p = data;
-    if (!g_str_has_prefix(k, "fleet/")) return FALSE;
-    cJSON *page = cJSON_Parse(((struct row *)v)->text), *list = cJSON_GetObjectItem(page, "m");
+static gboolean drop_from_page(gpointer key, gpointer value, gpointer data) {
+    struct page_of *path = data;
+    if (!g_str_has_prefix(key, "fleet/")) return FALSE;
+    cJSON *page = cJSON_Parse(((struct row *)value)->text), *list = cJSON_GetObjectItem(page, "m");
     for (int i = cJSON_GetArraySize(list); i-- > 0;) {
         const cJSON *id = cJSON_GetArrayItem(cJSON_GetArrayItem(list, i), 0);
-        if (strcmp(cJSON_GetStringValue(id), p->name) != 0) continue;
+        if (strcmp(cJSON_GetStringValue(id), path->name) != 0) continue;
         cJSON_DeleteItemFromArray(list, i);
-        g_strlcpy(p->key, k, sizeof p->key);
-        p->page = page;
+        g_strlcpy(path->key, key, sizeof path->key);
+        path->page = page;
         return TRUE;
     }
     cJSON_Delete(page);
@@ -360,28 +361,28 @@
 }
 
 bool standin_state_drop_machine(int index) {
-    struct page_of p = {.page = NULL};
-    g_snprintf(p.name, sizeof p.name, "i-%06d", index);
+    struct page_of path = {.page = NULL};
+    g_snprintf(path.name, sizeof path.name, "i-%06d", index);
     pthread_mutex_lock(&lock);
-    g_tree_foreach(rows, drop_from_page, &p);
-    if (p.page) {
-        char *text = cJSON_PrintUnformatted(p.page);
+    g_tree_foreach(rows, drop_from_page, &path);
+    if (path.page) {
+        char *text = cJSON_PrintUnformatted(path.page);
         revision++;
-        put(p.key, text, 0);
+        put(path.key, text, 0);
         free(text);
     }
     pthread_mutex_unlock(&lock);
-    cJSON_Delete(p.page);
-    return p.page != NULL;
+    cJSON_Delete(path.page);
+    return path.page != NULL;
 }
 
 char *standin_state_value(const char *key) {
     pthread_mutex_lock(&lock);
     end_leases();
-    struct row *r = g_tree_lookup(rows, key);
-    char *t = r ? g_strdup(r->text) : NULL;
+    struct row *row = g_tree_lookup(rows, key);
+    char *wanted = row ? g_strdup(row->text) : NULL;
     pthread_mutex_unlock(&lock);
-    return t;
+    return wanted;
 }
 
 void standin_state_limits(double value_kb, int txn_ops, int write_rps) {
@@ -404,18 +405,18 @@
     size_t bytes;
 };
 
-static gboolean measure(gpointer k, gpointer v, gpointer data) {
-    struct largest *l = data;
-    if (g_str_has_prefix(k, l->prefix)) l->bytes = MAX(l->bytes, strlen(((struct row *)v)->text));
+static gboolean measure(gpointer key, gpointer value, gpointer data) {
+    struct largest *lease = data;
+    if (g_str_has_prefix(key, lease->prefix)) lease->bytes = MAX(lease->bytes, strlen(((struct row *)value)->text));
     return FALSE;
 }
 
 size_t standin_state_largest(const char *prefix) {
-    struct largest l = {prefix, 0};
+    struct largest lease = {prefix, 0};
     pthread_mutex_lock(&lock);
-    g_tree_foreach(rows, measure, &l);
+    g_tree_foreach(rows, measure, &lease);
     pthread_mutex_unlock(&lock);
-    return l.bytes;
+    return lease.bytes;
 }
 
 struct timespec standin_state_done_at(const char *job_id) {
@@ -441,12 +442,12 @@
 }
 
 int standin_state_requests(void) {
-    GHashTableIter it;
+    GHashTableIter iterator;
     gpointer n;
     int sum = 0;
     pthread_mutex_lock(&lock);
-    g_hash_table_iter_init(&it, calls);
-    while (g_hash_table_iter_next(&it, NULL, &n)) sum += GPOINTER_TO_INT(n);
+    g_hash_table_iter_init(&iterator, calls);
+    while (g_hash_table_iter_next(&iterator, NULL, &n)) sum += GPOINTER_TO_INT(n);
     pthread_mutex_unlock(&lock);
     return sum;
 }
