--- a/src/api/responses.c
+++ b/src/api/responses.c
@@ -1,23 +1,11 @@
 #include "responses.h"
 
 #include <glib.h>
-#include <stdbool.h>
 #include <stdio.h>
 
 #include "../jobs/job_spec.h"
 #include "../jobs/jobs.h"
 
-enum http_status {
-    STATUS_OK = 200,
-    STATUS_CREATED = 201,
-    STATUS_BAD_REQUEST = 400,
-    STATUS_NOT_FOUND = 404,
-    STATUS_METHOD_NOT_ALLOWED = 405,
-    STATUS_UNPROCESSABLE = 422,
-    STATUS_TOO_MANY_REQUESTS = 429,
-    STATUS_UNAVAILABLE = 503,
-};
-
 #define BODY_BYTES 256
 
 struct refusal_response {
@@ -83,20 +71,17 @@
     return refusal_about(reasons[check.result], check.job_id ? check.job_id : "");
 }
 
-bool refusal_is_unavailability(enum refusal_reason reason) {
-    return refusal_responses[reason].status == STATUS_UNAVAILABLE;
-}
+enum http_status refusal_status(enum refusal_reason reason) { return refusal_responses[reason].status; }
 
 void refusal_text(const struct refusal *refusal, char *text, size_t n) {
     snprintf(text, n, refusal_responses[refusal->reason].format, refusal->subject, jobs_record_bytes_max());
 }
 
 void respond_refusal(struct http_request *http, const struct refusal *refusal) {
-    const struct refusal_response *response = &refusal_responses[refusal->reason];
     char text[REFUSAL_TEXT_SIZE], body[BODY_BYTES];
     refusal_text(refusal, text, sizeof text);
     snprintf(body, sizeof body, "{\"error\":\"%s\"}", text);
-    http_reply(http, response->status, body, response->retry_after_s);
+    http_reply(http, refusal_status(refusal->reason), body, refusal_responses[refusal->reason].retry_after_s);
 }
 
 void respond_refused(struct http_request *http, enum refusal_reason reason) {
--- a/src/api/responses.h
+++ b/src/api/responses.h
@@ -2,7 +2,6 @@
  * thread and those of the two queues. A request that was answered must not be used afterwards. */
 #ifndef FF_API_RESPONSES_H
 #define FF_API_RESPONSES_H
-#include <stdbool.h>
 #include <stddef.h>
 
 #include "../dependencies/dependencies.h"
@@ -10,6 +9,18 @@
 #include "../jobs/feasibility.h"
 #include "../model/job.h"
 
+/* The statuses of answers. */
+enum http_status {
+    STATUS_OK = 200,
+    STATUS_CREATED = 201,
+    STATUS_BAD_REQUEST = 400,
+    STATUS_NOT_FOUND = 404,
+    STATUS_METHOD_NOT_ALLOWED = 405,
+    STATUS_UNPROCESSABLE = 422,
+    STATUS_TOO_MANY_REQUESTS = 429,
+    STATUS_UNAVAILABLE = 503,
+};
+
 /* Why a request is not carried out. */
 enum refusal_reason {
     REFUSAL_NONE,
@@ -54,8 +65,8 @@
 struct refusal refusal_about(enum refusal_reason reason, const char *subject);
 struct refusal refusal_of_feasibility(enum job_feasibility feasibility);
 struct refusal refusal_of_prerequisites(struct prerequisites_check check);
-/* The refusal says that something is not available here and now, not that anything is wrong with the request. */
-bool refusal_is_unavailability(enum refusal_reason reason);
+/* The HTTP status of a refusal. */
+enum http_status refusal_status(enum refusal_reason reason);
 /* The text that the user is given, in a buffer of REFUSAL_TEXT_SIZE. */
 void refusal_text(const struct refusal *refusal, char *text, size_t n);
 
--- a/src/api/responses_test.c
+++ b/src/api/responses_test.c
@@ -1,8 +1,7 @@
-/* What users are told when a request is refused, by its reason. */
+/* Statuses and texts of refusals, by what the packages below find. */
 #include "api/responses.h"
 
 #include <glib.h>
-#include <stdbool.h>
 #include <string.h>
 
 #include "../../tests/standin/site.h"
@@ -11,40 +10,46 @@
 
 static struct settings cfg;
 
-static void check_text(struct refusal refusal, const char *expected) {
+static void check(struct refusal refusal, enum http_status status, const char *expected) {
     char text[REFUSAL_TEXT_SIZE];
     refusal_text(&refusal, text, sizeof text);
     assert_string_equal(text, expected);
+    assert_int_equal(refusal_status(refusal.reason), status);
 }
 
+/* A prerequisite is wrong (422), or can't be looked up for the moment (503). */
 static void refused_prerequisite_is_named(void **state) {
     (void)state;
     static const struct {
         enum prerequisites_result result;
+        enum http_status status;
         const char *text;
-        bool unavailable;
     } rows[] = {
-        {PREREQUISITE_ITSELF, "prereqs: req-10001 names itself", false},
-        {PREREQUISITE_SERVICE, "prereqs: req-10001 is a service", false},
-        {PREREQUISITE_UNKNOWN, "prereqs: req-10001 was never accepted", false},
-        {PREREQUISITE_UNREADABLE, "prereqs: the record of req-10001 can't be read", true},
-        {PREREQUISITE_STORE_SILENT, "the state service did not answer", true},
+        {PREREQUISITE_ITSELF, STATUS_UNPROCESSABLE, "prereqs: req-10001 names itself"},
+        {PREREQUISITE_SERVICE, STATUS_UNPROCESSABLE, "prereqs: req-10001 is a service"},
+        {PREREQUISITE_UNKNOWN, STATUS_UNPROCESSABLE, "prereqs: req-10001 was never accepted"},
+        {PREREQUISITE_UNREADABLE, STATUS_UNAVAILABLE, "prereqs: the record of req-10001 can't be read"},
+        {PREREQUISITE_STORE_SILENT, STATUS_UNAVAILABLE, "the state service did not answer"},
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct refusal refusal = refusal_of_prerequisites((struct prerequisites_check){rows[i].result, "req-10001"});
-        check_text(refusal, rows[i].text);
-        assert_int_equal(refusal_is_unavailability(refusal.reason), rows[i].unavailable);
-    }
+    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
+        check(refusal_of_prerequisites((struct prerequisites_check){rows[i].result, "req-10001"}), rows[i].status,
+              rows[i].text);
     struct refusal none = refusal_of_prerequisites((struct prerequisites_check){PREREQUISITES_VALID, NULL});
     assert_int_equal(none.reason, REFUSAL_NONE);
 }
 
-static void infeasible_job_is_told_why(void **state) {
+static void infeasible_job_is_unprocessable(void **state) {
     (void)state;
     assert_int_equal(refusal_of_feasibility(JOB_FEASIBLE).reason, REFUSAL_NONE);
-    check_text(refusal_of_feasibility(JOB_TEAM_UNKNOWN), "owner: unknown team");
-    check_text(refusal_of_feasibility(JOB_FITS_NO_MACHINE_TYPE), "a task fits no allowed machine type");
-    check_text(refusal_of_feasibility(JOB_ABOVE_TEAM_LIMIT), "needs more than the team's limit");
+    check(refusal_of_feasibility(JOB_TEAM_UNKNOWN), STATUS_UNPROCESSABLE, "owner: unknown team");
+    check(refusal_of_feasibility(JOB_FITS_NO_MACHINE_TYPE), STATUS_UNPROCESSABLE,
+          "a task fits no allowed machine type");
+    check(refusal_of_feasibility(JOB_ABOVE_TEAM_LIMIT), STATUS_UNPROCESSABLE, "needs more than the team's limit");
+}
+
+static void invalid_field_is_a_bad_request(void **state) {
+    (void)state;
+    check(refusal_about(REFUSAL_FIELD_INVALID, "uid"), STATUS_BAD_REQUEST, "uid: missing or invalid");
 }
 
 /* The name of a field may be the user's own: only its first 40 bytes are shown. */
@@ -52,8 +57,7 @@
     (void)state;
     char *name = g_strnfill(100, 'n'), *shown = g_strnfill(40, 'n');
     char *expected = g_strdup_printf("%s: too long, a job's record may take %zu bytes", shown, jobs_record_bytes_max());
-    check_text(refusal_about(REFUSAL_RECORD_TOO_LARGE, name), expected);
-    check_text(refusal_about(REFUSAL_FIELD_INVALID, "uid"), "uid: missing or invalid");
+    check(refusal_about(REFUSAL_RECORD_TOO_LARGE, name), STATUS_BAD_REQUEST, expected);
     g_free(expected);
     g_free(shown);
     g_free(name);
@@ -65,7 +69,8 @@
     jobs_init(&cfg);
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(refused_prerequisite_is_named),
-        cmocka_unit_test(infeasible_job_is_told_why),
+        cmocka_unit_test(infeasible_job_is_unprocessable),
+        cmocka_unit_test(invalid_field_is_a_bad_request),
         cmocka_unit_test(field_of_too_large_a_record_is_cut),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -25,9 +25,10 @@
 static int64_t mod_revision = 10;
 
 #define RUNTIME_S 50.0
+#define SUBMITTED 1000 /* time of day, in all records */
 
-/* A job's record; prereqs is a JSON list. The end of a done job is `end`; 0: recorded by the first version. */
-static void put(const char *job_id, const char *team, const char *rank, double due, const char *prereqs,
+/* A job's record; prerequisites are a JSON list. The end of a done job is `end`; 0: recorded by the first version. */
+static void put(const char *job_id, const char *team, const char *priority, double due, const char *prerequisites,
                 const char *state, double end) {
     char *ended = end > 0 ? g_strdup_printf(",\"end\":%f", end) : g_strdup("");
     char *text = g_strdup_printf(
@@ -35,22 +36,25 @@
         "\"vcpus\":1,\"gpus\":1,\"memory_gb\":1,\"image\":\"i\",\"pull_gb\":1,\"together\":false,\"spread\":false,"
         "\"reclaimable\":false,\"runtime_s\":%f,\"checkpoint_s\":0,\"flush_s\":0,\"due_s\":%f,\"prereqs\":%s},"
         "\"state\":\"%s\",\"at\":1000%s}",
-        strlen(prereqs) > 2 ? "chained_spec" : "spec", job_id, team, rank, RUNTIME_S, due, prereqs, state, ended);
-    cJSON *x = cJSON_Parse(text);
-    assert_non_null(x);
+        strlen(prerequisites) > 2 ? "chained_spec" : "spec", job_id, team, priority, RUNTIME_S, due, prerequisites,
+        state, ended);
+    cJSON *data = cJSON_Parse(text);
+    assert_non_null(data);
     char key[64];
     g_snprintf(key, sizeof key, "job/%s", job_id);
     store_lock();
-    store_apply(key, x, ++mod_revision);
+    store_apply(key, data, ++mod_revision);
     store_unlock();
-    cJSON_Delete(x);
+    cJSON_Delete(data);
     g_free(text);
     g_free(ended);
 }
 
-static void queued(const char *job_id, const char *prereqs) { put(job_id, "red", "idle", 0, prereqs, "queued", 0); }
-static void ends(const char *job_id, const char *prereqs, const char *state, double end) {
-    put(job_id, "red", "idle", 0, prereqs, state, end);
+static void queued(const char *job_id, const char *prerequisites) {
+    put(job_id, "red", "idle", 0, prerequisites, "queued", 0);
+}
+static void ends(const char *job_id, const char *prerequisites, const char *state, double end) {
+    put(job_id, "red", "idle", 0, prerequisites, state, end);
 }
 
 static int places_in_order(const char *job_id) {
@@ -67,42 +71,68 @@
 static void job_waits_until_all_prerequisites_are_recorded_done(void **state) {
     (void)state;
     queued("req-10003", "[\"req-10001\",\"req-10002\"]"); /* read before its prerequisites */
-    const struct job *j = jobs_find("req-10003");
-    assert_true(dependencies_unmet(j));
+    const struct job *job = jobs_find("req-10003");
+    assert_true(dependencies_unmet(job));
     assert_int_equal(places_in_order("req-10003"), 0);
     queued("req-10001", "[]");
     queued("req-10002", "[]");
     assert_int_equal(places_in_order("req-10001"), 1);
     ends("req-10001", "[]", "done", 1200);
-    assert_true(dependencies_unmet(j));
+    assert_true(dependencies_unmet(job));
     jobs_mark_done(jobs_find("req-10002"), 0);
     jobs_mark_done(jobs_find("req-10002"), 1);
     assert_true(jobs_complete(jobs_find("req-10002")));
-    assert_true(dependencies_unmet(j));
+    assert_true(dependencies_unmet(job));
     assert_int_equal(places_in_order("req-10003"), 0);
     ends("req-10002", "[]", "done", 1100);
-    assert_false(dependencies_unmet(j));
+    assert_false(dependencies_unmet(job));
     assert_int_equal(places_in_order("req-10003"), 1);
-    assert_float_equal(j->ready, 1200, 1e-6);
+    assert_float_equal(job->ready, 1200, 1e-6);
     /* Ends that the first version recorded are older than any job with prerequisites. */
     ends("req-10004", "[]", "done", 0);
     queued("req-10005", "[\"req-10004\"]");
-    assert_float_equal(jobs_find("req-10005")->ready, 1000, 1e-6);
+    assert_float_equal(jobs_find("req-10005")->ready, SUBMITTED, 1e-6);
     assert_int_equal(places_in_order("req-10005"), 1);
 }
 
+/* A job of a row below: jobs are numbered from 1 to ROW_JOBS in each, and their ids count from a base. */
+enum { ROW_JOBS = 4, ID_SIZE = 16 };
+
+struct row_job {
+    const char *number, *team, *priority;
+    double due;
+    const char *prerequisites, *state;
+};
+
+static void number_id(char job_id[ID_SIZE], int base, const char *number) {
+    g_snprintf(job_id, ID_SIZE, "req-%d", base + atoi(number));
+}
+
+/* A job that has ended by its last record was queued by an earlier one. */
+static void put_row_job(const struct row_job *job, int base) {
+    if (!job->number) return;
+    char job_id[ID_SIZE];
+    GString *prerequisites = g_string_new(job->prerequisites);
+    for (char digit = '0' + ROW_JOBS; digit > '0'; digit--) {
+        char number[] = {'"', digit, '"', 0}, quoted[ID_SIZE + 2];
+        g_snprintf(quoted, sizeof quoted, "\"req-%d\"", base + digit - '0');
+        g_string_replace(prerequisites, number, quoted, 0);
+    }
+    number_id(job_id, base, job->number);
+    put(job_id, job->team, job->priority, job->due, prerequisites->str, "queued", 0);
+    if (strcmp(job->state, "queued") != 0)
+        put(job_id, job->team, job->priority, job->due, prerequisites->str, job->state, 0);
+    g_string_free(prerequisites, TRUE);
+}
+
 /* Priorities and deadlines come from all unfinished jobs that depend on one, of whatever team; jobs are read in both
  * orders. */
 static void priority_and_deadline_come_from_unfinished_dependents(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        struct {
-            const char *job_id, *team, *rank;
-            double due;
-            const char *prereqs, *state;
-        } jobs[4];
-        const char *asked;
+        struct row_job jobs[ROW_JOBS];
+        const char *number; /* of the job that is checked */
         enum job_priority priority;
         double deadline; /* from the submission; 0: none */
     } rows[] = {
@@ -147,32 +177,19 @@
          PRIORITY_IDLE,
          0},
     };
+    enum { ORDERS = 2 };
     int base = 20000;
-    for (size_t i = 0; i < 2 * G_N_ELEMENTS(rows); i++, base += 10) {
-        size_t r = i / 2;
-        char job_id[16], asked[16];
-        for (int n = 0; n < 4; n++) {
-            int at = i % 2 ? 3 - n : n; /* the second time backwards */
-            if (!rows[r].jobs[at].job_id) continue;
-            g_snprintf(job_id, sizeof job_id, "req-%d", base + atoi(rows[r].jobs[at].job_id));
-            GString *list = g_string_new(rows[r].jobs[at].prereqs);
-            for (char d = '4'; d > '0'; d--) {
-                char from[4] = {'"', d, '"', 0}, to[16];
-                g_snprintf(to, sizeof to, "\"req-%d\"", base + d - '0');
-                g_string_replace(list, from, to, 0);
-            }
-            const char *last = rows[r].jobs[at].state;
-            put(job_id, rows[r].jobs[at].team, rows[r].jobs[at].rank, rows[r].jobs[at].due, list->str, "queued", 0);
-            if (strcmp(last, "queued") != 0)
-                put(job_id, rows[r].jobs[at].team, rows[r].jobs[at].rank, rows[r].jobs[at].due, list->str, last, 0);
-            g_string_free(list, TRUE);
-        }
-        g_snprintf(asked, sizeof asked, "req-%d", base + atoi(rows[r].asked));
-        const struct job *j = jobs_find(asked);
-        double want = rows[r].deadline > 0 ? 1000 + rows[r].deadline : INFINITY;
-        if (j->priority != rows[r].priority) fail_msg("%s: priority %d", rows[r].what, (int)j->priority);
-        if (j->deadline != want && fabs(j->deadline - want) > 1e-6)
-            fail_msg("%s: deadline %f", rows[r].what, j->deadline);
+    for (size_t i = 0; i < ORDERS * G_N_ELEMENTS(rows); i++, base += 10) {
+        size_t row = i / ORDERS;
+        bool backwards = i % ORDERS != 0;
+        for (int k = 0; k < ROW_JOBS; k++) put_row_job(&rows[row].jobs[backwards ? ROW_JOBS - 1 - k : k], base);
+        char job_id[ID_SIZE];
+        number_id(job_id, base, rows[row].number);
+        const struct job *job = jobs_find(job_id);
+        double deadline = rows[row].deadline > 0 ? SUBMITTED + rows[row].deadline : INFINITY;
+        if (job->priority != rows[row].priority) fail_msg("%s: priority %d", rows[row].what, (int)job->priority);
+        if (job->deadline != deadline && fabs(job->deadline - deadline) > 1e-6)
+            fail_msg("%s: deadline %f", rows[row].what, job->deadline);
     }
 }
 
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -72,7 +72,9 @@
         struct job_spec spec;
         const char *invalid_field = job_spec_read(submission, &cfg, &spec);
         if (g_strcmp0(invalid_field, rows[i].invalid_field) != 0) fail_msg("%s: %s", rows[i].to, invalid_field);
-        if (!invalid_field) {
+        if (invalid_field) {
+            assert_null(spec.job_class); /* nothing is left to be freed */
+        } else {
             assert_int_equal(job_check_feasible(&spec, &cfg, &type, 1), rows[i].feasibility);
             job_spec_clear(&spec);
         }
