--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -13,6 +13,7 @@
 #include "../store/store.h"
 #include "../sync/sync.h"
 #include "cancel.h"
+#include "request_queue.h"
 #include "submit.h"
 
 #define ATTEMPTS_MAX 4
--- a/src/api/poll.c
+++ b/src/api/poll.c
@@ -13,6 +13,7 @@
 #include "../sync/sync.h"
 #include "batch.h"
 #include "request.h"
+#include "request_queue.h"
 
 #define ANSWER_WITHIN_S 2.0 /* users wait no longer for the answer to a poll */
 #define GATHER_S 0.08       /* for so long more polls are gathered where requests to the store are scarce */
--- a/src/api/request.c
+++ b/src/api/request.c
@@ -1,7 +1,6 @@
 #include "request.h"
 
 #include <glib.h>
-#include <pthread.h>
 #include <stdbool.h>
 #include <stdlib.h>
 
@@ -9,12 +8,8 @@
 #include "../dependencies/dependencies.h"
 #include "../jobs/jobs.h"
 #include "../store/store.h"
-#include "../sync/sync.h"
 #include "latency.h"
 
-#define QUEUE_REQUESTS_MAX 400
-#define QUEUE_WAIT_S 10.0
-
 struct api_request *request_new(enum request_kind kind, struct http_request *http, const char *job_id) {
     struct api_request *request = g_new0(struct api_request, 1);
     request->kind = kind;
@@ -54,35 +49,3 @@
     }
     return must_cancel ? NEED_CANCELLATION : NEED_CONFIRMATION;
 }
-
-void request_queue_init(struct request_queue *queue) {
-    pthread_mutex_init(&queue->lock, NULL);
-    sync_cond_init(&queue->not_empty);
-    queue->requests = g_queue_new();
-}
-
-void request_queue_push(struct request_queue *queue, struct api_request *request) {
-    pthread_mutex_lock(&queue->lock);
-    bool full = queue->requests->length >= QUEUE_REQUESTS_MAX;
-    if (!full) {
-        http_suspend(request->http);
-        g_queue_push_tail(queue->requests, request);
-        pthread_cond_signal(&queue->not_empty);
-    }
-    pthread_mutex_unlock(&queue->lock);
-    if (full) request_refuse(request, REFUSAL_QUEUE_FULL);
-}
-
-void request_queue_take_waiting(struct request_queue *queue, GPtrArray *batch, guint most) {
-    pthread_mutex_lock(&queue->lock);
-    while (batch->len < most && queue->requests->length > 0) g_ptr_array_add(batch, g_queue_pop_head(queue->requests));
-    pthread_mutex_unlock(&queue->lock);
-}
-
-void request_queue_take(struct request_queue *queue, GPtrArray *batch, guint most) {
-    pthread_mutex_lock(&queue->lock);
-    while (queue->requests->length == 0)
-        sync_cond_wait(&queue->not_empty, &queue->lock, clock_from_seconds(QUEUE_WAIT_S));
-    pthread_mutex_unlock(&queue->lock);
-    request_queue_take_waiting(queue, batch, most);
-}
--- a/src/api/request.h
+++ b/src/api/request.h
@@ -1,10 +1,8 @@
-/* A user's request about one job, from its arrival to its answer, and the queues in which requests wait.
+/* A user's request about one job, from its arrival to its answer.
  *
  * A request belongs to one thread at a time: the HTTP server's until it is queued, then the queue's. */
 #ifndef FF_API_REQUEST_H
 #define FF_API_REQUEST_H
-#include <glib.h>
-#include <pthread.h>
 #include <stdbool.h>
 #include <stdint.h>
 #include <time.h>
@@ -52,19 +50,4 @@
 /* Answers at once what can be: a final state, which is true for good, and all else where the store is out of reach. On
  * the HTTP server's thread, without the lock. */
 enum request_need request_examine(struct api_request *request);
-
-/* Requests that wait for a thread. Thread-safe; without the lock. */
-struct request_queue {
-    pthread_mutex_t lock;
-    pthread_cond_t not_empty;
-    GQueue *requests;
-};
-
-void request_queue_init(struct request_queue *queue);
-/* Queues the request; one that finds the queue full is refused and freed. */
-void request_queue_push(struct request_queue *queue, struct api_request *request);
-/* Waits until there are requests, and adds them to the batch until it holds that many. */
-void request_queue_take(struct request_queue *queue, GPtrArray *batch, guint most);
-/* Adds those that are there, without waiting. */
-void request_queue_take_waiting(struct request_queue *queue, GPtrArray *batch, guint most);
 #endif
