--- /dev/null
+++ b/src/cloud/capacity.c
@@ -0,0 +1,72 @@
+#include "capacity.h"
+
+#include <glib.h>
+#include <math.h>
+#include <stdbool.h>
+#include <time.h>
+
+#include "../clock/clock.h"
+#include "../logging/logging.h"
+#include "../machines/machines.h"
+#include "cloud.h"
+
+#define PAUSE_FIRST_S 7
+#define PAUSE_MAX_S 60
+
+struct backoff {
+    struct timespec until;
+    double pause_s;
+};
+
+static GHashTable *backoffs; /* "TYPE ZONE SPOT" -> struct backoff */
+
+static char *kind_key(const char *type_name, const char *zone, bool spot) {
+    return g_strdup_printf("%s %s %d", type_name, zone, spot);
+}
+
+static void end_backoff(const char *type_name, const char *zone, bool spot) {
+    g_autofree char *key = kind_key(type_name, zone, spot);
+    g_hash_table_remove(backoffs, key);
+}
+
+/* A machine of the kind was returned: the next one may be had at once. */
+static void machine_returned(const struct machine *machine) {
+    end_backoff(machine->type_name, machine->zone, machine->spot);
+}
+
+void capacity_init(void) {
+    backoffs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    machines_on_returned(machine_returned);
+}
+
+bool cloud_may_rent(const char *type_name, const char *zone, bool spot) {
+    g_autofree char *key = kind_key(type_name, zone, spot);
+    const struct backoff *backoff = g_hash_table_lookup(backoffs, key);
+    return !backoff || clock_seconds_since(backoff->until) >= 0;
+}
+
+void capacity_note_available(const struct rental_request *request) {
+    end_backoff(request->type_name, request->zone, request->spot);
+}
+
+static struct backoff *find_or_add(const struct rental_request *request) {
+    char *key = kind_key(request->type_name, request->zone, request->spot);
+    struct backoff *backoff = g_hash_table_lookup(backoffs, key);
+    if (backoff) {
+        g_free(key);
+        return backoff;
+    }
+    backoff = g_new0(struct backoff, 1);
+    g_hash_table_insert(backoffs, key, backoff);
+    return backoff;
+}
+
+/* Calls are scarce, and asking in vain takes them from work that could be served: the pause grows to a minute, and is
+ * over at once when any controller returns a machine of the kind. */
+void capacity_note_refused(const struct rental_request *request) {
+    struct backoff *backoff = find_or_add(request);
+    backoff->pause_s = backoff->pause_s > 0 ? fmin(backoff->pause_s * 2, PAUSE_MAX_S) : PAUSE_FIRST_S;
+    backoff->until = clock_instant_in(clock_from_seconds(backoff->pause_s));
+    log_info("cloud: no capacity for %s in %s (%s), retrying in %.0f s", request->type_name, request->zone,
+             request->spot ? "spot" : "on-demand", backoff->pause_s);
+}
--- a/src/liveness/isolation.c
+++ b/src/liveness/isolation.c
@@ -9,6 +9,7 @@
 #include "../http/status.h"
 #include "../json/json.h"
 #include "../membership/membership.h"
+#include "../store/store.h"
 #include "internal.h"
 #include "liveness.h"
 #include "silence.h"
--- a/src/workers/dispatcher.c
+++ b/src/workers/dispatcher.c
@@ -7,6 +7,7 @@
 #include "../events/events.h"
 #include "../machines/machines.h"
 #include "../membership/membership.h"
+#include "../store/store.h"
 #include "../sync/sync.h"
 #include "codec.h"
 #include "commands.h"
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -12,6 +12,7 @@
 #include "../machines/machines.h"
 #include "../machines/occupancy.h"
 #include "../membership/membership.h"
+#include "../store/store.h"
 #include "codec.h"
 #include "directives.h"
 #include "proxy.h"
--- a/src/workers/proxy.c
+++ b/src/workers/proxy.c
@@ -6,6 +6,7 @@
 
 #include "../membership/membership.h"
 #include "../peers/peers.h"
+#include "../store/store.h"
 #include "codec.h"
 #include "directives.h"
 #include "listed_tasks.h"
--- a/src/workers/senders.c
+++ b/src/workers/senders.c
@@ -13,6 +13,7 @@
 #include "../logging/logging.h"
 #include "../machines/machines.h"
 #include "../membership/membership.h"
+#include "../store/store.h"
 #include "../sync/sync.h"
 #include "codec.h"
 #include "commands.h"
