--- /dev/null
+++ b/src/rebalancing/rebalancing_test.c
@@ -0,0 +1,108 @@
+/* Transfers of machines between shards. */
+#include "rebalancing/rebalancing.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <string.h>
+
+#include "../../tests/standin/owned.h"
+#include "../../tests/standin/site.h"
+#include "../../tests/standin/store.h"
+#include "clock/clock.h"
+#include "jobs/jobs.h"
+#include "placement/placement.h"
+#include "store/store.h"
+
+static struct settings cfg;
+
+/* What keeps a machine from being transferred to another shard. */
+static void machine_is_transferred_only_if_nothing_is_under_way(void **state) {
+    (void)state;
+    static const struct {
+        int to;
+        bool dirty, outcome_unknown, in_flight, needs_raise, returned, want;
+    } rows[] = {
+        {1, false, false, false, false, false, true}, {-1, false, false, false, false, false, false},
+        {1, true, false, false, false, false, false}, /* this round allocates on it */
+        {1, false, true, false, false, false, false}, {1, false, false, true, false, false, false},
+        {1, false, false, false, true, false, false}, {1, false, false, false, false, true, false},
+    };
+    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+        struct machine machine;
+        memset(&machine, 0, sizeof machine);
+        machine.allocations = g_ptr_array_new();
+        machine.rebalance.to = rows[i].to;
+        machine.round.dirty = rows[i].dirty;
+        machine.commands.outcome_unknown = rows[i].outcome_unknown;
+        machine.commands.in_flight = rows[i].in_flight;
+        machine.commands.needs_token_raise = rows[i].needs_raise;
+        machine.retirement.return_wanted = rows[i].returned;
+        assert_int_equal(rebalancing_allowed(&machine), rows[i].want);
+        g_ptr_array_free(machine.allocations, TRUE);
+    }
+}
+
+/* A job of team blue, which is shard 1's, asks for a machine; shard 0 has two, the older of which is its reception. */
+static void spare_machine_is_given_to_a_needy_shard(void **state) {
+    (void)state;
+    static const struct {
+        const char *what, *priority;
+        bool eligible, own_work_waits;
+        int want; /* shard that the second machine is to go to; -1: it stays */
+    } rows[] = {
+        {"an idle machine", "normal", true, false, 1},
+        {"a job that has waited for a moment only", "normal", false, false, -1},
+        {"work of the same priority waits here as well", "normal", true, true, -1},
+        {"of higher priority than the work that waits here", "high", true, true, 1},
+    };
+    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+        char job_id[32], own_id[32], key[64];
+        g_snprintf(job_id, sizeof job_id, "req-87%zu00", i);
+        g_snprintf(own_id, sizeof own_id, "req-87%zu01", i);
+        g_snprintf(key, sizeof key, "job/%s", job_id);
+        g_autofree char *record = g_strdup_printf(
+            "{\"spec\":{\"uid\":\"%s\",\"jobclass\":\"c\",\"owner\":\"blue\",\"shape\":\"batch\",\"rank\":\"%s\","
+            "\"tasks\":1,\"vcpus\":1,\"gpus\":0,\"memory_gb\":4,\"image\":\"i\",\"pull_gb\":1,\"together\":false,"
+            "\"spread\":false,\"reclaimable\":false,\"runtime_s\":50,\"checkpoint_s\":15,\"flush_s\":2},"
+            "\"state\":\"queued\",\"at\":%f}",
+            job_id, rows[i].priority, clock_time_of_day() - 10);
+        store_lock();
+        struct machine *reception = owned_machine("i-870000", "za", false);
+        struct machine *spare = owned_machine("i-870001", "za", false);
+        reception->created_at = spare->created_at - 1;
+        g_strlcpy(reception->address, "10.0.0.1:9000", sizeof reception->address);
+        g_strlcpy(spare->address, "10.0.0.2:9000", sizeof spare->address);
+        reception->owned_since = spare->owned_since = (struct timespec){0, 0};
+        owned_put(key, record);
+        struct job *job = jobs_find(job_id);
+        assert_non_null(job);
+        assert_int_equal(jobs_shard(job), 1);
+        if (rows[i].eligible) job->eligible_since = (struct timespec){0, 0};
+        if (rows[i].own_work_waits) owned_job(own_id, "batch", "normal", 1, 1, 0, false, false, 5)->unplaced = true;
+        placement_prepare_machines(0);
+        shard_states[0].rebalanced_at = (struct timespec){0, 0};
+        rebalancing_plan(0);
+        int reception_to = reception->rebalance.to, spare_to = spare->rebalance.to;
+        owned_put(key, NULL);
+        owned_clear();
+        store_unlock();
+        if (reception_to >= 0 || spare_to != rows[i].want)
+            fail_msg("%s: to shard %d, reception to %d", rows[i].what, spare_to, reception_to);
+    }
+}
+
+int main(void) {
+    char *text = site_json();
+    if (!settings_parse(text, "f.json", &cfg, NULL) || !standin_store_start(cfg.state)) return 1;
+    g_free(text);
+    owned_start(&cfg);
+    store_lock();
+    owned_put(
+        "types",
+        "{\"flavours\":[{\"sku\":\"g16\",\"vcpus\":16,\"gpus\":2,\"memory_gb\":64,\"hourly\":7,\"market_price\":2,"
+        "\"startup_s\":25,\"sites\":[\"za\",\"zb\",\"zc\"]}]}");
+    store_unlock();
+    const struct CMUnitTest tests[] = {cmocka_unit_test(machine_is_transferred_only_if_nothing_is_under_way),
+                                       cmocka_unit_test(spare_machine_is_given_to_a_needy_shard)};
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -19,7 +19,6 @@
 #include "machines/machines.h"
 #include "membership/membership.h"
 #include "peers/peers.h"
-#include "rebalancing/rebalancing.h"
 #include "scheduler/scheduler.h"
 #include "workers/workers.h"
 
@@ -215,33 +214,6 @@
     assert_int_equal(standin_workers_most_copies(), 1);
 }
 
-/* What keeps a machine from being transferred to another shard. */
-static void may_pass(void **state) {
-    (void)state;
-    static const struct {
-        int to;
-        bool touched, unknown, sending, raise, leaving, want;
-    } rows[] = {
-        {1, false, false, false, false, false, true}, {-1, false, false, false, false, false, false},
-        {1, true, false, false, false, false, false}, /* this round allocates on it */
-        {1, false, true, false, false, false, false}, {1, false, false, true, false, false, false},
-        {1, false, false, false, true, false, false}, {1, false, false, false, false, true, false},
-    };
-    for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct machine m;
-        memset(&m, 0, sizeof m);
-        m.allocations = g_ptr_array_new();
-        m.rebalance.to = rows[i].to;
-        m.round.dirty = rows[i].touched;
-        m.commands.outcome_unknown = rows[i].unknown;
-        m.commands.in_flight = rows[i].sending;
-        m.commands.needs_token_raise = rows[i].raise;
-        m.retirement.return_wanted = rows[i].leaving;
-        assert_int_equal(rebalancing_allowed(&m), rows[i].want);
-        g_ptr_array_free(m.allocations, TRUE);
-    }
-}
-
 /* Which gangs may be completed under the attempt they have. */
 static void gang_open(void **state) {
     (void)state;
@@ -296,9 +268,9 @@
     c = http_client_new();
     service_init(&cfg);
     if (!service_start(&cfg)) return 1;
-    const struct CMUnitTest tests[] = {
-        cmocka_unit_test(answers), cmocka_unit_test(runs_a_job), cmocka_unit_test(repeated),
-        cmocka_unit_test(cancels), cmocka_unit_test(outage),     cmocka_unit_test(silent_machine),
-        cmocka_unit_test(deaf),    cmocka_unit_test(may_pass),   cmocka_unit_test(gang_open)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(answers),  cmocka_unit_test(runs_a_job),
+                                       cmocka_unit_test(repeated), cmocka_unit_test(cancels),
+                                       cmocka_unit_test(outage),   cmocka_unit_test(silent_machine),
+                                       cmocka_unit_test(deaf),     cmocka_unit_test(gang_open)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
