--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -8,6 +8,7 @@
 #include <time.h>
 
 #include "../../tests/standin/fleet.h"
+#include "../../tests/standin/ports.h"
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/store.h"
 #include "allocations/allocations.h"
@@ -250,6 +251,20 @@
     }
 }
 
+/* Two runs of this test on one machine once shared the ports of SITE_JSON, and each other's requests. */
+static bool use_free_ports(void) {
+    char **addresses[] = {&cfg.bind, &cfg.cluster_listen, &cfg.cloud, &cfg.state};
+    if (!ports_claim()) return false;
+    for (size_t i = 0; i < G_N_ELEMENTS(addresses); i++) {
+        char address[32];
+        ports_next_address(address, sizeof address);
+        g_free(*addresses[i]);
+        *addresses[i] = g_strdup(address);
+    }
+    standin_workers_set_first_port(ports_next());
+    return true;
+}
+
 int main(void) {
     char *text =
         site_with(SITE_JSON, "\"report_s\":3,\"lease_s\":20,\"gang_wait_s\":30,\"gang_peer_s\":5,\"cancel_s\":40",
@@ -263,6 +278,7 @@
     cfg.tuning.silent_return = clock_from_seconds(1);
     cfg.n_seeds = 0;
     cfg.teams[0].gpus_max = 0;
+    if (!use_free_ports()) return 1;
     if (!standin_store_start(cfg.state) || !standin_cloud_start(cfg.cloud, cfg.bind)) return 1;
     logging_init("error");
     c = http_client_new();
--- a/tests/standin/cluster.c
+++ b/tests/standin/cluster.c
@@ -1,6 +1,5 @@
 #include "cluster.h"
 
-#include <arpa/inet.h>
 #include <glib.h>
 #include <signal.h>
 #include <stdbool.h>
@@ -8,7 +7,6 @@
 #include <stdio.h>
 #include <string.h>
 #include <sys/prctl.h>
-#include <sys/socket.h>
 #include <sys/wait.h>
 #include <time.h>
 #include <unistd.h>
@@ -18,6 +16,7 @@
 #include "http/client.h"
 #include "json/json.h"
 #include "logging/logging.h"
+#include "ports.h"
 #include "store.h"
 
 struct controller {
@@ -31,34 +30,6 @@
 static struct cluster_site site;
 static char cloud[32], nowhere[32];
 
-/* Ports come in blocks below those that the system gives to outgoing connections: a controller that begins again must
- * find its own free. A block is this process's as long as it listens on the block's first port. */
-#define BLOCKS_FROM 10000
-#define BLOCK_PORTS 100
-#define BLOCKS 220
-static int next_port;
-
-static bool claim_block(int first_port) {
-    struct sockaddr_in at = {
-        .sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK), .sin_port = htons((uint16_t)first_port)};
-    int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (fd >= 0 && bind(fd, (struct sockaddr *)&at, sizeof at) == 0 && listen(fd, 1) == 0) return true;
-    if (fd >= 0) close(fd);
-    return false;
-}
-
-static bool claim_ports(void) {
-    for (int n = 0; n < BLOCKS; n++) {
-        int first = BLOCKS_FROM + ((int)getpid() + n) % BLOCKS * BLOCK_PORTS;
-        if (!claim_block(first)) continue;
-        next_port = first + 1;
-        return true;
-    }
-    return false;
-}
-
-static void free_address(char *to) { g_snprintf(to, 32, "127.0.0.1:%d", next_port++); }
-
 static const char *zone_of(int index) { return index ? "zb" : "za"; }
 
 static char *seeds_of(int index) {
@@ -110,9 +81,9 @@
 
 bool cluster_start(const char *program, const struct cluster_site *chosen) {
     site = *chosen;
-    if (!claim_ports()) return false;
-    free_address(cloud);
-    free_address(nowhere);
+    if (!ports_claim()) return false;
+    ports_next_address(cloud, sizeof cloud);
+    ports_next_address(nowhere, sizeof nowhere);
     g_setenv("LOG_LEVEL", "error", FALSE);
     logging_init("error");
     for (int index = 0; index < site.controllers; index++) {
@@ -120,13 +91,13 @@
         controller->program = program;
         controller->teams = site.teams[index] ? site.teams[index] : site.teams[0];
         g_snprintf(controller->name, sizeof controller->name, "n%d", index);
-        free_address(controller->bind);
-        free_address(controller->listen);
-        free_address(controller->door);
+        ports_next_address(controller->bind, sizeof controller->bind);
+        ports_next_address(controller->listen, sizeof controller->listen);
+        ports_next_address(controller->door, sizeof controller->door);
         if (index == 0 ? !standin_store_start(controller->door) : !standin_store_add_endpoint(index, controller->door))
             return false;
     }
-    standin_workers_set_first_port(next_port);
+    standin_workers_set_first_port(ports_next());
     if (!standin_cloud_start(cloud, controllers[0].bind)) return false;
     for (int index = 1; index < site.controllers; index++)
         standin_workers_add_controller(controllers[index].name, controllers[index].bind);
