--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -211,9 +211,9 @@
 
 void batch_enqueue(struct api_request *request) { request_queue_push(&write_queue, request); }
 
-void batch_init(const struct settings *all_settings) { settings = all_settings; }
-
-void batch_start(void) {
+void batch_init(const struct settings *all_settings) {
+    settings = all_settings;
     request_queue_init(&write_queue);
-    sync_start_thread(batch_main, NULL);
 }
+
+void batch_start(void) { sync_start_thread(batch_main, NULL); }
--- a/src/api/poll.c
+++ b/src/api/poll.c
@@ -121,9 +121,9 @@
     }
 }
 
-void poll_init(const struct settings *all_settings) { settings = all_settings; }
-
-void poll_start(void) {
+void poll_init(const struct settings *all_settings) {
+    settings = all_settings;
     request_queue_init(&poll_queue);
-    sync_start_thread(poll_main, NULL);
 }
+
+void poll_start(void) { sync_start_thread(poll_main, NULL); }
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -64,10 +64,10 @@
     sync_cond_init(&cond);
 }
 
-bool peers_start(void) {
-    if (!http_server_start(cfg->cluster_listen, 64, on_peer, NULL)) return false;
+bool peers_listen(void) { return http_server_start(cfg->cluster_listen, 64, on_peer, NULL) != NULL; }
+
+void peers_start(void) {
     for (int i = 0; i < cfg->n_seeds; i++) sync_start_thread(peer_main, (void *)(intptr_t)i);
-    return true;
 }
 
 void peers_hint(void) {
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -89,12 +89,19 @@
 /* Three quarters of the sockets serve users, workers and health checks; the rest are our own connections. */
 static unsigned server_connections(int sockets) { return (unsigned)sockets * 3 / 4; }
 
+/* Both addresses, before any thread of the packages runs: a program that ends because it cannot listen, while threads
+ * of its libraries are starting, once ended by a segmentation fault instead of its status. */
+static bool listen_on_addresses(const struct settings *settings) {
+    unsigned connections = server_connections(settings->sockets);
+    return http_server_start(settings->bind, connections, on_request, NULL) && peers_listen();
+}
+
 bool service_start(const struct settings *settings) {
     raise_open_files(settings->sockets);
+    if (!listen_on_addresses(settings)) return false;
     api_start();
     dependencies_start();
-    if (!http_server_start(settings->bind, server_connections(settings->sockets), on_request, NULL)) return false;
-    if (!peers_start()) return false;
+    peers_start();
     store_mirror_start();
     membership_start();
     scheduler_start();
