--- a/src/jobs/job_lists.c
+++ b/src/jobs/job_lists.c
@@ -7,14 +7,14 @@
 #include "../model/shard.h"
 
 static struct {
-    int n_shards;
+    const struct settings *settings;
     GPtrArray *active; /* oldest first, as those of each shard */
     GPtrArray *active_of[SHARDS_MAX], *ended_of[SHARDS_MAX];
     int n_foreign; /* active jobs whose record names a shard */
 } lists;
 
 void job_lists_init(const struct settings *settings) {
-    lists.n_shards = settings->size;
+    lists.settings = settings;
     lists.active = g_ptr_array_new();
     for (int i = 0; i < SHARDS_MAX; i++) {
         lists.active_of[i] = g_ptr_array_new();
@@ -27,7 +27,10 @@
 GPtrArray *jobs_ended_of(int shard) { return lists.ended_of[shard]; }
 bool jobs_any_foreign(void) { return lists.n_foreign > 0; }
 
-static int home_shard(const struct job *job) { return job->spec.team < 0 ? 0 : job->spec.team % lists.n_shards; }
+/* A job of a team that the settings do not name is in the first shard: nothing of it starts. */
+static int home_shard(const struct job *job) {
+    return job->spec.team < 0 ? 0 : settings_home_shard(lists.settings, job->spec.team);
+}
 
 int jobs_shard(const struct job *job) { return job->shard >= 0 ? job->shard : home_shard(job); }
 
--- a/src/jobs/job_record.c
+++ b/src/jobs/job_record.c
@@ -67,7 +67,8 @@
     cJSON_AddStringToObject(value, FIELD_STATE, state_names[state]);
     cJSON_AddNumberToObject(value, FIELD_SUBMITTED, submitted);
     /* In its team's home shard the record names none, so that it is the one that all versions know. */
-    if (team >= 0 && shard >= 0 && shard != team % settings->size) cJSON_AddNumberToObject(value, FIELD_SHARD, shard);
+    if (team >= 0 && shard >= 0 && shard != settings_home_shard(settings, team))
+        cJSON_AddNumberToObject(value, FIELD_SHARD, shard);
     return value;
 }
 
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -30,7 +30,7 @@
 
 int quota_shard_of_new(int team, const char *job_id) {
     const struct quota_team *team_quota = quota_team_at(team);
-    int home = team % quota_settings->size;
+    int home = settings_home_shard(quota_settings, team);
     return team_quota && team_quota->recorded
                ? quota_shard_for(job_id, home, quota_settings->size, team_quota->record.shards)
                : home;
@@ -57,9 +57,10 @@
     const struct quota_team *team_quota = divided(team);
     /* A job that came into another shard shortly before the division was taken back waits until it is moved. */
     if (!team_quota) {
-        return shard == team % quota_settings->size ? (struct quota_bound){limit_or_none(team_settings->cpus_max),
-                                                                           limit_or_none(team_settings->gpus_max)}
-                                                    : no_room;
+        return shard == settings_home_shard(quota_settings, team)
+                   ? (struct quota_bound){limit_or_none(team_settings->cpus_max),
+                                          limit_or_none(team_settings->gpus_max)}
+                   : no_room;
     }
     int at = quota_allotment_index(&team_quota->record, shard);
     /* A write that was refused may be the second copy of one that was carried out: until the mirror shows whether it
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -21,7 +21,7 @@
     if (teams[team]) return teams[team];
     struct quota_team *team_quota = g_new0(struct quota_team, 1);
     team_quota->team = team;
-    team_quota->home = team % quota_settings->size;
+    team_quota->home = settings_home_shard(quota_settings, team);
     team_quota->record.shards = 1;
     teams[team] = team_quota;
     return team_quota;
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -34,6 +34,8 @@
            load_quota(g_getenv("FIELDFIELD_QUOTA"), out, error);
 }
 
+int settings_home_shard(const struct settings *settings, int team) { return team % settings->size; }
+
 int settings_zone(const struct settings *settings, const char *name) {
     for (int i = 0; i < settings->n_zones; i++)
         if (strcmp(settings->zones[i], name) == 0) return i;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -105,6 +105,8 @@
                                  const char *job_class, double otherwise);
 /* Whether an objective of this kind names the class. */
 bool settings_has_objective(const struct settings *settings, enum settings_objective_kind kind, const char *job_class);
+/* The home shard of a team: that of all its jobs, unless the team is divided over several. */
+int settings_home_shard(const struct settings *settings, int team);
 /* The index of a zone or team; -1: unknown. */
 int settings_zone(const struct settings *settings, const char *name);
 int settings_team(const struct settings *settings, const char *name);
