--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -150,7 +150,7 @@
 
 static void respond_unwritten(const struct api_request *request, enum store_result result) {
     bool over_rate = result == STORE_REJECTED && !store_is_unreachable();
-    if (over_rate && refusal_status(request->refusal.reason) != STATUS_UNAVAILABLE) {
+    if (over_rate && refusal_status(request->refusal.reason) != HTTP_SERVICE_UNAVAILABLE) {
         respond_refused(request->http, REFUSAL_WRITE_BUDGET);
     } else {
         respond_refused(request->http, REFUSAL_STORE_SILENT);
--- a/src/api/responses.c
+++ b/src/api/responses.c
@@ -19,28 +19,28 @@
 
 static const struct refusal_response refusal_responses[] = {
     [REFUSAL_NONE] = {0, 0, ""},
-    [REFUSAL_PATH_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such path"},
-    [REFUSAL_METHOD_NOT_ALLOWED] = {STATUS_METHOD_NOT_ALLOWED, 0, "method not allowed"},
-    [REFUSAL_BODY_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "body: above 64 KiB"},
-    [REFUSAL_FIELD_INVALID] = {STATUS_BAD_REQUEST, 0, "%s: missing or invalid"},
-    [REFUSAL_RECORD_TOO_LARGE] = {STATUS_BAD_REQUEST, 0, "%.40s: too long, a job's record may take %zu bytes"},
-    [REFUSAL_JOB_UNKNOWN] = {STATUS_NOT_FOUND, 0, "no such job"},
-    [REFUSAL_TEAM_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, TEAM ": unknown team"},
-    [REFUSAL_FITS_NO_MACHINE_TYPE] = {STATUS_UNPROCESSABLE, 0, "a task fits no allowed machine type"},
-    [REFUSAL_ABOVE_TEAM_LIMIT] = {STATUS_UNPROCESSABLE, 0, "needs more than the team's limit"},
-    [REFUSAL_PREREQUISITE_ITSELF] = {STATUS_UNPROCESSABLE, 0, PREREQUISITES ": %s names itself"},
-    [REFUSAL_PREREQUISITE_SERVICE] = {STATUS_UNPROCESSABLE, 0, PREREQUISITES ": %s is a service"},
-    [REFUSAL_PREREQUISITE_UNKNOWN] = {STATUS_UNPROCESSABLE, 0, PREREQUISITES ": %s was never accepted"},
-    [REFUSAL_PREREQUISITE_UNREADABLE] = {STATUS_UNAVAILABLE, 2, PREREQUISITES ": the record of %s can't be read"},
-    [REFUSAL_QUEUE_FULL] = {STATUS_TOO_MANY_REQUESTS, 2, "too many requests wait here"},
-    [REFUSAL_WRITE_BUDGET] = {STATUS_TOO_MANY_REQUESTS, 1, "over the write budget"},
-    [REFUSAL_STORE_UNREACHABLE] = {STATUS_UNAVAILABLE, 2, "the state service is out of reach"},
-    [REFUSAL_STORE_SILENT] = {STATUS_UNAVAILABLE, 2, "the state service did not answer"},
-    [REFUSAL_MACHINE_TYPES_UNKNOWN] = {STATUS_UNAVAILABLE, 1, "machine types are not known yet"},
-    [REFUSAL_RECORD_UNCONFIRMED] = {STATUS_UNAVAILABLE, 1, "the state service did not answer"},
-    [REFUSAL_POLL_EXPIRED] = {STATUS_UNAVAILABLE, 1, "the answer took too long"},
-    [REFUSAL_CANCELLATION_UNDECIDED] = {STATUS_UNAVAILABLE, 1, "not decided yet"},
-    [REFUSAL_PREREQUISITE_CANCELLED] = {STATUS_UNAVAILABLE, 1, "a job that it needs is cancelled"},
+    [REFUSAL_PATH_UNKNOWN] = {HTTP_NOT_FOUND, 0, "no such path"},
+    [REFUSAL_METHOD_NOT_ALLOWED] = {HTTP_METHOD_NOT_ALLOWED, 0, "method not allowed"},
+    [REFUSAL_BODY_TOO_LARGE] = {HTTP_BAD_REQUEST, 0, "body: above 64 KiB"},
+    [REFUSAL_FIELD_INVALID] = {HTTP_BAD_REQUEST, 0, "%s: missing or invalid"},
+    [REFUSAL_RECORD_TOO_LARGE] = {HTTP_BAD_REQUEST, 0, "%.40s: too long, a job's record may take %zu bytes"},
+    [REFUSAL_JOB_UNKNOWN] = {HTTP_NOT_FOUND, 0, "no such job"},
+    [REFUSAL_TEAM_UNKNOWN] = {HTTP_UNPROCESSABLE, 0, TEAM ": unknown team"},
+    [REFUSAL_FITS_NO_MACHINE_TYPE] = {HTTP_UNPROCESSABLE, 0, "a task fits no allowed machine type"},
+    [REFUSAL_ABOVE_TEAM_LIMIT] = {HTTP_UNPROCESSABLE, 0, "needs more than the team's limit"},
+    [REFUSAL_PREREQUISITE_ITSELF] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES ": %s names itself"},
+    [REFUSAL_PREREQUISITE_SERVICE] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES ": %s is a service"},
+    [REFUSAL_PREREQUISITE_UNKNOWN] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES ": %s was never accepted"},
+    [REFUSAL_PREREQUISITE_UNREADABLE] = {HTTP_SERVICE_UNAVAILABLE, 2, PREREQUISITES ": the record of %s can't be read"},
+    [REFUSAL_QUEUE_FULL] = {HTTP_TOO_MANY_REQUESTS, 2, "too many requests wait here"},
+    [REFUSAL_WRITE_BUDGET] = {HTTP_TOO_MANY_REQUESTS, 1, "over the write budget"},
+    [REFUSAL_STORE_UNREACHABLE] = {HTTP_SERVICE_UNAVAILABLE, 2, "the state service is out of reach"},
+    [REFUSAL_STORE_SILENT] = {HTTP_SERVICE_UNAVAILABLE, 2, "the state service did not answer"},
+    [REFUSAL_MACHINE_TYPES_UNKNOWN] = {HTTP_SERVICE_UNAVAILABLE, 1, "machine types are not known yet"},
+    [REFUSAL_RECORD_UNCONFIRMED] = {HTTP_SERVICE_UNAVAILABLE, 1, "the state service did not answer"},
+    [REFUSAL_POLL_EXPIRED] = {HTTP_SERVICE_UNAVAILABLE, 1, "the answer took too long"},
+    [REFUSAL_CANCELLATION_UNDECIDED] = {HTTP_SERVICE_UNAVAILABLE, 1, "not decided yet"},
+    [REFUSAL_PREREQUISITE_CANCELLED] = {HTTP_SERVICE_UNAVAILABLE, 1, "a job that it needs is cancelled"},
 };
 
 struct refusal refusal_about(enum refusal_reason reason, const char *subject) {
@@ -103,10 +103,10 @@
         return;
     }
     const char *state = jobs_state_name(job, &running);
-    respond_state(http, STATUS_OK, job, state, job->n_done, running);
+    respond_state(http, HTTP_OK, job, state, job->n_done, running);
 }
 
 void respond_job_created(struct http_request *http, const struct job *job) {
     int running;
-    respond_state(http, STATUS_CREATED, job, jobs_state_name(job, &running), 0, 0);
+    respond_state(http, HTTP_CREATED, job, jobs_state_name(job, &running), 0, 0);
 }
--- a/src/api/responses.h
+++ b/src/api/responses.h
@@ -6,21 +6,10 @@
 
 #include "../dependencies/dependencies.h"
 #include "../http/server.h"
+#include "../http/status.h"
 #include "../jobs/feasibility.h"
 #include "../model/job.h"
 
-/* The statuses of answers. */
-enum http_status {
-    STATUS_OK = 200,
-    STATUS_CREATED = 201,
-    STATUS_BAD_REQUEST = 400,
-    STATUS_NOT_FOUND = 404,
-    STATUS_METHOD_NOT_ALLOWED = 405,
-    STATUS_UNPROCESSABLE = 422,
-    STATUS_TOO_MANY_REQUESTS = 429,
-    STATUS_UNAVAILABLE = 503,
-};
-
 /* Why a request is not carried out. */
 enum refusal_reason {
     REFUSAL_NONE,
--- a/src/api/responses_test.c
+++ b/src/api/responses_test.c
@@ -25,11 +25,11 @@
         enum http_status status;
         const char *text;
     } rows[] = {
-        {PREREQUISITE_ITSELF, STATUS_UNPROCESSABLE, "prereqs: req-10001 names itself"},
-        {PREREQUISITE_SERVICE, STATUS_UNPROCESSABLE, "prereqs: req-10001 is a service"},
-        {PREREQUISITE_UNKNOWN, STATUS_UNPROCESSABLE, "prereqs: req-10001 was never accepted"},
-        {PREREQUISITE_UNREADABLE, STATUS_UNAVAILABLE, "prereqs: the record of req-10001 can't be read"},
-        {PREREQUISITE_STORE_SILENT, STATUS_UNAVAILABLE, "the state service did not answer"},
+        {PREREQUISITE_ITSELF, HTTP_UNPROCESSABLE, "prereqs: req-10001 names itself"},
+        {PREREQUISITE_SERVICE, HTTP_UNPROCESSABLE, "prereqs: req-10001 is a service"},
+        {PREREQUISITE_UNKNOWN, HTTP_UNPROCESSABLE, "prereqs: req-10001 was never accepted"},
+        {PREREQUISITE_UNREADABLE, HTTP_SERVICE_UNAVAILABLE, "prereqs: the record of req-10001 can't be read"},
+        {PREREQUISITE_STORE_SILENT, HTTP_SERVICE_UNAVAILABLE, "the state service did not answer"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
         check(refusal_of_prerequisites((struct prerequisites_check){rows[i].result, "req-10001"}), rows[i].status,
@@ -41,15 +41,14 @@
 static void infeasible_job_is_unprocessable(void **state) {
     (void)state;
     assert_int_equal(refusal_of_feasibility(JOB_FEASIBLE).reason, REFUSAL_NONE);
-    check(refusal_of_feasibility(JOB_TEAM_UNKNOWN), STATUS_UNPROCESSABLE, "owner: unknown team");
-    check(refusal_of_feasibility(JOB_FITS_NO_MACHINE_TYPE), STATUS_UNPROCESSABLE,
-          "a task fits no allowed machine type");
-    check(refusal_of_feasibility(JOB_ABOVE_TEAM_LIMIT), STATUS_UNPROCESSABLE, "needs more than the team's limit");
+    check(refusal_of_feasibility(JOB_TEAM_UNKNOWN), HTTP_UNPROCESSABLE, "owner: unknown team");
+    check(refusal_of_feasibility(JOB_FITS_NO_MACHINE_TYPE), HTTP_UNPROCESSABLE, "a task fits no allowed machine type");
+    check(refusal_of_feasibility(JOB_ABOVE_TEAM_LIMIT), HTTP_UNPROCESSABLE, "needs more than the team's limit");
 }
 
 static void invalid_field_is_a_bad_request(void **state) {
     (void)state;
-    check(refusal_about(REFUSAL_FIELD_INVALID, "uid"), STATUS_BAD_REQUEST, "uid: missing or invalid");
+    check(refusal_about(REFUSAL_FIELD_INVALID, "uid"), HTTP_BAD_REQUEST, "uid: missing or invalid");
 }
 
 /* The name of a field may be the user's own: only its first 40 bytes are shown. */
@@ -57,7 +56,7 @@
     (void)state;
     char *name = g_strnfill(100, 'n'), *shown = g_strnfill(40, 'n');
     char *expected = g_strdup_printf("%s: too long, a job's record may take %zu bytes", shown, jobs_record_bytes_max());
-    check(refusal_about(REFUSAL_RECORD_TOO_LARGE, name), STATUS_BAD_REQUEST, expected);
+    check(refusal_about(REFUSAL_RECORD_TOO_LARGE, name), HTTP_BAD_REQUEST, expected);
     g_free(expected);
     g_free(shown);
     g_free(name);
