--- a/rehearsal/play.c
+++ b/rehearsal/play.c
@@ -8,10 +8,11 @@
 #include <string.h>
 #include <time.h>
 
+#include "../tests/standin/cloud.h"
 #include "../tests/standin/cluster.h"
-#include "../tests/standin/fleet.h"
 #include "../tests/standin/history.h"
 #include "../tests/standin/store.h"
+#include "../tests/standin/workers.h"
 #include "clock/clock.h"
 #include "store/keys.h"
 
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -7,10 +7,11 @@
 #include <string.h>
 #include <time.h>
 
-#include "../../tests/standin/fleet.h"
+#include "../../tests/standin/cloud.h"
 #include "../../tests/standin/ports.h"
 #include "../../tests/standin/site.h"
 #include "../../tests/standin/store.h"
+#include "../../tests/standin/workers.h"
 #include "allocations/allocations.h"
 #include "clock/clock.h"
 #include "cloud/cloud.h"
@@ -279,7 +280,8 @@
     cfg.n_seeds = 0;
     cfg.teams[0].gpus_max = 0;
     if (!use_free_ports()) return 1;
-    if (!standin_store_start(cfg.state) || !standin_cloud_start(cfg.cloud, cfg.bind)) return 1;
+    standin_workers_start(cfg.bind);
+    if (!standin_store_start(cfg.state) || !standin_cloud_start(cfg.cloud)) return 1;
     logging_init("error");
     c = http_client_new();
     service_init(&cfg);
--- a/tests/cluster/compound_failures_test.c
+++ b/tests/cluster/compound_failures_test.c
@@ -8,10 +8,11 @@
 #include <time.h>
 
 #include "../standin/cases.h"
-#include "../standin/fleet.h"
+#include "../standin/cloud.h"
 #include "../standin/pair.h"
 #include "../standin/site.h"
 #include "../standin/store.h"
+#include "../standin/workers.h"
 #include "clock/clock.h"
 
 static char last_state[32];
--- a/tests/cluster/dependency_failures_test.c
+++ b/tests/cluster/dependency_failures_test.c
@@ -10,10 +10,11 @@
 #include <time.h>
 
 #include "../standin/cases.h"
-#include "../standin/fleet.h"
+#include "../standin/cloud.h"
 #include "../standin/pair.h"
 #include "../standin/site.h"
 #include "../standin/store.h"
+#include "../standin/workers.h"
 #include "clock/clock.h"
 
 #define STAGE_S 20.0 /* by when a stage has followed the one before it, whatever happened */
--- a/tests/cluster/divided_teams_test.c
+++ b/tests/cluster/divided_teams_test.c
@@ -10,11 +10,12 @@
 #include <time.h>
 
 #include "../standin/cases.h"
+#include "../standin/cloud.h"
 #include "../standin/cluster.h"
-#include "../standin/fleet.h"
 #include "../standin/history.h"
 #include "../standin/site.h"
 #include "../standin/store.h"
+#include "../standin/workers.h"
 #include "clock/clock.h"
 
 #define CONTROLLERS 3
--- a/tests/cluster/rolling_upgrade_test.c
+++ b/tests/cluster/rolling_upgrade_test.c
@@ -10,10 +10,11 @@
 #include <time.h>
 
 #include "../standin/cases.h"
-#include "../standin/fleet.h"
+#include "../standin/cloud.h"
 #include "../standin/pair.h"
 #include "../standin/site.h"
 #include "../standin/store.h"
+#include "../standin/workers.h"
 #include "clock/clock.h"
 
 #define NEXT_LIMITS "{\"write_rps\":400,\"value_kb\":1,\"txn_ops\":4}"
--- a/tests/cluster/store_partition_test.c
+++ b/tests/cluster/store_partition_test.c
@@ -10,10 +10,11 @@
 #include <time.h>
 
 #include "../standin/cases.h"
-#include "../standin/fleet.h"
+#include "../standin/cloud.h"
 #include "../standin/pair.h"
 #include "../standin/site.h"
 #include "../standin/store.h"
+#include "../standin/workers.h"
 #include "clock/clock.h"
 
 #define REFUSED_S 0.8 /* from the refusal to the outage: less than a controller's lease in the store */
--- a/tests/cluster/two_controllers_test.c
+++ b/tests/cluster/two_controllers_test.c
@@ -4,10 +4,10 @@
 #include <string.h>
 #include <time.h>
 
-#include "../standin/fleet.h"
 #include "../standin/pair.h"
 #include "../standin/site.h"
 #include "../standin/store.h"
+#include "../standin/workers.h"
 #include "clock/clock.h"
 
 #define GAP_MAX 15 /* the protocol forgets a job after 75 s without an answer; these times are a fifth of its */
--- /dev/null
+++ b/tests/standin/cloud.c
@@ -0,0 +1,138 @@
+#include "cloud.h"
+
+#include <glib.h>
+#include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "http/server.h"
+#include "json/json.h"
+#include "workers.h"
+
+#define CONNECTIONS_MAX 16
+#define HTTP_OK 200
+#define HTTP_TOO_MANY_REQUESTS 429
+#define HTTP_UNAVAILABLE 503
+
+static const char catalogue[] =
+    "{\"flavours\":[{\"sku\":\"g4\",\"vcpus\":16,\"gpus\":4,\"memory_gb\":64,\"local_gb\":50,"
+    "\"fetch_gb_per_s\":1,\"hourly\":10,\"market_price\":3,\"startup_s\":1,\"sites\":[\"za\"]}]}";
+
+/* What the first rentals get, in this order. */
+static const struct {
+    unsigned status;
+    const char *body;
+} refusals[] = {{HTTP_TOO_MANY_REQUESTS, "{}"},
+                {HTTP_UNAVAILABLE, "{\"error\":\"trouble\"}"},
+                {HTTP_UNAVAILABLE, "{\"error\":\"no capacity\"}"}};
+
+/* The lock comes before that of the workers. */
+static struct {
+    pthread_mutex_t lock;
+    GHashTable *claims; /* claim -> text of its first request */
+    int claims_reused, returned, capacity;
+    unsigned refused;
+} cloud = {.lock = PTHREAD_MUTEX_INITIALIZER, .capacity = STANDIN_WORKERS_MAX};
+
+/* With the lock held. */
+static void note_claim(const cJSON *rental) {
+    const char *claim = json_get_string(rental, "claim"), *earlier = g_hash_table_lookup(cloud.claims, claim);
+    char *text = cJSON_PrintUnformatted(rental);
+    if (earlier && strcmp(earlier, text) != 0) cloud.claims_reused++;
+    g_hash_table_insert(cloud.claims, g_strdup(claim), g_strdup(text));
+    free(text);
+}
+
+/* With the lock held. */
+static cJSON *rent(const cJSON *rental) {
+    int64_t wanted = 0;
+    json_get_int64(rental, "how_many", &wanted);
+    cJSON *answer = cJSON_CreateObject(), *hosts = cJSON_AddArrayToObject(answer, "hosts");
+    int64_t available = MIN(wanted, cloud.capacity - standin_workers_alive());
+    for (int64_t i = 0; i < available; i++) {
+        const char *id = standin_workers_add(json_get_bool(rental, "reclaimable"));
+        if (!id) break;
+        cJSON_AddItemToArray(hosts, cJSON_CreateString(id));
+    }
+    return answer;
+}
+
+/* With the lock held. */
+static cJSON *answer_rental(const cJSON *rental, unsigned *status) {
+    note_claim(rental);
+    if (cloud.refused >= G_N_ELEMENTS(refusals)) return rent(rental);
+    *status = refusals[cloud.refused].status;
+    return cJSON_Parse(refusals[cloud.refused++].body);
+}
+
+/* With the lock held. */
+static cJSON *answer_return(const cJSON *list) {
+    const cJSON *host;
+    cJSON_ArrayForEach(host, cJSON_GetObjectItem(list, "hosts")) {
+        if (standin_workers_remove(host->valuestring)) cloud.returned++;
+    }
+    return cJSON_CreateObject();
+}
+
+static void on_request(struct http_request *request, void *ctx) {
+    (void)ctx;
+    size_t length;
+    const char *path = http_path(request), *body = http_body(request, &length);
+    cJSON *object = cJSON_ParseWithLength(body, length), *answer;
+    unsigned status = HTTP_OK;
+    pthread_mutex_lock(&cloud.lock);
+    if (strcmp(path, "/flavors") == 0) {
+        answer = cJSON_Parse(catalogue);
+    } else if (strcmp(path, "/rentals/return") == 0) {
+        answer = answer_return(object);
+    } else if (strcmp(http_method(request), "POST") == 0) {
+        answer = answer_rental(object, &status);
+    } else {
+        answer = cJSON_Parse("{\"hosts\":[],\"has_next\":false}");
+    }
+    pthread_mutex_unlock(&cloud.lock);
+    cJSON_Delete(object);
+    http_reply_json(request, status, answer, 0);
+}
+
+bool standin_cloud_start(const char *address) {
+    cloud.claims = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    return http_server_start(address, CONNECTIONS_MAX, on_request, NULL) != NULL;
+}
+
+void standin_cloud_refuse_no_rental(void) {
+    pthread_mutex_lock(&cloud.lock);
+    cloud.refused = G_N_ELEMENTS(refusals);
+    pthread_mutex_unlock(&cloud.lock);
+}
+
+void standin_cloud_set_capacity(int machines) {
+    pthread_mutex_lock(&cloud.lock);
+    cloud.capacity = machines;
+    pthread_mutex_unlock(&cloud.lock);
+}
+
+int standin_cloud_rented(void) { return standin_workers_added(); }
+
+int standin_cloud_rentals_refused(void) {
+    pthread_mutex_lock(&cloud.lock);
+    int refused = (int)cloud.refused;
+    pthread_mutex_unlock(&cloud.lock);
+    return refused;
+}
+
+int standin_cloud_returned(void) {
+    pthread_mutex_lock(&cloud.lock);
+    int returned = cloud.returned;
+    pthread_mutex_unlock(&cloud.lock);
+    return returned;
+}
+
+int standin_cloud_claims_reused(void) {
+    pthread_mutex_lock(&cloud.lock);
+    int reused = cloud.claims_reused;
+    pthread_mutex_unlock(&cloud.lock);
+    return reused;
+}
--- a/tests/standin/cluster.c
+++ b/tests/standin/cluster.c
@@ -12,12 +12,13 @@
 #include <unistd.h>
 
 #include "clock/clock.h"
-#include "fleet.h"
+#include "cloud.h"
 #include "http/client.h"
 #include "json/json.h"
 #include "logging/logging.h"
 #include "ports.h"
 #include "store.h"
+#include "workers.h"
 
 struct controller {
     const char *program;
@@ -98,7 +99,8 @@
             return false;
     }
     standin_workers_set_first_port(ports_next());
-    if (!standin_cloud_start(cloud, controllers[0].bind)) return false;
+    standin_workers_start(controllers[0].bind);
+    if (!standin_cloud_start(cloud)) return false;
     for (int index = 1; index < site.controllers; index++)
         standin_workers_add_controller(controllers[index].name, controllers[index].bind);
     standin_workers_set_lease(CLUSTER_LEASE_S);
--- /dev/null
+++ b/tests/standin/workers.c
@@ -0,0 +1,497 @@
+#include "workers.h"
+
+#include <glib.h>
+#include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <stdlib.h>
+#include <string.h>
+#include <time.h>
+
+#include "clock/clock.h"
+#include "http/client.h"
+#include "http/server.h"
+#include "json/json.h"
+#include "sync/sync.h"
+#include "worker.h"
+
+#define CONTROLLERS_MAX 8
+#define CONNECTIONS_MAX 16
+#define FIRST_PORT 18300
+#define URL_LENGTH 96
+#define HEARTBEAT_INTERVAL_S 0.15
+#define COPIES_INTERVAL_S 0.05
+#define HEARTBEAT_TIMEOUT_MS 1000
+#define NO_LEASE_S 1e9
+#define HTTP_OK 200
+#define HTTP_CONFLICT 409
+#define HTTP_MISDIRECTED 421
+#define HTTP_ERROR 500
+
+/* A command that is executed when its machine's fault ends. */
+struct delayed_command {
+    struct standin_worker *worker;
+    cJSON *command;
+};
+
+/* A copy of a heartbeat on its way. */
+struct heartbeat_copy {
+    char *text;
+    int original_to; /* the controller that had the original */
+    struct timespec due;
+};
+
+/* When a task was first started, and how often. */
+struct task_starts {
+    struct timespec first;
+    int count;
+};
+
+static struct {
+    pthread_mutex_t lock;
+    struct standin_worker machines[STANDIN_WORKERS_MAX];
+    int n_machines, first_port;
+    struct {
+        const char *node; /* NULL: the first, which is given without a name */
+        const char *address;
+    } controllers[CONTROLLERS_MAX];
+    int n_controllers;
+    double lease_s;
+    bool unreachable;
+    GPtrArray *delayed_commands; /* struct delayed_command */
+    GQueue *copies;              /* struct heartbeat_copy, in the order in which they are due */
+    double copy_after_s;
+    const char *fetch_prefix;
+    double fetch_s;
+    GHashTable *starts_of; /* task -> struct task_starts */
+    int starts, most_copies, peak;
+    const char *peak_prefix;
+} workers = {.lock = PTHREAD_MUTEX_INITIALIZER, .first_port = FIRST_PORT, .lease_s = NO_LEASE_S};
+
+/* Counts of tasks. With the lock held. */
+
+typedef bool (*task_matcher)(const struct standin_task *task, const char *text);
+
+static bool is_held(const struct standin_task *task, const char *name) {
+    return !task->ended && strcmp(task->name, name) == 0;
+}
+
+static bool is_running(const struct standin_task *task, const char *name) {
+    return is_held(task, name) && standin_task_has_image(task);
+}
+
+static bool is_held_with_prefix(const struct standin_task *task, const char *prefix) {
+    return !task->ended && g_str_has_prefix(task->name, prefix);
+}
+
+/* How many tasks on all machines match; in `last` the index of the last machine that has one, if it is asked for. */
+static int count_tasks(task_matcher matches, const char *text, int *last) {
+    int count = 0;
+    for (int i = 0; i < workers.n_machines; i++) {
+        const struct standin_worker *worker = &workers.machines[i];
+        for (guint k = 0; worker->alive && k < worker->tasks->len; k++) {
+            if (!matches(&g_array_index(worker->tasks, struct standin_task, k), text)) continue;
+            count++;
+            if (last) *last = i;
+        }
+    }
+    return count;
+}
+
+static void note_start(const char *task) {
+    struct task_starts *starts = g_hash_table_lookup(workers.starts_of, task);
+    if (!starts) {
+        starts = g_new0(struct task_starts, 1);
+        starts->first = clock_now();
+        g_hash_table_insert(workers.starts_of, g_strdup(task), starts);
+    }
+    starts->count++;
+    workers.starts++;
+    workers.most_copies = MAX(workers.most_copies, count_tasks(is_running, task, NULL));
+    if (workers.peak_prefix) {
+        workers.peak = MAX(workers.peak, count_tasks(is_held_with_prefix, workers.peak_prefix, NULL));
+    }
+}
+
+/* What a machine hears. With the lock held. */
+
+static void execute_directives(struct standin_worker *worker, const cJSON *object) {
+    const cJSON *entry;
+    if (!standin_worker_accept_token(worker, object)) return;
+    cJSON_ArrayForEach(entry, cJSON_GetObjectItem(object, "orders")) {
+        struct standin_directive directive = standin_directive_read(entry);
+        bool slow = workers.fetch_prefix && g_str_has_prefix(directive.task, workers.fetch_prefix);
+        if (standin_worker_execute(worker, &directive, slow ? workers.fetch_s : 0)) note_start(directive.task);
+    }
+}
+
+static bool execute_command(struct standin_worker *worker, const cJSON *command) {
+    bool accepted = standin_worker_accepts_command(worker, command);
+    if (accepted) execute_directives(worker, command);
+    return accepted;
+}
+
+static bool hears_commands(const struct standin_worker *worker) {
+    return worker->alive && !workers.unreachable && !worker->unreachable && worker->fault < STANDIN_CANNOT_HEAR;
+}
+
+/* Delayed commands are executed later, whatever became of the controller that sent them. */
+static void delay_command(struct standin_worker *worker, const cJSON *command) {
+    if (!worker->alive || (worker->fault != STANDIN_COMMANDS_DELAYED && worker->fault != STANDIN_HANGS)) return;
+    struct delayed_command *delayed = g_new0(struct delayed_command, 1);
+    delayed->worker = worker;
+    delayed->command = cJSON_Duplicate(command, true);
+    g_ptr_array_add(workers.delayed_commands, delayed);
+}
+
+static void execute_delayed(const struct standin_worker *worker) {
+    for (guint i = workers.delayed_commands->len; i-- > 0;) {
+        struct delayed_command *delayed = workers.delayed_commands->pdata[i];
+        if (worker && delayed->worker != worker) continue;
+        if (delayed->worker->alive) execute_command(delayed->worker, delayed->command);
+        cJSON_Delete(delayed->command);
+        g_free(delayed);
+        g_ptr_array_remove_index(workers.delayed_commands, i);
+    }
+}
+
+/* Commands of controllers. Thread of the machine's server. */
+static void on_command(struct http_request *request, void *ctx) {
+    struct standin_worker *worker = ctx;
+    size_t length;
+    const char *body = http_body(request, &length);
+    cJSON *command = cJSON_ParseWithLength(body, length), *heartbeat = NULL;
+    bool accepted = false;
+    pthread_mutex_lock(&workers.lock);
+    if (hears_commands(worker)) {
+        accepted = execute_command(worker, command);
+        heartbeat = standin_worker_heartbeat(worker);
+    } else {
+        delay_command(worker, command);
+    }
+    pthread_mutex_unlock(&workers.lock);
+    cJSON_Delete(command);
+    if (heartbeat) {
+        http_reply_json(request, accepted ? HTTP_OK : HTTP_CONFLICT, heartbeat, 0);
+    } else {
+        http_reply(request, HTTP_ERROR, NULL, 0);
+    }
+}
+
+/* A machine's heartbeats. */
+
+/* One heartbeat from its making to the answer. */
+struct heartbeat {
+    char url[URL_LENGTH];
+    char *text;
+    int64_t incarnation;
+    bool alive, sent;
+};
+
+static bool sends_heartbeats(const struct standin_worker *worker) {
+    return worker->alive && !workers.unreachable && !worker->unreachable && worker->fault != STANDIN_CANNOT_REPORT &&
+           worker->fault != STANDIN_HANGS;
+}
+
+static void heartbeat_url(char *url, int controller) {
+    g_snprintf(url, URL_LENGTH, "http://%s/checkin", workers.controllers[controller].address);
+}
+
+/* With the lock held. */
+static void queue_copy(const char *text, int original_to) {
+    struct heartbeat_copy *copy = g_new0(struct heartbeat_copy, 1);
+    copy->text = g_strdup(text);
+    copy->original_to = original_to;
+    copy->due = clock_instant_in(clock_from_seconds(workers.copy_after_s));
+    g_queue_push_tail(workers.copies, copy);
+}
+
+static struct heartbeat prepare_heartbeat(struct standin_worker *worker) {
+    struct heartbeat heartbeat;
+    pthread_mutex_lock(&workers.lock);
+    standin_worker_check_lease(worker, workers.lease_s);
+    if (worker->fault == STANDIN_PARTITIONED) worker->controller = 0;
+    cJSON *object = standin_worker_heartbeat(worker);
+    heartbeat.text = cJSON_PrintUnformatted(object);
+    heartbeat.incarnation = worker->incarnation;
+    heartbeat.alive = worker->alive;
+    heartbeat.sent = sends_heartbeats(worker);
+    heartbeat_url(heartbeat.url, worker->controller);
+    if (heartbeat.sent && workers.copy_after_s > 0) queue_copy(heartbeat.text, worker->controller);
+    pthread_mutex_unlock(&workers.lock);
+    cJSON_Delete(object);
+    return heartbeat;
+}
+
+/* After an answer that was not 200: the leader that it names, or the next controller. With the lock held. */
+static void choose_controller(struct standin_worker *worker, long status, const cJSON *answer) {
+    const char *leader = status == HTTP_MISDIRECTED ? json_get_string(answer, "master") : NULL;
+    int next = (worker->controller + 1) % workers.n_controllers;
+    for (int i = 0; leader && i < workers.n_controllers; i++) {
+        const char *node = workers.controllers[i].node;
+        if (node && strcmp(node, leader) == 0) next = i;
+    }
+    worker->controller = next;
+}
+
+/* With the lock held. */
+static void take_answer(struct standin_worker *worker, const struct heartbeat *heartbeat, struct timespec sent_at,
+                        long status, const cJSON *answer) {
+    int64_t fencing_token = 0;
+    if (worker->fault == STANDIN_CANNOT_HEAR || worker->fault == STANDIN_HANGS) return;
+    if (status != HTTP_OK) {
+        choose_controller(worker, status, answer);
+    } else if (heartbeat->incarnation == worker->incarnation && json_get_int64(answer, "fence", &fencing_token) &&
+               fencing_token >= worker->fencing_token) {
+        worker->last_answer = sent_at;
+        execute_directives(worker, answer);
+    }
+}
+
+static void send_heartbeat(struct http_client *client, struct standin_worker *worker,
+                           const struct heartbeat *heartbeat) {
+    long status = 0;
+    cJSON *answer = NULL;
+    struct timespec sent_at = clock_now();
+    enum http_outcome outcome =
+        http_call(client, "POST", heartbeat->url, heartbeat->text, HEARTBEAT_TIMEOUT_MS, &status, &answer);
+    pthread_mutex_lock(&workers.lock);
+    take_answer(worker, heartbeat, sent_at, outcome == HTTP_ANSWERED ? status : 0, answer);
+    pthread_mutex_unlock(&workers.lock);
+    cJSON_Delete(answer);
+}
+
+static void *worker_main(void *arg) {
+    struct standin_worker *worker = arg;
+    struct http_client *client = http_client_new();
+    for (bool alive = true; alive;) {
+        clock_sleep(clock_from_seconds(HEARTBEAT_INTERVAL_S));
+        struct heartbeat heartbeat = prepare_heartbeat(worker);
+        if (heartbeat.sent) send_heartbeat(client, worker, &heartbeat);
+        free(heartbeat.text);
+        alive = heartbeat.alive;
+    }
+    http_client_free(client);
+    return NULL;
+}
+
+/* The next copy that is due, and its URL: that of a controller that had not the original. NULL: none is due. */
+static struct heartbeat_copy *next_copy(char *url) {
+    pthread_mutex_lock(&workers.lock);
+    struct heartbeat_copy *copy = g_queue_peek_head(workers.copies);
+    if (copy && clock_seconds_since(copy->due) < 0) copy = NULL;
+    if (copy) {
+        g_queue_pop_head(workers.copies);
+        heartbeat_url(url, (copy->original_to + 1) % workers.n_controllers);
+    }
+    pthread_mutex_unlock(&workers.lock);
+    return copy;
+}
+
+static void *copies_main(void *arg) {
+    (void)arg;
+    struct http_client *client = http_client_new();
+    for (;;) {
+        char url[URL_LENGTH];
+        long status;
+        struct heartbeat_copy *copy = next_copy(url);
+        if (!copy) {
+            clock_sleep(clock_from_seconds(COPIES_INTERVAL_S));
+            continue;
+        }
+        http_call(client, "POST", url, copy->text, HEARTBEAT_TIMEOUT_MS, &status, NULL);
+        g_free(copy->text);
+        g_free(copy);
+    }
+    return NULL;
+}
+
+/* Machines, for the cloud. */
+
+void standin_workers_start(const char *controller) {
+    workers.starts_of = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    workers.delayed_commands = g_ptr_array_new();
+    workers.copies = g_queue_new();
+    standin_workers_add_controller(NULL, controller);
+    sync_start_thread(copies_main, NULL);
+}
+
+const char *standin_workers_add(bool spot) {
+    struct standin_worker *worker = NULL;
+    pthread_mutex_lock(&workers.lock);
+    if (workers.n_machines < STANDIN_WORKERS_MAX) {
+        int index = workers.n_machines++;
+        worker = &workers.machines[index];
+        standin_worker_init(worker, index, workers.first_port + index, spot);
+        http_server_start(worker->address, CONNECTIONS_MAX, on_command, worker);
+        sync_start_thread(worker_main, worker);
+    }
+    pthread_mutex_unlock(&workers.lock);
+    return worker ? worker->id : NULL;
+}
+
+bool standin_workers_remove(const char *id) {
+    bool removed = false;
+    pthread_mutex_lock(&workers.lock);
+    for (int i = 0; i < workers.n_machines; i++) {
+        struct standin_worker *worker = &workers.machines[i];
+        if (!worker->alive || strcmp(worker->id, id) != 0) continue;
+        worker->alive = false;
+        standin_worker_lose_tasks(worker);
+        removed = true;
+    }
+    pthread_mutex_unlock(&workers.lock);
+    return removed;
+}
+
+int standin_workers_alive(void) {
+    int alive = 0;
+    pthread_mutex_lock(&workers.lock);
+    for (int i = 0; i < workers.n_machines; i++) alive += workers.machines[i].alive;
+    pthread_mutex_unlock(&workers.lock);
+    return alive;
+}
+
+int standin_workers_added(void) {
+    pthread_mutex_lock(&workers.lock);
+    int added = workers.n_machines;
+    pthread_mutex_unlock(&workers.lock);
+    return added;
+}
+
+/* What tests set. */
+
+void standin_workers_add_controller(const char *node, const char *controller) {
+    pthread_mutex_lock(&workers.lock);
+    workers.controllers[workers.n_controllers].node = node;
+    workers.controllers[workers.n_controllers++].address = controller;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_set_first_port(int first) {
+    pthread_mutex_lock(&workers.lock);
+    workers.first_port = first;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_set_lease(double seconds) {
+    pthread_mutex_lock(&workers.lock);
+    workers.lease_s = seconds;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_inject(int index, enum standin_worker_fault fault) {
+    pthread_mutex_lock(&workers.lock);
+    for (int i = 0; i < workers.n_machines; i++) {
+        struct standin_worker *worker = &workers.machines[i];
+        if (index >= 0 && index != i) continue;
+        if (worker->alive) standin_worker_check_lease(worker, workers.lease_s);
+        worker->fault = fault;
+    }
+    if (fault == STANDIN_HEALTHY) execute_delayed(index < 0 ? NULL : &workers.machines[index]);
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_set_unreachable(bool unreachable) {
+    pthread_mutex_lock(&workers.lock);
+    workers.unreachable = unreachable;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_set_one_unreachable(int index) {
+    pthread_mutex_lock(&workers.lock);
+    workers.machines[index].unreachable = true;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_duplicate_heartbeats(double after_s) {
+    pthread_mutex_lock(&workers.lock);
+    workers.copy_after_s = after_s;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_report_to(int controller) {
+    pthread_mutex_lock(&workers.lock);
+    for (int i = 0; i < workers.n_machines; i++) workers.machines[i].controller = controller;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_set_fetch_time(const char *prefix, double seconds) {
+    pthread_mutex_lock(&workers.lock);
+    workers.fetch_prefix = prefix;
+    workers.fetch_s = seconds;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+void standin_workers_measure_peak(const char *prefix) {
+    pthread_mutex_lock(&workers.lock);
+    workers.peak_prefix = prefix;
+    workers.peak = 0;
+    pthread_mutex_unlock(&workers.lock);
+}
+
+/* What tests read. */
+
+int standin_workers_running(const char *task) {
+    pthread_mutex_lock(&workers.lock);
+    int count = count_tasks(is_running, task, NULL);
+    pthread_mutex_unlock(&workers.lock);
+    return count;
+}
+
+int standin_workers_holding(const char *task) {
+    pthread_mutex_lock(&workers.lock);
+    int count = count_tasks(is_held, task, NULL);
+    pthread_mutex_unlock(&workers.lock);
+    return count;
+}
+
+int standin_workers_machine_of(const char *task) {
+    int index = -1;
+    pthread_mutex_lock(&workers.lock);
+    count_tasks(is_held, task, &index);
+    pthread_mutex_unlock(&workers.lock);
+    return index;
+}
+
+int standin_workers_most_copies(void) {
+    pthread_mutex_lock(&workers.lock);
+    int most = workers.most_copies;
+    pthread_mutex_unlock(&workers.lock);
+    return most;
+}
+
+int standin_workers_starts(void) {
+    pthread_mutex_lock(&workers.lock);
+    int starts = workers.starts;
+    pthread_mutex_unlock(&workers.lock);
+    return starts;
+}
+
+int standin_workers_starts_by_prefix(const char *prefix) {
+    GHashTableIter iterator;
+    gpointer task, starts;
+    int count = 0;
+    pthread_mutex_lock(&workers.lock);
+    g_hash_table_iter_init(&iterator, workers.starts_of);
+    while (g_hash_table_iter_next(&iterator, &task, &starts)) {
+        if (g_str_has_prefix(task, prefix)) count += ((const struct task_starts *)starts)->count;
+    }
+    pthread_mutex_unlock(&workers.lock);
+    return count;
+}
+
+struct timespec standin_workers_first_start(const char *task) {
+    pthread_mutex_lock(&workers.lock);
+    const struct task_starts *starts = g_hash_table_lookup(workers.starts_of, task);
+    struct timespec first = starts ? starts->first : (struct timespec){0, 0};
+    pthread_mutex_unlock(&workers.lock);
+    return first;
+}
+
+int standin_workers_peak(void) {
+    pthread_mutex_lock(&workers.lock);
+    int peak = workers.peak;
+    pthread_mutex_unlock(&workers.lock);
+    return peak;
+}
