--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -1,399 +1,279 @@
 #include "scale_out.h"
 
 #include <glib.h>
+#include <math.h>
 #include <stdbool.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "../allocations/allocations.h"
 #include "../clock/clock.h"
-#include "../cloud/cloud.h"
-#include "../liveness/liveness.h"
-#include "../logging/logging.h"
 #include "../machine_types/machine_types.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
-#include "../preemption/preemption.h"
 #include "../priority/priority.h"
-#include "../provisioning/provisioning.h"
 #include "../quota/quota.h"
-#include "../schema_version/schema_version.h"
+#include "rental_choice.h"
+#include "shard_plan.h"
 
-static const struct settings *cfg;
+#define OWNED_S 4              /* an owner of less has not read yet what is on its way */
+#define FINISHED_DEFAULT_S 120 /* in which a job is wanted done whose class has no objective */
+#define RUNTIME_MIN_S 1.0      /* of a task, in the backlog */
+#define GANG_LATELY_S 100      /* a shard whose last gang came that long ago is one that runs gangs */
+#define SPARE_WEIGHT 1
 
-bool scale_out_type_fits(const struct job_spec *j, const struct machine_type *f) {
-    return (!j->machine_types || g_strv_contains((const char *const *)j->machine_types, f->type_name)) &&
-           j->vcpus <= f->vcpus + 1e-6 && j->gpus <= f->gpus + 1e-6 && j->memory_gb <= f->memory_gb + 1e-6;
-}
+enum {
+    MACHINES_PER_SPARE = 7, /* of a shard that runs gangs */
+    JOB_TASKS_PLANNED = 128,
+    REQUEST_MACHINES_MAX = 50 /* that a call may ask for */
+};
 
-bool planned_machine_take(struct planned_machine *v, const struct job *j, const char *site) {
-    const struct job_spec *s = &j->spec;
-    if ((v->o.spot && !s->allows_spot) || (v->foreign && s->allows_spot) || (v->kept && s->kind != JOB_GANG))
-        return false;
-    if ((site && strcmp(site, v->o.zone) != 0) || (s->zone && strcmp(s->zone, v->o.zone) != 0)) return false;
-    if (s->machine_types && !g_strv_contains((const char *const *)s->machine_types, v->o.type_name)) return false;
-    if (s->vcpus > v->cpu + 1e-6 || s->gpus > v->gpu + 1e-6 || s->memory_gb > v->mem + 1e-6) return false;
-    v->cpu -= s->vcpus;
-    v->gpu -= s->gpus;
-    v->mem -= s->memory_gb;
-    return true;
-}
+static const struct settings *settings;
 
-void planned_machine_add(GArray *vms, const char *type_name, const char *site, bool spot) {
-    const struct machine_type *f = machine_types_find(type_name);
-    if (!f) return;
-    struct planned_machine v = {{"", "", spot, 0, 0, 0}, f->vcpus, f->gpus, f->memory_gb, false, false};
-    g_strlcpy(v.o.type_name, type_name, sizeof v.o.type_name);
-    g_strlcpy(v.o.zone, site, sizeof v.o.zone);
-    g_array_append_val(vms, v);
+void scale_out_init(const struct settings *chosen) {
+    settings = chosen;
+    rental_choice_init(chosen);
+    shard_plan_init(chosen);
 }
 
-/* Machines of the shard by zone, counted once a plan; what the plan orders counts as well. */
-static int zone_count[SETTINGS_ZONES], zone_lot = 1;
-static int *zone_of(const char *site) {
-    int z = settings_zone(cfg, site);
-    return z < 0 ? NULL : &zone_count[z];
-}
-static int here_in(const char *site) {
-    const int *n = zone_of(site);
-    return n ? *n : 0;
-}
+/* The rentals for a job. */
+struct job_rental {
+    struct job *job;
+    bool within_guarantee;
+    char zone[ZONE_NAME_SIZE]; /* where the job's tasks have to be; empty: anywhere, or not decided yet */
+    guint first_machine;       /* the plan's machines before it have no room for the job's tasks; examined anew for each
+                                  task, they took most of a controller's processor time at 4,000 machines */
+};
 
-/* The cheapest type that fits, its kind, and a zone that has not just refused. */
-static bool choose(int k, const struct job *j, const char *site, bool dear, struct rental_request *o) {
-    for (int spot = j->spec.allows_spot ? 1 : 0; spot >= (j->spec.allows_spot && !dear ? 1 : 0); spot--) {
-        double best = 0;
-        bool found = false;
-        for (int i = 0; i < machine_types_count(); i++) {
-            const struct machine_type *f = &machine_types_all()[i];
-            if (!scale_out_type_fits(&j->spec, f)) continue;
-            double price = spot ? f->spot_price : f->hourly_price;
-            for (int z = 0; z < f->n_zones; z++) {
-                const char *s = f->zones[z];
-                if ((site && strcmp(site, s) != 0) || (j->spec.zone && strcmp(j->spec.zone, s) != 0)) continue;
-                if (!cloud_may_rent(f->type_name, s, spot == 1) || liveness_zone_unreachable(k, s)) continue;
-                /* Among equal prices, the zone where this shard has least; a whole order goes to one, calls are scarce.
-                 */
-                double cost = price * (1 + 0.001 * (here_in(s) / zone_lot));
-                if (found && cost >= best) continue;
-                found = true;
-                best = cost;
-                g_strlcpy(o->type_name, f->type_name, sizeof o->type_name);
-                g_strlcpy(o->zone, s, sizeof o->zone);
-                o->spot = spot == 1;
-            }
-        }
-        if (found) return true;
+static int tasks_that_fit(const GArray *machines, const struct job *job, const char *zone) {
+    int n = 0;
+    for (guint i = 0; i < machines->len; i++) {
+        struct planned_machine planned = g_array_index(machines, struct planned_machine, i);
+        if (planned.foreign) continue;
+        while (n < job->spec.tasks && planned_machine_take(&planned, job, zone)) n++;
     }
-    return false;
+    return n;
 }
 
-/* For a gang that stays together: the zone in which what is there or on its way takes most of it. */
-static void fullest_zone(int k, const GArray *vms, const struct job *j, char *site, size_t n) {
-    int best = 0;
-    for (int z = 0; z < cfg->n_zones; z++) {
-        int fit = 0;
-        for (guint y = 0; y < vms->len; y++) {
-            struct planned_machine v = g_array_index(vms, struct planned_machine, y);
-            if (v.foreign) continue;
-            while (fit < j->spec.tasks && planned_machine_take(&v, j, cfg->zones[z])) fit++;
-        }
+/* For a job that stays in one zone: the one in which what is there or on its way takes most of it; empty: none. */
+static void choose_fullest_zone(const struct shard_plan *plan, struct job_rental *rental) {
+    const struct job *job = rental->job;
+    int most = 0;
+    for (int i = 0; i < settings->n_zones; i++) {
+        const char *zone = settings->zones[i];
+        struct rental_request request;
+        int n_fit = tasks_that_fit(plan->machines, job, zone);
+        if (n_fit <= most) continue;
         /* Pieces in a zone that the cloud adds nothing to are no beginning. */
-        struct rental_request o;
-        if (fit <= best || (fit < j->spec.tasks && !choose(k, j, cfg->zones[z], true, &o))) continue;
-        best = fit;
-        g_strlcpy(site, cfg->zones[z], n);
+        if (n_fit < job->spec.tasks && !rental_choice_find(plan->shard, job, zone, RENTAL_SPOT_FIRST, &request))
+            continue;
+        most = n_fit;
+        g_strlcpy(rental->zone, zone, sizeof rental->zone);
     }
 }
 
-/* One more machine in the plan. */
-static void add_order(GArray *vms, const struct rental_request *o, int weight) {
-    planned_machine_add(vms, o->type_name, o->zone, o->spot);
-    g_array_index(vms, struct planned_machine, vms->len - 1).o.weight = weight;
-    if (zone_of(o->zone)) ++*zone_of(o->zone);
+static bool has_task_in(const struct job *job, const char *zone) {
+    for (guint i = 0; i < job->allocations->len; i++)
+        if (strcmp(((const struct allocation *)job->allocations->pdata[i])->machine->zone, zone) == 0) return true;
+    return false;
 }
 
-/* The design's weak point: headroom is a sum, so scattered pieces starve gangs while no rental fires. A shard that runs
- * gangs keeps one whole machine in SPARE_IN, there or booting, beyond what waits; as few as drain at a time. */
-#define SPARE_IN 7
-#define SPARE_S 100 /* for so long after the last of them came */
-static void rent_spares(int k, GArray *vms, const GArray *order, int steady, int most) {
-    struct job *like = NULL;
-    for (guint i = 0; i < order->len && !like; i++) {
-        struct job *j = g_array_index(order, struct priority_entry, i).job;
-        if (j->spec.kind == JOB_GANG && !j->spec.allows_spot && clock_time_of_day() - j->ready < SPARE_S) like = j;
-    }
-    int whole = 0;
-    for (guint y = 0; y < vms->len; y++) {
-        const struct planned_machine *v = &g_array_index(vms, struct planned_machine, y);
-        const struct machine_type *f = machine_types_find(v->o.type_name);
-        whole += f && !v->foreign && !v->o.spot && v->cpu >= f->vcpus - 1e-6 && v->gpu >= f->gpus - 1e-6;
-    }
-    for (int n = MIN(steady / SPARE_IN - whole, most); like && n > 0; n--) {
-        struct rental_request o;
-        memset(&o, 0, sizeof o);
-        if (!choose(k, like, NULL, true, &o)) return;
-        add_order(vms, &o, 1);
-    }
+/* A spread job's next task asks for a zone that has none of them yet; NULL: any. */
+static const char *spread_zone(const struct job *job) {
+    if (!job->spec.spread || job->allocations->len == 0) return NULL;
+    for (int i = 0; i < settings->n_zones; i++)
+        if (!has_task_in(job, settings->zones[i])) return settings->zones[i];
+    return NULL;
 }
 
-/* What a shard has, and what the plan makes of it. */
-struct shard_plan {
-    int shard;
-    GArray *vms;     /* struct planned_machine: there with room, on their way, and requested */
-    guint first_new; /* those from here on are requested by this plan */
-    int have, requested, steady, up;
-    int overdue;           /* machines that should have come up by now */
-    bool roomy;            /* another machine than the reception is below the admission threshold */
-    bool booting;          /* machines are on their way */
-    double backlog, slots; /* work that may use cheap machines, in GPU seconds, and the GPUs that work it off */
-    struct machine *reception;
-};
+/* Counts the job's next task into the backlog. Work that may use spot machines gets on-demand ones only for what the
+ * present ones can't work off in a part of the time in which its users want it done. */
+static enum rental_kinds kinds_for_task(struct shard_plan *plan, const struct job_rental *rental) {
+    const struct job_spec *spec = &rental->job->spec;
+    if (!spec->allows_spot) return RENTAL_SPOT_FIRST;
+    plan->backlog_gpu_s += fmax(spec->runtime_s, RUNTIME_MIN_S) * spec->gpus;
+    double wanted_s = settings_objective_within(settings, OBJECTIVE_FINISHED, spec->job_class, FINISHED_DEFAULT_S);
+    bool too_slow =
+        plan->backlog_gpus > 0 && plan->backlog_gpu_s / plan->backlog_gpus > settings->tuning.spot_backlog * wanted_s;
+    return rental->within_guarantee || too_slow ? RENTAL_SPOT_FIRST : RENTAL_SPOT_ONLY;
+}
 
-static void count_machine(struct shard_plan *p, struct machine *m) {
-    if (zone_of(m->zone)) ++*zone_of(m->zone);
-    if (machines_leaving(m)) return;
-    p->have++;
-    const struct machine_type *f = machine_types_find(m->type_name);
-    if (f && m->spot) p->slots += f->gpus;
-    for (guint b = 0; !m->spot && b < m->allocations->len; b++) {
-        const struct job_spec *s = &((struct allocation *)m->allocations->pdata[b])->job->spec;
-        if (s->allows_spot) p->slots += s->gpus;
-    }
-    if (!m->liveness.up) {
-        if (liveness_zone_unreachable(p->shard, m->zone)) return; /* nobody knows when it is heard */
-        /* Nor when this one comes, if ever. More than a few at a time are not replaced: a spell of slow boots must not
-         * multiply the bill. */
-        if (provisioning_overdue(m) && p->overdue++ < provisioning_replacements_max(p->up)) return;
-        planned_machine_add(p->vms, m->type_name, m->zone, m->spot);
-        p->booting = true;
-        return;
-    }
-    if (m->spot || m->retirement.draining || m->liveness.preemption_notice_s >= 0) return;
-    p->steady++;
-    /* Whole ones are kept for gangs that lack others. */
-    if (allocations_on_machine(m) == 0 && m->round.schedulable) {
-        guint before = p->vms->len;
-        planned_machine_add(p->vms, m->type_name, m->zone, false);
-        if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).kept = true;
-    }
-    if (m != p->reception && placement_occupancy(m, (int)cfg->tuning.window) < cfg->tuning.admission) p->roomy = true;
+/* The zone of a single-zone job is that of its first task. */
+static void decide_zone(struct job_rental *rental, const char *zone) {
+    if (rental->job->spec.single_zone && !rental->zone[0]) g_strlcpy(rental->zone, zone, sizeof rental->zone);
 }
 
-static void count_machines(struct shard_plan *p) {
-    memset(zone_count, 0, sizeof zone_count);
-    for (guint i = 0; i < machines_of_shard(p->shard)->len; i++)
-        p->up += ((struct machine *)machines_of_shard(p->shard)->pdata[i])->liveness.up;
-    for (guint i = 0; i < machines_of_shard(p->shard)->len; i++)
-        count_machine(p, machines_of_shard(p->shard)->pdata[i]);
-    GHashTableIter it;
-    gpointer v;
-    g_hash_table_iter_init(&it, machines_unregistered());
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct unregistered_machine *u = v;
-        if (u->shard != p->shard) continue;
-        planned_machine_add(p->vms, u->type_name, u->zone, u->spot);
-        p->have++;
-        p->booting = true;
+static bool place_on_planned(struct shard_plan *plan, struct job_rental *rental, const char *zone) {
+    for (; rental->first_machine < plan->machines->len; rental->first_machine++) {
+        struct planned_machine *planned = &g_array_index(plan->machines, struct planned_machine, rental->first_machine);
+        if (!planned_machine_take(planned, rental->job, zone)) continue;
+        decide_zone(rental, planned->request.zone);
+        return true;
     }
+    return false;
+}
+
+static void request_for_task(struct shard_plan *plan, struct job_rental *rental, const char *zone,
+                             enum rental_kinds kinds) {
+    static const int weights[] = {
+        [PRIORITY_IDLE] = 1, [PRIORITY_NORMAL] = 2, [PRIORITY_HIGH] = 6, [PRIORITY_PRODUCTION] = 8};
+    const struct job *job = rental->job;
+    struct rental_request request = {0};
+    if (shard_plan_room(plan) <= 0 || !rental_choice_find(plan->shard, job, zone, kinds, &request)) return;
+    struct planned_machine *planned = shard_plan_request(plan, &request, weights[job->priority]);
+    plan->n_requested++;
+    if (job->spec.allows_spot) plan->backlog_gpus += machine_types_find(request.type_name)->gpus;
+    planned_machine_take(planned, job, zone);
+    decide_zone(rental, request.zone);
+}
+
+/* A place on what is there or on its way, else one more machine. */
+static void rent_for_task(struct shard_plan *plan, struct job_rental *rental) {
+    const char *zone = rental->zone[0] ? rental->zone : spread_zone(rental->job);
+    enum rental_kinds kinds = kinds_for_task(plan, rental);
+    if (!place_on_planned(plan, rental, zone)) request_for_task(plan, rental, zone, kinds);
 }
 
-#define TRANSFER_S 4 /* for so long another shard's machine is waited for */
+static int tasks_to_place(const struct job *job) {
+    if (job->spec.kind == JOB_GANG) return job->spec.tasks;
+    return (job->unplaced ? allocations_missing_tasks(job) : 0) + job->replicas_at_risk;
+}
 
-/* What another shard is about to transfer needs no rental; if it doesn't come soon, it is rented after all. */
-static void count_transfers(struct shard_plan *p, const GArray *order) {
-    double waited = 0;
-    for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct priority_entry, i).job;
-        if (j->unplaced && !j->spec.allows_spot) waited = MAX(waited, clock_seconds_since(j->eligible_since));
+static void rent_for_job(struct shard_plan *plan, const struct priority_entry *entry) {
+    struct job *job = entry->job;
+    struct job_rental rental = {.job = job, .within_guarantee = entry->within_guarantee};
+    if (placement_zone(job)) {
+        g_strlcpy(rental.zone, placement_zone(job), sizeof rental.zone);
+    } else if (job->spec.single_zone) {
+        choose_fullest_zone(plan, &rental);
     }
-    for (guint i = 0; i < machines_all()->len && waited < TRANSFER_S; i++) {
-        const struct machine *m = machines_all()->pdata[i];
-        if (m->shard == p->shard || m->shard < 0 || !preemption_clears_machine(m) || m->rebalance.to >= 0) continue;
-        guint before = p->vms->len;
-        planned_machine_add(p->vms, m->type_name, m->zone, false);
-        if (p->vms->len > before) g_array_index(p->vms, struct planned_machine, before).foreign = true;
+    int n_tasks = MIN(tasks_to_place(job), JOB_TASKS_PLANNED);
+    double gpus_max = quota_bound(job->spec.team, jobs_shard(job)).gpus, gpus = 0;
+    for (int i = 0; i < n_tasks; i++) {
+        gpus += job->spec.gpus;
+        if (gpus > gpus_max) break;
+        rent_for_task(plan, &rental);
     }
+    int zone = job->spec.single_zone ? settings_zone(settings, rental.zone) : -1;
+    job->zone = zone < 0 ? NULL : settings->zones[zone];
 }
 
-/* A spread job's next task asks for a zone that has none of them yet; NULL: any. */
-static const char *spread_zone(const struct job *j) {
-    if (!j->spec.spread || j->allocations->len == 0) return NULL;
-    for (int z = 0; z < cfg->n_zones; z++) {
-        int here = 0;
-        for (guint b = 0; b < j->allocations->len; b++)
-            here += strcmp(((struct allocation *)j->allocations->pdata[b])->machine->zone, cfg->zones[z]) == 0;
-        if (here == 0) return cfg->zones[z];
+/* A job for whose like the reception machine is too full; NULL: none. */
+static const struct job *on_demand_job_on(const struct machine *machine) {
+    const struct job *found = NULL;
+    for (guint i = 0; i < machine->allocations->len; i++) {
+        const struct allocation *allocation = machine->allocations->pdata[i];
+        if (!allocation->job->spec.allows_spot) found = allocation->job;
     }
-    return NULL;
+    return found;
 }
 
-/* Whether the job's next task may have an ordinary machine. Work that may use cheap machines gets dear ones only for
- * what the present ones can't work off in a part of the time in which its users want it done. */
-static bool may_be_dear(struct shard_plan *p, const struct job *j, bool within) {
-    if (!j->spec.allows_spot) return true;
-    p->backlog += MAX(j->spec.runtime_s, 1) * j->spec.gpus;
-    double wanted = settings_objective_within(cfg, OBJECTIVE_FINISHED, j->spec.job_class, 120);
-    return within || (p->slots > 0 && p->backlog / p->slots > cfg->tuning.spot_backlog * wanted);
+/* Pressure: no other machine is under the admission threshold, or a lone reception machine is past its own. */
+static void rent_for_pressure(struct shard_plan *plan) {
+    const struct machine *reception = plan->reception_machine;
+    if (plan->n_requested > 0 || plan->booting || !reception || plan->below_admission || shard_plan_room(plan) <= 0)
+        return;
+    const struct job *job = on_demand_job_on(reception);
+    double occupancy = placement_occupancy(reception, (int)settings->tuning.window);
+    bool lone_below_threshold = plan->n_steady == 1 && occupancy <= settings->tuning.reception;
+    struct rental_request request = {0};
+    if (job && !lone_below_threshold && rental_choice_find(plan->shard, job, NULL, RENTAL_SPOT_FIRST, &request))
+        planned_machine_add(plan->machines, request.type_name, request.zone, request.spot);
 }
 
-/* One task: a place on what is there or on its way, else one more machine. site: where the job's tasks have to be, set
- * by the first task of a job that stays together. from: the machines before it have no room for the job's tasks; looked
- * at anew for each task, they took most of a controller's processor time at 4,000 machines. */
-static void rent_for_task(struct shard_plan *p, struct job *j, bool within, char *site, size_t n, guint *from) {
-    static const int weights[] = {1, 2, 6, 8};
-    const char *want = site[0] ? site : spread_zone(j);
-    bool dear = may_be_dear(p, j, within);
-    for (; *from < p->vms->len; ++*from) {
-        struct planned_machine *vm = &g_array_index(p->vms, struct planned_machine, *from);
-        if (!planned_machine_take(vm, j, want)) continue;
-        if (j->spec.single_zone && !site[0]) g_strlcpy(site, vm->o.zone, n);
-        return;
+static const struct job *recent_gang(const GArray *jobs) {
+    for (guint i = 0; i < jobs->len; i++) {
+        const struct job *job = g_array_index(jobs, struct priority_entry, i).job;
+        if (job->spec.kind == JOB_GANG && !job->spec.allows_spot && clock_time_of_day() - job->ready < GANG_LATELY_S)
+            return job;
     }
-    struct rental_request o;
-    memset(&o, 0, sizeof o);
-    if (p->have + p->requested >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
-    add_order(p->vms, &o, weights[j->priority]);
-    p->requested++;
-    if (j->spec.allows_spot && machine_types_find(o.type_name)) p->slots += machine_types_find(o.type_name)->gpus;
-    planned_machine_take(&g_array_index(p->vms, struct planned_machine, p->vms->len - 1), j, want);
-    if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.zone, n);
+    return NULL;
 }
 
-#define TASKS_MAX 128 /* of a job that a plan looks at */
-
-static void rent_for_job(struct shard_plan *p, struct job *j, bool within) {
-    int left = j->spec.kind == JOB_GANG ? j->spec.tasks
-                                        : (j->unplaced ? allocations_missing_tasks(j) : 0) + j->replicas_at_risk;
-    char site[64] = "";
-    if (placement_zone(j))
-        g_strlcpy(site, placement_zone(j), sizeof site);
-    else if (j->spec.single_zone)
-        fullest_zone(p->shard, p->vms, j, site, sizeof site);
-    guint from = 0;
-    double gpus_max = quota_bound(j->spec.team, jobs_shard(j)).gpus, used = 0;
-    for (int x = 0; x < left && x < TASKS_MAX; x++) {
-        used += j->spec.gpus;
-        if (used > gpus_max) break;
-        rent_for_task(p, j, within, site, sizeof site, &from);
+static int whole_machines(const GArray *machines) {
+    int n = 0;
+    for (guint i = 0; i < machines->len; i++) {
+        const struct planned_machine *planned = &g_array_index(machines, struct planned_machine, i);
+        n += !planned->foreign && !planned->request.spot && planned_machine_whole(planned);
     }
-    int gathered = j->spec.single_zone ? settings_zone(cfg, site) : -1;
-    j->zone = gathered < 0 ? NULL : cfg->zones[gathered];
+    return n;
 }
 
-/* Pressure: no other machine under the admission threshold, or a lone reception past its own. */
-static void rent_for_pressure(struct shard_plan *p) {
-    if (p->requested > 0 || p->booting || !p->reception || p->roomy || p->have >= (int)cfg->tuning.machines_per_shard)
-        return;
-    double occupancy = placement_occupancy(p->reception, (int)cfg->tuning.window);
-    struct job *like = NULL;
-    for (guint b = 0; b < p->reception->allocations->len; b++) {
-        struct allocation *x = p->reception->allocations->pdata[b];
-        if (!x->job->spec.allows_spot) like = x->job;
+/* The design's weak point: headroom is a sum, so scattered pieces starve gangs while no rental is due. A shard that
+ * runs gangs keeps one whole machine in MACHINES_PER_SPARE, there or booting, beyond what waits; as few as drain at a
+ * time.
+ */
+static void rent_spares(struct shard_plan *plan, const GArray *jobs) {
+    const struct job *gang = recent_gang(jobs);
+    if (!gang) return;
+    int n_spares = plan->n_steady / MACHINES_PER_SPARE - whole_machines(plan->machines);
+    n_spares = MIN(n_spares, shard_plan_room(plan));
+    for (int i = 0; i < n_spares; i++) {
+        struct rental_request request = {0};
+        if (!rental_choice_find(plan->shard, gang, NULL, RENTAL_SPOT_FIRST, &request)) return;
+        shard_plan_request(plan, &request, SPARE_WEIGHT);
     }
-    struct rental_request o;
-    memset(&o, 0, sizeof o);
-    if (!like || (p->steady == 1 && occupancy <= cfg->tuning.reception) || !choose(p->shard, like, NULL, true, &o))
-        return;
-    planned_machine_add(p->vms, o.type_name, o.zone, o.spot);
 }
 
-#define ORDER_MAX 50 /* machines a call may ask for */
+/* Requests of all shards, added up by shard, type, zone and kind. */
+struct request_list {
+    struct rental_request *requests;
+    int n, most;
+};
 
-/* Adds up what the plan orders by type, zone and kind. */
-static void collect_directives(const struct shard_plan *p, struct rental_request *out, int most, int *n) {
-    for (guint y = p->first_new; y < p->vms->len; y++) {
-        const struct rental_request *o = &g_array_index(p->vms, struct planned_machine, y).o;
-        int i = 0;
-        while (i < *n && !(out[i].shard == p->shard && out[i].spot == o->spot &&
-                           !strcmp(out[i].type_name, o->type_name) && !strcmp(out[i].zone, o->zone)))
-            i++;
-        if (i == *n && *n < most) {
-            out[i] = *o;
-            out[i].shard = p->shard;
-            out[i].count = 0;
-            out[i].weight = 0;
-            (*n)++;
-        }
-        if (i < *n && out[i].count < ORDER_MAX) {
-            out[i].count++;
-            out[i].weight += o->weight;
-        }
+/* NULL: the list is full. */
+static struct rental_request *find_or_add(struct request_list *list, int shard, const struct rental_request *like) {
+    for (int i = 0; i < list->n; i++) {
+        struct rental_request *request = &list->requests[i];
+        if (request->shard == shard && request->spot == like->spot &&
+            strcmp(request->type_name, like->type_name) == 0 && strcmp(request->zone, like->zone) == 0)
+            return request;
     }
+    if (list->n >= list->most) return NULL;
+    struct rental_request *request = &list->requests[list->n++];
+    *request = *like;
+    request->shard = shard;
+    request->count = request->weight = 0;
+    return request;
 }
 
-static void rent_for_shard(int k, struct rental_request *out, int most, int *n) {
-    struct shard_plan p = {.shard = k, .reception = placement_reception(k)};
-    p.vms = g_array_new(FALSE, FALSE, sizeof(struct planned_machine));
-    count_machines(&p);
-    GArray *order = priority_order_shard(k);
-    int waiting = 0;
-    for (guint i = 0; i < order->len; i++) {
-        const struct job *j = g_array_index(order, struct priority_entry, i).job;
-        if (j->unplaced) waiting += allocations_missing_tasks(j);
+static void collect_requests(const struct shard_plan *plan, struct request_list *list) {
+    for (guint i = plan->first_requested; i < plan->machines->len; i++) {
+        const struct rental_request *one = &g_array_index(plan->machines, struct planned_machine, i).request;
+        struct rental_request *request = find_or_add(list, plan->shard, one);
+        if (!request || request->count >= REQUEST_MACHINES_MAX) continue;
+        request->count++;
+        request->weight += one->weight;
     }
-    zone_lot = CLAMP(waiting / 8, 1, 48);
-    count_transfers(&p, order);
-    p.first_new = p.vms->len;
-    for (guint i = 0; i < order->len; i++) {
-        const struct priority_entry *r = &g_array_index(order, struct priority_entry, i);
-        if (r->job->unplaced || r->job->replicas_at_risk) rent_for_job(&p, r->job, r->within_guarantee);
-    }
-    rent_for_pressure(&p);
-    rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.requested, 0));
-    collect_directives(&p, out, most, n);
-    g_array_free(order, TRUE);
-    g_array_free(p.vms, TRUE);
 }
 
-static int weightier(const void *a, const void *b) {
-    return ((const struct rental_request *)b)->weight - ((const struct rental_request *)a)->weight;
+static void rent_for_shard(int shard, struct request_list *list) {
+    GArray *jobs = priority_order_shard(shard);
+    struct shard_plan plan = shard_plan_begin(shard, jobs);
+    for (guint i = 0; i < jobs->len; i++) {
+        const struct priority_entry *entry = &g_array_index(jobs, struct priority_entry, i);
+        if (entry->job->unplaced || entry->job->replicas_at_risk) rent_for_job(&plan, entry);
+    }
+    rent_for_pressure(&plan);
+    rent_spares(&plan, jobs);
+    collect_requests(&plan, list);
+    shard_plan_clear(&plan);
+    g_array_free(jobs, TRUE);
 }
 
-/* Calls are scarce: first the order that helps most, by how many machines and for whom. A few machines for services go
- * before as many for arrays, but not before fifty. */
-int scale_out_plan(struct rental_request *out, int most) {
-    int n = 0;
-    for (int k = 0; k < cfg->size; k++)
-        if (membership_owns(k) && membership_may_answer() && clock_seconds_since(shard_states[k].owned_since) > 4)
-            rent_for_shard(k, out, most, &n);
-    qsort(out, (size_t)n, sizeof *out, weightier);
-    return n;
+static int weightier_first(const void *left, const void *right) {
+    return ((const struct rental_request *)right)->weight - ((const struct rental_request *)left)->weight;
 }
 
-/* If all controllers end between the record that drops a returned machine and the one that drops its allocations, these
- * name a machine that nobody can ask. That no record names it proves nothing, since records may be read in any order:
- * taken for gone, such machines once ran tasks that were started elsewhere. It is returned by its name; the cloud's
- * answer proves that it is gone, and a name that it does not know is ignored. */
-static int unrecorded_machines(char ids[][64], int most, int *busy) {
-    int n = 0;
-    if (schema_version_store_unreadable() || !membership_may_answer()) return 0;
-    for (guint i = 0; i < machines_all()->len && n < most; i++) {
-        const struct machine *m = machines_all()->pdata[i];
-        if (!machines_unrecorded(m)) continue;
-        log_info("machine %s: tasks are allocated on it and no record names it, returning it", m->id);
-        g_strlcpy(ids[n++], m->id, 64);
-        (*busy)++;
+/* Calls are scarce: first the request that helps most, by how many machines and for whom. A few machines for services
+ * go before as many for arrays, but not before fifty. */
+int scale_out_plan(struct rental_request *out, int most) {
+    struct request_list list = {out, 0, most};
+    for (int shard = 0; shard < settings->size; shard++) {
+        if (membership_owns(shard) && membership_may_answer() &&
+            clock_seconds_since(shard_states[shard].owned_since) > OWNED_S)
+            rent_for_shard(shard, &list);
     }
-    return n;
-}
-
-/* Those with tasks first: until the cloud has answered, these can't start elsewhere. */
-int scale_in_plan_returns(char ids[][64], int most, int *busy) {
-    int n = 0;
-    *busy = 0;
-    for (int with_tasks = 1; with_tasks >= 0; with_tasks--)
-        for (int k = 0; k < cfg->size; k++)
-            for (guint i = 0; membership_owns(k) && i < machines_of_shard(k)->len && n < most; i++) {
-                struct machine *m = machines_of_shard(k)->pdata[i];
-                if (!m->retirement.returning || m->retirement.released || !machines_owned(m) ||
-                    (allocations_on_machine(m) > 0) != with_tasks)
-                    continue;
-                g_strlcpy(ids[n++], m->id, 64);
-                *busy += with_tasks;
-            }
-    return n + unrecorded_machines(ids + n, most - n, busy);
+    qsort(out, (size_t)list.n, sizeof *out, weightier_first);
+    return list.n;
 }
-
-void scale_out_init(const struct settings *s) { cfg = s; }
--- a/src/rebalancing/donation.c
+++ b/src/rebalancing/donation.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-#include "../autoscaler/scale_out.h"
+#include "../autoscaler/planned_machine.h"
 #include "../clock/clock.h"
 #include "../jobs/jobs.h"
 #include "../machines/machines.h"
--- a/src/rebalancing/needy_job.c
+++ b/src/rebalancing/needy_job.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "../allocations/allocations.h"
-#include "../autoscaler/scale_out.h"
+#include "../autoscaler/planned_machine.h"
 #include "../clock/clock.h"
 #include "../machine_types/machine_types.h"
 #include "../machines/machines.h"
@@ -47,16 +47,11 @@
 
 /* Adds the machine with the room that is left on it; one that comes from another shard comes empty. */
 static void add_machine(GArray *planned, const struct machine *machine, int shard) {
-    guint before = planned->len;
-    planned_machine_add(planned, machine->type_name, machine->zone, machine->spot);
-    if (planned->len == before || machine->shard != shard) return;
-    struct planned_machine *added = &g_array_index(planned, struct planned_machine, before);
+    struct planned_machine *added = planned_machine_add(planned, machine->type_name, machine->zone, machine->spot);
+    if (!added || machine->shard != shard) return;
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
-        if (allocation->released) continue;
-        added->cpu -= allocation->job->spec.vcpus;
-        added->gpu -= allocation->job->spec.gpus;
-        added->mem -= allocation->job->spec.memory_gb;
+        if (!allocation->released) resources_remove_task(&added->free, &allocation->job->spec);
     }
 }
 
@@ -77,7 +72,7 @@
     const char *zone = placement_zone(job);
     for (guint i = 0; i < planned->len && tasks > 0; i++) {
         struct planned_machine *machine = &g_array_index(planned, struct planned_machine, i);
-        if (zone_full(job, machine->o.zone)) continue;
+        if (zone_full(job, machine->request.zone)) continue;
         while (tasks > 0 && planned_machine_take(machine, job, zone)) tasks--;
     }
     return tasks <= 0;
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -44,8 +44,7 @@
     for (int shard = 0; shard < scheduler_settings->size; shard++) {
         if (!membership_owns(shard) || !membership_may_answer()) continue;
         liveness_check_machines(shard, summary);
-        scale_in_run(shard, false);
-        scale_in_run(shard, true);
+        scale_in_run(shard);
     }
 }
 
