--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -1,4 +1,4 @@
-/* Which machines the cloud is told to take back now. */
+/* Which machines are returned to the cloud now. */
 #include <glib.h>
 #include <stdbool.h>
 
@@ -23,7 +23,7 @@
 
 /* If all controllers end between the record that drops a returned machine and the one that drops its allocations, these
  * name a machine that nobody can probe. That no record names it proves nothing, since records may be read in any order:
- * taken for gone, such machines once ran tasks that were started elsewhere. It is returned by its name; the cloud's
+ * taken for returned, such machines once ran tasks that were started elsewhere. It is returned by its name; the cloud's
  * answer proves that it is gone, and a name that it does not know is ignored. */
 static void add_unrecorded(struct return_list *list) {
     if (schema_version_store_unreadable() || !membership_may_answer()) return;
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -157,7 +157,7 @@
 }
 
 /* A controller that came back after a minute once took the silence of all its machines for theirs: the first that were
- * heard again made the others look silent alone. */
+ * heard again made the others alone seem silent. */
 void liveness_reset_silence(void) {
     for (guint i = 0; i < machines_all()->len; i++) {
         struct machine *machine = machines_all()->pdata[i];
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -8,7 +8,7 @@
 #include "../machines/machines.h"
 #include "../sync/sync.h"
 
-#define POP_WAIT_S 30 /* a waiting sender looks at its queue at least that often */
+#define POP_WAIT_S 30 /* a waiting sender checks its queue at least that often */
 
 static struct {
     pthread_mutex_t lock;
--- a/src/workers/dispatcher.c
+++ b/src/workers/dispatcher.c
@@ -22,7 +22,7 @@
 
 void dispatcher_wake(void) { sync_wakeup_signal(&wakeup); }
 
-/* Stops of the machine's tasks that a user was told are cancelled; NULL: none is due. */
+/* Stops of the machine's tasks whose cancellation was acknowledged to a user; NULL: none is due. */
 static cJSON *due_stops(struct machine *machine) {
     cJSON *directives = NULL;
     for (guint i = 0; i < machine->allocations->len && i < MACHINE_TASKS_MAX; i++) {
