--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -107,7 +107,8 @@
     return round;
 }
 
-/* The record of a chunk was written: what this round started of the job is ours to have started, and is sent. */
+/* A chunk of the job's allocations was written: those of this round are no longer taken for inherited ones, and their
+ * machines are sent directives. */
 static void release_starts(const struct scheduling_round *round, const struct job *job) {
     for (guint i = 0; i < job->allocations->len; i++) {
         struct allocation *allocation = job->allocations->pdata[i];
