--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,50 +1,82 @@
-/* Who lives, who leads, who owns which shard. */
+/* Membership: which controllers are live, which of them leads, and which owns which shard.
+ *
+ * A controller joins with a record under a lease (lease.c); one live controller is the leader (leader_election.c); the
+ * leader assigns the shards, moving the fencing counter each time (shard_assignment.c). All of that is read from the
+ * store's records (records.c). What an owner may do with its shards depends on how recent its last read of the store is
+ * (read_validity.c), and on whether it reaches the workers (reachability.c). */
 #ifndef FF_MEMBERSHIP_H
 #define FF_MEMBERSHIP_H
 #include <stdbool.h>
 #include <stdint.h>
 #include <time.h>
 
+#include "../http/client.h"
+#include "../settings/settings.h"
 #include "../store/store.h"
 
+enum {
+    MEMBERSHIP_NAME_BYTES = 64,
+    MEMBERSHIP_INCARNATION_BYTES = 40,
+    MEMBERSHIP_NODES_MAX = 64,
+    MEMBERSHIP_SHARDS_MAX = 64
+};
+
+/* The record of a shard. */
 struct shard {
-    char owner[64], incarnation[40];
-    int64_t mod_revision, fencing_token;
-    struct timespec owner_changed;
+    char owner[MEMBERSHIP_NAME_BYTES];              /* empty: nobody */
+    char incarnation[MEMBERSHIP_INCARNATION_BYTES]; /* of the owner: which start of its process */
+    int64_t mod_revision;                           /* 0: no record */
+    int64_t fencing_token;
+    struct timespec owner_changed; /* when this controller learned of the present owner */
 };
 
-void membership_init(const struct settings *s);
+/* Once each, from the program's main thread, before any other thread. The settings are kept. */
+void membership_init(const struct settings *settings);
 void membership_start(void);
 
-/* What else this node records of itself: each is asked in the order of registration, with store_lock held, and adds its
- * record to the transaction, or returns false where it has nothing to write. Registered before membership_start. */
+/* What else this controller records of itself: each is asked in the order of registration, with store_lock held, and
+ * adds its record to the transaction, or returns false where it has nothing to write. Before membership_start. */
 typedef bool (*membership_announcement)(struct store_txn *txn);
 void membership_add_announcement(membership_announcement announcement);
 /* Whether one of a few workers answers: asked without store_lock while the workers are unreachable. */
 typedef bool (*membership_worker_probe)(struct http_client *client);
 void membership_set_worker_probe(membership_worker_probe probe);
 
-/* All of these with store_lock held. */
-const struct shard *membership_shard(int k);
-bool membership_owns(int k);             /* shard K is ours, and the mirror holds all that its former owner wrote */
-double membership_read_validity_s(void); /* for how many seconds a look at the store entitles to answer workers */
-bool membership_may_answer(void); /* recent enough to answer workers: a cancellation told elsewhere can still be kept */
-bool membership_may_start_tasks(void);  /* recent enough to start tasks: few can have been cancelled elsewhere since */
-int membership_live_controllers(void);  /* live controllers */
-int64_t membership_fencing_token(void); /* the counter as mirrored */
-const char *membership_incarnation(void);
-bool membership_is_leader(void); /* this node is the leader */
+/* From any thread, with store_lock held. */
+
+/* The pointer stays good; what it points to may change once the lock is released. */
+const struct shard *membership_shard(int shard);
+/* Whether this start of this controller owns the shard, and the mirror holds all that the former owner wrote. */
+bool membership_owns(int shard);
+/* Whether this controller is the leader. */
+bool membership_is_leader(void);
+/* How many controllers are live; at least 1. */
+int membership_live_controllers(void);
+/* The fencing counter as mirrored. */
+int64_t membership_fencing_token(void);
+
+/* For how many seconds a read of the store entitles to answer workers. */
+double membership_read_validity_s(void);
+/* Whether the last read is recent enough to answer workers: a cancellation that was acknowledged elsewhere since is
+ * still kept in time. */
+bool membership_may_answer(void);
+/* Whether it is recent enough to start tasks: few can have been cancelled elsewhere since. */
+bool membership_may_start_tasks(void);
 
-/* A controller that no longer hears the workers says so in its record; its shards go to those who may hear them. */
-void membership_set_workers_unreachable(bool lost);
+/* A controller that the workers no longer reach says so in its record; its shards go to those that they may reach. */
+void membership_set_workers_unreachable(bool unreachable);
 bool membership_workers_unreachable(void);
 
-/* Pure: after how long a controller that has lost the workers so many times lately tries whether they are back. */
-double membership_workers_retry_s(int times_unreachable);
+/* From any thread, with or without the lock. */
 
-/* Pure: the part of the store's changes that is due to a controller with so many shards. */
-double membership_write_fraction(int live, int size, int owned);
+/* Identifies this start of this controller. */
+const char *membership_incarnation(void);
 
-/* Pure: the shard to move and where, so that the owned counts differ by one at most. -1: nothing to move. */
+/* Pure: for how many seconds a controller that has lost the workers so many times in a row waits before it probes. */
+double membership_workers_retry_s(int times_unreachable);
+/* Pure: the part of the store's changes, from 0 to 1, that is due to a controller that owns so many shards of size. */
+double membership_write_fraction(int live, int size, int owned);
+/* Pure: the shard to assign next and to which node, so that the numbers of owned shards differ by one at most. owner:
+ * for each shard the node's index, or -1 for nobody. -1: nothing to assign. */
 int membership_plan_assignment(int size, const int *owner, int nodes, int *to);
 #endif
