--- a/src/schema_version/schema_version.h
+++ b/src/schema_version/schema_version.h
@@ -16,17 +16,19 @@
  * an earlier version may come back once no team is divided any more. */
 #define SCHEMA_VERSION_DIVIDED_QUOTA 3
 
-void schema_version_init(const struct settings *s);
+/* Once, from the program's main thread, before any other thread. The settings are kept. */
+void schema_version_init(const struct settings *settings);
 
-/* All with store_lock held. */
+/* From any thread, with store_lock held. */
 
-/* Whether every controller of the settings has recorded this version: its layout may be written from now on. */
+/* Whether every controller of the settings has recorded version 2 or higher: its layout may be written from now on. */
 bool schema_version_active(void);
 /* Whether every controller's latest record says that it reads, and its settings ask for, divided teams. */
 bool schema_version_divided_quota(void);
 /* The store holds records of a layout that this version does not read: no shard may be taken. */
 void schema_version_mark_store_unreadable(void);
 bool schema_version_store_unreadable(void);
-/* Adds the record of our own version to the transaction; false if it is on record already. */
-bool schema_version_announce(struct store_txn *t);
+/* Adds the record of this controller's version to the transaction; false if it is on record already, or if the record
+ * is damaged. The membership thread calls it. */
+bool schema_version_announce(struct store_txn *txn);
 #endif
--- a/src/store/request.c
+++ b/src/store/request.c
@@ -4,6 +4,7 @@
 #include <stdio.h>
 
 #include "../http/client.h"
+#include "../http/status.h"
 #include "../json/json.h"
 
 enum { URL_BYTES = 512 };
@@ -17,9 +18,13 @@
         long status;
         enum store_answer answer;
     } answers[] = {
-        {200, STORE_ANSWER_OK},          {400, STORE_ANSWER_MALFORMED}, {404, STORE_ANSWER_NOT_FOUND},
-        {409, STORE_ANSWER_CONFLICT},    {410, STORE_ANSWER_COMPACTED}, {429, STORE_ANSWER_OVER_RATE},
-        {503, STORE_ANSWER_UNAVAILABLE},
+        {HTTP_OK, STORE_ANSWER_OK},
+        {HTTP_BAD_REQUEST, STORE_ANSWER_MALFORMED},
+        {HTTP_NOT_FOUND, STORE_ANSWER_NOT_FOUND},
+        {HTTP_CONFLICT, STORE_ANSWER_CONFLICT},
+        {HTTP_GONE, STORE_ANSWER_COMPACTED},
+        {HTTP_TOO_MANY_REQUESTS, STORE_ANSWER_OVER_RATE},
+        {HTTP_SERVICE_UNAVAILABLE, STORE_ANSWER_UNAVAILABLE},
     };
     for (size_t i = 0; i < sizeof answers / sizeof *answers; i++)
         if (answers[i].status == status) return answers[i].answer;
