--- a/src/clock/clock.c
+++ b/src/clock/clock.c
@@ -3,15 +3,19 @@
 #include <stdbool.h>
 #include <time.h>
 
+static const double nanoseconds_per_second = 1e9;
+
 struct timespec clock_from_seconds(double seconds) {
     struct timespec time = {0, 0};
     if (seconds <= 0) return time;
     time.tv_sec = (time_t)seconds;
-    time.tv_nsec = (long)((seconds - (double)time.tv_sec) * 1e9);
+    time.tv_nsec = (long)((seconds - (double)time.tv_sec) * nanoseconds_per_second);
     return time;
 }
 
-double clock_to_seconds(struct timespec time) { return (double)time.tv_sec + (double)time.tv_nsec / 1e9; }
+double clock_to_seconds(struct timespec time) {
+    return (double)time.tv_sec + (double)time.tv_nsec / nanoseconds_per_second;
+}
 
 struct timespec clock_now(void) {
     struct timespec now;
