--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -8,13 +8,11 @@
 #include <string.h>
 
 #include "http/server.h"
+#include "http/status.h"
 #include "json/json.h"
 #include "workers.h"
 
 #define CONNECTIONS_MAX 16
-#define HTTP_OK 200
-#define HTTP_TOO_MANY_REQUESTS 429
-#define HTTP_UNAVAILABLE 503
 
 static const char catalogue[] =
     "{\"flavours\":[{\"sku\":\"g4\",\"vcpus\":16,\"gpus\":4,\"memory_gb\":64,\"local_gb\":50,"
@@ -25,8 +23,8 @@
     unsigned status;
     const char *body;
 } refusals[] = {{HTTP_TOO_MANY_REQUESTS, "{}"},
-                {HTTP_UNAVAILABLE, "{\"error\":\"trouble\"}"},
-                {HTTP_UNAVAILABLE, "{\"error\":\"no capacity\"}"}};
+                {HTTP_SERVICE_UNAVAILABLE, "{\"error\":\"trouble\"}"},
+                {HTTP_SERVICE_UNAVAILABLE, "{\"error\":\"no capacity\"}"}};
 
 /* The lock comes before that of the workers. */
 static struct {
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -11,6 +11,7 @@
 #include "clock/clock.h"
 #include "http/client.h"
 #include "http/server.h"
+#include "http/status.h"
 #include "json/json.h"
 #include "sync/sync.h"
 #include "worker.h"
@@ -23,10 +24,7 @@
 #define COPIES_INTERVAL_S 0.05
 #define HEARTBEAT_TIMEOUT_MS 1000
 #define NO_LEASE_S 1e9
-#define HTTP_OK 200
-#define HTTP_CONFLICT 409
-#define HTTP_MISDIRECTED 421
-#define HTTP_ERROR 500
+#define HTTP_INTERNAL_ERROR 500
 
 /* A command that is executed when its machine's fault ends. */
 struct delayed_command {
@@ -174,7 +172,7 @@
     if (heartbeat) {
         http_reply_json(request, accepted ? HTTP_OK : HTTP_CONFLICT, heartbeat, 0);
     } else {
-        http_reply(request, HTTP_ERROR, NULL, 0);
+        http_reply(request, HTTP_INTERNAL_ERROR, NULL, 0);
     }
 }
 
@@ -225,7 +223,7 @@
 
 /* After an answer that was not 200: the leader that it names, or the next controller. With the lock held. */
 static void choose_controller(struct standin_worker *worker, long status, const cJSON *answer) {
-    const char *leader = status == HTTP_MISDIRECTED ? json_get_string(answer, "master") : NULL;
+    const char *leader = status == HTTP_MISDIRECTED_REQUEST ? json_get_string(answer, "master") : NULL;
     int next = (worker->controller + 1) % workers.n_controllers;
     for (int i = 0; leader && i < workers.n_controllers; i++) {
         const char *node = workers.controllers[i].node;
