--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -11,6 +11,7 @@
 #include <time.h>
 
 #include "../http/client.h"
+#include "../json/json.h"
 #include "../settings/settings.h"
 #include "../store/store.h"
 
@@ -72,6 +73,8 @@
 /* Identifies this start of this controller. */
 const char *membership_incarnation(void);
 
+/* The JSON of a shard's record; the caller owns it. */
+cJSON *membership_shard_value(const char *owner, const char *incarnation, int64_t fencing_token);
 /* Pure: for how many seconds a controller that has lost the workers so many times in a row waits before it probes. */
 double membership_workers_retry_s(int times_unreachable);
 /* Pure: the part of the store's changes, from 0 to 1, that is due to a controller that owns so many shards of size. */
--- a/src/membership/records.c
+++ b/src/membership/records.c
@@ -93,10 +93,10 @@
     return value;
 }
 
-cJSON *records_shard_value(const struct node *owner, int64_t fencing_token) {
+cJSON *membership_shard_value(const char *owner, const char *incarnation, int64_t fencing_token) {
     cJSON *value = cJSON_CreateObject();
-    cJSON_AddStringToObject(value, "owner", owner->name);
-    cJSON_AddStringToObject(value, "inc", owner->incarnation);
+    cJSON_AddStringToObject(value, "owner", owner);
+    cJSON_AddStringToObject(value, "inc", incarnation);
     cJSON_AddNumberToObject(value, "fence", (double)fencing_token);
     return value;
 }
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -37,7 +37,6 @@
 /* What is to be written; the caller owns it. */
 cJSON *records_node_value(bool workers_unreachable);
 cJSON *records_leader_value(void);
-cJSON *records_shard_value(const struct node *owner, int64_t fencing_token);
 /* Makes a transaction conditional on this controller's record. */
 void records_require_self(struct store_txn *txn);
 #endif
--- a/src/membership/shard_assignment.c
+++ b/src/membership/shard_assignment.c
@@ -47,7 +47,7 @@
     struct store_key key = store_key_shard(shard);
     int64_t fencing_token = membership_fencing_token() + 1;
     store_txn_compare(txn, key.text, membership_shard(shard)->mod_revision);
-    store_txn_put(txn, key.text, records_shard_value(to, fencing_token), 0);
+    store_txn_put(txn, key.text, membership_shard_value(to->name, to->incarnation, fencing_token), 0);
     store_txn_compare(txn, STORE_KEY_FENCING_COUNTER, store_key_revision(STORE_KEY_FENCING_COUNTER));
     store_txn_put(txn, STORE_KEY_FENCING_COUNTER, cJSON_CreateNumber((double)fencing_token), 0);
     store_txn_compare(txn, store_key_node(to->name).text, to->mod_revision);
--- a/src/scheduler/barrier.c
+++ b/src/scheduler/barrier.c
@@ -7,15 +7,6 @@
 #include "../membership/membership.h"
 #include "../store/store.h"
 
-/* The shard's record as it is: "inc" is the owner's incarnation, "fence" the fencing token. */
-static cJSON *shard_value(const struct shard *shard) {
-    cJSON *value = cJSON_CreateObject();
-    cJSON_AddStringToObject(value, "owner", shard->owner);
-    cJSON_AddStringToObject(value, "inc", shard->incarnation);
-    cJSON_AddNumberToObject(value, "fence", (double)shard->fencing_token);
-    return value;
-}
-
 static bool send_barrier(struct http_client *client, struct store_txn *transaction) {
     struct store_response response;
     if (store_commit(client, STORE_PRIORITY_ALLOCATE, transaction, &response) != STORE_OK) return false;
@@ -36,7 +27,8 @@
     bool owned = membership_owns(shard);
     const struct shard *record = membership_shard(shard);
     store_txn_compare(&transaction, key.text, record->mod_revision);
-    store_txn_put(&transaction, key.text, shard_value(record), 0);
+    cJSON *unchanged = membership_shard_value(record->owner, record->incarnation, record->fencing_token);
+    store_txn_put(&transaction, key.text, unchanged, 0);
     store_unlock();
     if (owned && send_barrier(client, &transaction)) shard_states[shard].barrier_pending = false;
     store_txn_free(&transaction);
--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -120,7 +120,7 @@
 
 /* The job whose chunk a key names; NULL: it names none, or a job that is not known. */
 static struct job *job_of_chunk_key(const char *key) {
-    if (!key || !g_str_has_prefix(key, STORE_PREFIX_ALLOCATIONS)) return NULL;
+    if (!g_str_has_prefix(key, STORE_PREFIX_ALLOCATIONS)) return NULL;
     const char *rest = key + strlen(STORE_PREFIX_ALLOCATIONS);
     char job_id[G_SIZEOF_MEMBER(struct job_spec, job_id)];
     g_strlcpy(job_id, rest, MIN(sizeof job_id, strcspn(rest, "/") + 1));
@@ -132,7 +132,8 @@
     store_apply_committed(transaction, revision);
     const cJSON *operation;
     cJSON_ArrayForEach(operation, transaction->operations) {
-        const struct job *job = job_of_chunk_key(json_get_string(operation, "set"));
+        struct store_change change = store_change_read(operation);
+        const struct job *job = change.data ? job_of_chunk_key(change.key) : NULL;
         if (job) release_starts(round, job);
     }
     const GPtrArray *machines = machines_of_shard(round->shard);
