--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -30,6 +30,8 @@
  * otherwise. Such a gang can be completed under the same attempt. */
 int64_t allocations_open_gang_attempt(const struct job *job);
 
+/* Grace of a task that may save a checkpoint, beyond what the flush takes. */
+#define ALLOCATIONS_CHECKPOINT_GRACE_S 2
 /* Asks a task to end; the first to ask decides with how many seconds of grace. */
 void allocations_request_stop(struct allocation *allocation, double grace_s);
 #endif
--- a/src/autoscaler/commanded_moves.c
+++ b/src/autoscaler/commanded_moves.c
@@ -8,8 +8,6 @@
 #include "../placement/placement.h"
 #include "../preemption/preemption.h"
 
-#define SAVE_GRACE_S 2 /* beyond what a checkpoint takes: until the task is ended */
-
 static bool image_cached(const struct machine *machine, const struct job_spec *spec) {
     return g_hash_table_contains(machine->images, spec->image);
 }
@@ -60,6 +58,7 @@
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         const struct job_spec *spec = &allocation->job->spec;
-        allocations_request_stop(allocation, spec->checkpoint_s > 0 ? spec->checkpoint_flush_s + SAVE_GRACE_S : 0);
+        allocations_request_stop(
+            allocation, spec->checkpoint_s > 0 ? spec->checkpoint_flush_s + ALLOCATIONS_CHECKPOINT_GRACE_S : 0);
     }
 }
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -18,7 +18,6 @@
 #define ZONE_PROBES_PER_S 4.0 /* of the machines of an unreachable zone */
 #define QUIET_INTERVALS 1.1   /* intervals without a heartbeat, and the machine is probed */
 #define SAVE_LEAD_S 6         /* beyond what a checkpoint takes: for the stop to reach the worker */
-#define SAVE_GRACE_S 2        /* beyond what a checkpoint takes: until the task is ended */
 #define HEARD_ZONE_MACHINES 4 /* a zone with so many machines that are up ... */
 #define HEARD_ZONE_PERCENT 80 /* ... and this part of them heard shows that we hear */
 
@@ -96,7 +95,7 @@
 }
 
 static void request_checkpoint(struct allocation *allocation) {
-    allocations_request_stop(allocation, allocation->job->spec.checkpoint_flush_s + SAVE_GRACE_S);
+    allocations_request_stop(allocation, allocation->job->spec.checkpoint_flush_s + ALLOCATIONS_CHECKPOINT_GRACE_S);
 }
 
 /* A gang saves only if all its tasks are stopped at about the same time. */
--- a/src/preemption/preemptible.c
+++ b/src/preemption/preemptible.c
@@ -4,15 +4,15 @@
 
 #include "../clock/clock.h"
 #include "../machines/machines.h"
+#include "../priority/priority.h"
 #include "../quota/quota.h"
 #include "internal.h"
 #include "team_usage.h"
 
-#define GUARANTEE_TOLERANCE 1e-6 /* sums of the same amounts in another order may differ by less than this */
-#define LEAST_EXCESS 1e-3        /* beyond its guarantee, of a team whose task asks for no GPU */
-#define COUNTS_AS_STARTED_S 32   /* that a task has run */
-#define STOP_DELAY_S 1           /* until a task that is to stop begins its checkpoint */
-#define FETCH_RATE_LEAST 1e-3    /* GB per second */
+#define LEAST_EXCESS 1e-3      /* beyond its guarantee, of a team whose task asks for no GPU */
+#define COUNTS_AS_STARTED_S 32 /* that a task has run */
+#define STOP_DELAY_S 1         /* until a task that is to stop begins its checkpoint */
+#define FETCH_RATE_LEAST 1e-3  /* GB per second */
 #define NO_OBJECTIVE_S 1e9
 
 /* A team that stays within its guarantee with the job, against one that stays at or above its own without the task: two
@@ -21,7 +21,7 @@
     const struct job_spec *holder = &allocation->job->spec;
     double needed_excess = holder->gpus > LEAST_EXCESS ? holder->gpus : LEAST_EXCESS;
     return holder->team != job->spec.team &&
-           preemption_over_guarantee(job->spec.team) + job->spec.gpus <= GUARANTEE_TOLERANCE &&
+           preemption_over_guarantee(job->spec.team) + job->spec.gpus <= PRIORITY_SUM_TOLERANCE &&
            preemption_over_guarantee(holder->team) >= needed_excess && quota_may_preempt(allocation);
 }
 
--- a/src/preemption/team_usage.c
+++ b/src/preemption/team_usage.c
@@ -3,17 +3,16 @@
 #include <glib.h>
 
 #include "../jobs/jobs.h"
+#include "../priority/priority.h"
 #include "../quota/quota.h"
 #include "internal.h"
 
-#define LIMIT_TOLERANCE 1e-6 /* sums of the same amounts in another order may differ by less than this */
-
 static struct team_usage held[SETTINGS_TEAMS]; /* in all shards, as preemption_refresh counted it */
 
 bool preemption_quota_left(const struct team_usage *usage, const struct job *job, int tasks) {
     const struct quota_bound limit = quota_bound(job->spec.team, jobs_shard(job));
-    return usage->vcpus + tasks * job->spec.vcpus <= limit.vcpus + LIMIT_TOLERANCE &&
-           usage->gpus + tasks * job->spec.gpus <= limit.gpus + LIMIT_TOLERANCE;
+    return usage->vcpus + tasks * job->spec.vcpus <= limit.vcpus + PRIORITY_SUM_TOLERANCE &&
+           usage->gpus + tasks * job->spec.gpus <= limit.gpus + PRIORITY_SUM_TOLERANCE;
 }
 
 void preemption_refresh(void) {
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -9,8 +9,6 @@
 #include "../quarantine/quarantine.h"
 #include "due.h"
 
-#define GUARANTEE_TOLERANCE 1e-6 /* sums of the same amounts in another order may differ by less than this */
-
 static const struct settings *priority_settings;
 static bool teams_divided; /* a team is divided over several shards */
 
@@ -53,8 +51,8 @@
     const struct settings_team *team = &priority_settings->teams[job->spec.team];
     if (team->cpus <= 0 && team->gpus <= 0) return false;
     return !quarantine_job_suspect(job) &&
-           (team->cpus <= 0 || demand->vcpus[job->spec.team] <= team->cpus + GUARANTEE_TOLERANCE) &&
-           (team->gpus <= 0 || demand->gpus[job->spec.team] <= team->gpus + GUARANTEE_TOLERANCE);
+           (team->cpus <= 0 || demand->vcpus[job->spec.team] <= team->cpus + PRIORITY_SUM_TOLERANCE) &&
+           (team->gpus <= 0 || demand->gpus[job->spec.team] <= team->gpus + PRIORITY_SUM_TOLERANCE);
 }
 
 /* Those of the jobs, oldest first, that are asked for. The others count towards their teams' guarantees. */
--- a/src/priority/priority.h
+++ b/src/priority/priority.h
@@ -11,6 +11,9 @@
 /* Once, before the threads start. The settings stay the caller's. */
 void priority_init(const struct settings *settings);
 
+/* Sums of the same amounts of a team in another order may differ by less than this. */
+#define PRIORITY_SUM_TOLERANCE 1e-6
+
 struct priority_entry {
     struct job *job;
     bool within_guarantee; /* with all that comes before it, its team stays within its guarantee */
--- a/src/quota/amount.c
+++ b/src/quota/amount.c
@@ -5,10 +5,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ROUNDING 1e-6 /* decimal amounts are not exact in binary */
-
-static int64_t rounded_up(double value) { return (int64_t)ceil(value * QUOTA_UNIT - ROUNDING); }
-static int64_t rounded_down(double value) { return (int64_t)floor(value * QUOTA_UNIT + ROUNDING); }
+static int64_t rounded_up(double value) { return (int64_t)ceil(value * QUOTA_UNIT - QUOTA_ROUNDING); }
+static int64_t rounded_down(double value) { return (int64_t)floor(value * QUOTA_UNIT + QUOTA_ROUNDING); }
 
 struct quota_amount quota_amount_granted(double vcpus, double gpus) {
     return (struct quota_amount){{rounded_down(vcpus), rounded_down(gpus)}};
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -12,7 +12,8 @@
     int64_t of[QUOTA_DIMENSIONS];
 };
 
-#define QUOTA_UNIT 1000.0 /* thousandths in one processor or GPU */
+#define QUOTA_ROUNDING 1e-6 /* decimal amounts are not exact in binary */
+#define QUOTA_UNIT 1000.0   /* thousandths in one processor or GPU */
 
 /* Of a limit or guarantee: rounded down. */
 struct quota_amount quota_amount_granted(double vcpus, double gpus);
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -12,8 +12,6 @@
 #include "demand.h"
 #include "views.h"
 
-#define ROUNDING_SLACK 1e-6 /* decimal amounts are not exact in binary */
-
 static int n_divided; /* teams with a record, readable or not */
 
 /* The team's state where it is divided, measured lately; NULL where it is not. */
@@ -138,8 +136,8 @@
     if (team_quota->damaged || at < 0) return false;
     struct quota_bound most = quota_bound(job->spec.team, shard);
     return quota_amount_units(team_quota->used[at], QUOTA_VCPUS) + tasks * job->spec.vcpus <=
-               most.vcpus + ROUNDING_SLACK &&
-           quota_amount_units(team_quota->used[at], QUOTA_GPUS) + tasks * job->spec.gpus <= most.gpus + ROUNDING_SLACK;
+               most.vcpus + QUOTA_ROUNDING &&
+           quota_amount_units(team_quota->used[at], QUOTA_GPUS) + tasks * job->spec.gpus <= most.gpus + QUOTA_ROUNDING;
 }
 
 void quota_note_preempted(const struct allocation *allocation) {
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -16,7 +16,7 @@
 static struct quota_amount gpus(int n) { return (struct quota_amount){{0, n * 1000}}; }
 
 /* Forms of the record that must not be taken for one. */
-static void records(void **state) {
+static void record_whose_sums_do_not_hold_is_refused(void **state) {
     (void)state;
     static const struct {
         const char *what, *text;
@@ -68,7 +68,7 @@
 }
 
 /* The largest record stays far below the smallest value that a store may take. */
-static void largest(void **state) {
+static void largest_record_fits_the_smallest_value(void **state) {
     (void)state;
     struct quota_amount much = quota_amount_granted(1e9, 1e9);
     struct quota_record r = quota_record_create(0, 64, QUOTA_SHARDS_MAX, much, much);
@@ -84,7 +84,7 @@
 }
 
 /* Allotments move by demand: what uses, waits and is due, of a limit of 12 of which the home holds all at first. */
-static void rebalances(void **state) {
+static void allotments_move_by_demand(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -139,7 +139,7 @@
 }
 
 /* A lower limit binds at once, whatever the allotments are; what runs beyond it is nobody's to start again. */
-static void lowered(void **state) {
+static void lowered_limit_binds_at_once(void **state) {
     (void)state;
     struct quota_record r = quota_record_create(HOME, SIZE, 2, gpus(12), gpus(4));
     struct quota_amount less = quota_amount_difference((struct quota_amount){{0}}, gpus(5));
@@ -171,7 +171,7 @@
 }
 
 /* Fewer shards: the others close, give back what they do not use, and go. */
-static void closing(void **state) {
+static void closing_shards_give_back_what_they_do_not_use(void **state) {
     (void)state;
     struct quota_record r = quota_record_create(HOME, SIZE, 3, gpus(12), gpus(5));
     struct quota_amount used[3] = {gpus(2), gpus(0), gpus(3)};
@@ -190,7 +190,7 @@
 }
 
 /* Ids spread over the shards, and each always comes to the same. */
-static void shards(void **state) {
+static void job_ids_spread_over_the_shards(void **state) {
     (void)state;
     int n[SIZE] = {0};
     for (int i = 0; i < 3000; i++) {
@@ -206,8 +206,11 @@
 }
 
 int main(void) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(records),    cmocka_unit_test(largest),
-                                       cmocka_unit_test(rebalances), cmocka_unit_test(lowered),
-                                       cmocka_unit_test(closing),    cmocka_unit_test(shards)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(record_whose_sums_do_not_hold_is_refused),
+                                       cmocka_unit_test(largest_record_fits_the_smallest_value),
+                                       cmocka_unit_test(allotments_move_by_demand),
+                                       cmocka_unit_test(lowered_limit_binds_at_once),
+                                       cmocka_unit_test(closing_shards_give_back_what_they_do_not_use),
+                                       cmocka_unit_test(job_ids_spread_over_the_shards)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -6,7 +6,7 @@
 
 #include "../../tests/standin/site.h"
 
-static void good_settings(void **state) {
+static void settings_are_read_with_their_derived_values(void **state) {
     (void)state;
     struct settings s;
     g_autoptr(GError) error = NULL;
@@ -19,7 +19,7 @@
     settings_clear(&s);
 }
 
-static void bad_settings(void **state) {
+static void wrong_setting_is_named(void **state) {
     (void)state;
     static const struct {
         const char *from, *to, *field;
@@ -52,7 +52,7 @@
 }
 
 /* Limits that the state service will have some day: each may be left out, and none is above the present one. */
-static void next_limits(void **state) {
+static void next_limits_are_optional_and_never_above_the_present(void **state) {
     (void)state;
     static const struct {
         const char *next;
@@ -89,7 +89,7 @@
     }
 }
 
-static void tuning(void **state) {
+static void tuning_file_overrides_defaults_or_is_refused(void **state) {
     (void)state;
     static const struct {
         const char *text, *wrong; /* wrong: what the error must name, NULL: good */
@@ -113,7 +113,7 @@
 }
 
 /* Which teams are divided: the first entry that names a team holds for it. */
-static void divided_teams(void **state) {
+static void first_entry_that_names_a_team_holds(void **state) {
     (void)state;
     static const struct {
         const char *text;
@@ -152,8 +152,10 @@
 }
 
 int main(void) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(good_settings), cmocka_unit_test(bad_settings),
-                                       cmocka_unit_test(next_limits), cmocka_unit_test(tuning),
-                                       cmocka_unit_test(divided_teams)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(settings_are_read_with_their_derived_values),
+                                       cmocka_unit_test(wrong_setting_is_named),
+                                       cmocka_unit_test(next_limits_are_optional_and_never_above_the_present),
+                                       cmocka_unit_test(tuning_file_overrides_defaults_or_is_refused),
+                                       cmocka_unit_test(first_entry_that_names_a_team_holds)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
