--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -1,3 +1,4 @@
+/* The records of allocations: how they are read, written and divided into chunks. */
 #include "allocations/allocations.h"
 
 #include <glib.h>
--- a/src/autoscaler/rental_choice.h
+++ b/src/autoscaler/rental_choice.h
@@ -14,6 +14,7 @@
     RENTAL_SPOT_FIRST /* an on-demand one where no spot one can be had */
 };
 
+/* Once, before the threads start. The settings stay the caller's. */
 void rental_choice_init(const struct settings *settings);
 /* Begins the plan of a shard in which so many tasks wait: no machine is counted in any zone. */
 void rental_choice_begin(int waiting_tasks);
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -33,9 +33,9 @@
     double occupancy;
 };
 
-/* The design's ledger of a shard's machines of one kind: headroom on spot machines is none for work that may not use
- * them. */
-struct ledger {
+/* Occupancy of a shard's machines of one kind, spot or on-demand: headroom on spot machines is none for work that may
+ * not use them. */
+struct occupancy_summary {
     GArray *candidates; /* struct candidate */
     double occupied;    /* sum of occupancies */
     int n;              /* machines that are up and don't drain */
@@ -48,31 +48,32 @@
     return !machine->had_task && clock_time_of_day() - machine->created_at < provisioning_give_up_s(machine);
 }
 
-static void count_machine(struct ledger *ledger, struct machine *machine, const struct machine *reception_machine) {
+static void count_machine(struct occupancy_summary *summary, struct machine *machine,
+                          const struct machine *reception_machine) {
     int window = (int)autoscaler_settings->tuning.window;
     struct candidate candidate = {machine, placement_occupancy(machine, window)};
-    ledger->occupied += candidate.occupancy;
+    summary->occupied += candidate.occupancy;
     if (machine->retirement.draining) {
-        ledger->n_draining++;
+        summary->n_draining++;
         return;
     }
     bool unsteady = machine->occupancy.n_samples < window;
-    ledger->n++;
-    ledger->n_unsteady += unsteady;
+    summary->n++;
+    summary->n_unsteady += unsteady;
     if (machine != reception_machine && !unsteady && machine->liveness.preemption_notice_s < 0 &&
         !awaits_first_task(machine))
-        g_array_append_val(ledger->candidates, candidate);
+        g_array_append_val(summary->candidates, candidate);
 }
 
-static struct ledger read_ledger(int shard, bool spot) {
-    struct ledger ledger = {.candidates = g_array_new(FALSE, FALSE, sizeof(struct candidate))};
+static struct occupancy_summary summarize_occupancy(int shard, bool spot) {
+    struct occupancy_summary summary = {.candidates = g_array_new(FALSE, FALSE, sizeof(struct candidate))};
     const struct machine *reception_machine = placement_reception(shard);
     for (guint i = 0; i < machines_of_shard(shard)->len; i++) {
         struct machine *machine = machines_of_shard(shard)->pdata[i];
         if (machine->spot == spot && machines_owned(machine) && machine->liveness.up && !machines_leaving(machine))
-            count_machine(&ledger, machine, reception_machine);
+            count_machine(&summary, machine, reception_machine);
     }
-    return ledger;
+    return summary;
 }
 
 static int least_occupied_first(gconstpointer left, gconstpointer right) {
@@ -88,27 +89,27 @@
 
 /* Nothing is returned before each machine shows a full window; in a large fleet some have always just booted, and while
  * they are few only they wait for their own. */
-static bool may_drain(int shard, const struct ledger *ledger) {
-    return ledger->n_unsteady * MACHINES_PER_DRAIN <= ledger->n && !shard_states[shard].fit_nowhere;
+static bool may_drain(int shard, const struct occupancy_summary *summary) {
+    return summary->n_unsteady * MACHINES_PER_DRAIN <= summary->n && !shard_states[shard].fit_nowhere;
 }
 
 static void run_kind(int shard, bool spot) {
     const struct settings_tuning *tuning = &autoscaler_settings->tuning;
-    struct ledger ledger = read_ledger(shard, spot);
-    double headroom =
-        placement_headroom(ledger.n, ledger.occupied, spot ? tuning->admission : tuning->reception, tuning->admission);
-    int n_drains = scale_in_drains(ledger.n, headroom, tuning->margin, tuning->admission, ledger.n_draining);
-    if (n_drains > 0 && may_drain(shard, &ledger)) {
-        g_array_sort(ledger.candidates, least_occupied_first);
-        for (guint i = 0; i < ledger.candidates->len && (int)i < n_drains; i++) {
-            struct machine *machine = g_array_index(ledger.candidates, struct candidate, i).machine;
+    struct occupancy_summary summary = summarize_occupancy(shard, spot);
+    double headroom = placement_headroom(summary.n, summary.occupied, spot ? tuning->admission : tuning->reception,
+                                         tuning->admission);
+    int n_drains = scale_in_drains(summary.n, headroom, tuning->margin, tuning->admission, summary.n_draining);
+    if (n_drains > 0 && may_drain(shard, &summary)) {
+        g_array_sort(summary.candidates, least_occupied_first);
+        for (guint i = 0; i < summary.candidates->len && (int)i < n_drains; i++) {
+            struct machine *machine = g_array_index(summary.candidates, struct candidate, i).machine;
             drain(machine);
             log_info("machine %s: draining (shard %d, %s, machines %d, occupancy %.2f, headroom %.2f)", machine->id,
-                     shard, spot ? "spot" : "on-demand", ledger.n - (int)i, ledger.occupied, headroom);
+                     shard, spot ? "spot" : "on-demand", summary.n - (int)i, summary.occupied, headroom);
             headroom -= tuning->admission;
         }
     }
-    g_array_free(ledger.candidates, TRUE);
+    g_array_free(summary.candidates, TRUE);
 }
 
 void scale_in_run(int shard) {
--- a/src/autoscaler/scale_in_test.c
+++ b/src/autoscaler/scale_in_test.c
@@ -1,3 +1,4 @@
+/* How many machines drain at once. */
 #include "autoscaler/scale_in.h"
 
 #include <glib.h>
--- a/src/autoscaler/shard_plan.h
+++ b/src/autoscaler/shard_plan.h
@@ -21,6 +21,7 @@
     const struct machine *reception_machine;
 };
 
+/* Once, before the threads start. The settings stay the caller's. */
 void shard_plan_init(const struct settings *settings);
 /* Counts what the shard has. jobs: its waiting jobs in order, struct priority_entry. */
 struct shard_plan shard_plan_begin(int shard, const GArray *jobs);
--- a/src/cloud/capacity.h
+++ b/src/cloud/capacity.h
@@ -3,6 +3,7 @@
 #define FF_CLOUD_CAPACITY_H
 #include "../model/machine.h"
 
+/* Once, before the threads start. */
 void capacity_init(void);
 /* The cloud had all machines of the kind that were requested. */
 void capacity_note_available(const struct rental_request *request);
--- a/src/cloud/rentals.h
+++ b/src/cloud/rentals.h
@@ -6,6 +6,7 @@
 #include "../model/machine.h"
 #include "../settings/settings.h"
 
+/* Once, before the threads start. The settings stay the caller's. */
 void rentals_init(const struct settings *settings);
 /* A rental was begun whose outcome is not known yet: no other one is begun before. */
 bool rentals_any_open(void);
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -1,3 +1,4 @@
+/* Dependencies of jobs, on records as the store would hold them. */
 /* Dependencies between jobs by their records alone, read in any order: which jobs wait, what priority and deadline
  * each has, and which are to be cancelled. */
 #include "dependencies/dependencies.h"
--- a/src/dependencies/graph.c
+++ b/src/dependencies/graph.c
@@ -1,3 +1,4 @@
+/* Links jobs with their prerequisites as records arrive, and counts the unmet ones. */
 #include <glib.h>
 #include <stdbool.h>
 
--- a/src/dependencies/submission_check.c
+++ b/src/dependencies/submission_check.c
@@ -1,3 +1,4 @@
+/* Says whether a submission may name its prerequisites: from the mirror, or after one read of the store. */
 #include <stdbool.h>
 #include <string.h>
 
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -9,6 +9,7 @@
  * out. */
 enum http_outcome { HTTP_ANSWERED, HTTP_NOT_SENT, HTTP_UNKNOWN };
 
+/* Without a connection yet. */
 struct http_client *http_client_new(void);
 void http_client_free(struct http_client *client);
 
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -1,3 +1,4 @@
+/* Client and server of HTTP on loopback: what is sent once, and answers that come too late. */
 #include <arpa/inet.h>
 #include <glib.h>
 #include <pthread.h>
--- a/src/jobs/job_record.h
+++ b/src/jobs/job_record.h
@@ -17,6 +17,7 @@
     double finished; /* time of day at which a done job ended; 0: not done, or not recorded */
     int shard;       /* that a record of a divided team's job names; -1: none */
 };
+/* Reads what changes in the course of a job. */
 struct job_record job_record_read(const cJSON *data);
 /* What doesn't: the submission, which belongs to data (NULL: there is none), and the time of day of its acceptance. */
 const cJSON *job_record_submission(const cJSON *data);
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -1,3 +1,4 @@
+/* Submissions and records of jobs, by tables of cases. */
 #include "jobs/jobs.h"
 
 #include <glib.h>
--- a/src/liveness/liveness.h
+++ b/src/liveness/liveness.h
@@ -27,6 +27,7 @@
 
 /* All of these with store_lock held. */
 
+/* Of all machines of owned shards. */
 struct liveness_summary liveness_summary(void);
 /* Finds the shard's machines that are to be returned, given what is heard of all machines of owned shards; has silent
  * ones probed. On the scheduler's thread. */
--- a/src/liveness/liveness_test.c
+++ b/src/liveness/liveness_test.c
@@ -1,3 +1,4 @@
+/* How long a silence is long, for a zone, a machine and the controller. */
 #include "liveness/liveness.h"
 
 #include <glib.h>
--- a/src/machines/codec.h
+++ b/src/machines/codec.h
@@ -47,6 +47,7 @@
     struct machine_page_names type_names, zones, images;
     int images_per_machine;
 };
+/* Begins an empty page. */
 void machine_page_writer_begin(struct machine_page_writer *writer, int images_per_machine);
 /* `images` is a set of names, or NULL. */
 void machine_page_writer_add(struct machine_page_writer *writer, const struct machine_record *record,
@@ -59,6 +60,7 @@
     MACHINE_SINGLE_MALFORMED,
     MACHINE_SINGLE_FIRST_LAYOUT /* which kept allocations in these records, and is not read any more */
 };
+/* Reads the record of a machine on its way between shards, and the shard that it goes to. */
 enum machine_single_result machine_single_read(const cJSON *data, struct machine_record *record, int64_t *shard);
 /* The value belongs to the caller. */
 cJSON *machine_single_write(const struct machine_record *record, int shard);
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -1,3 +1,4 @@
+/* Records of machines: pages, transfers between shards, and what cannot be read. */
 #include "machines/machines.h"
 
 #include <glib.h>
--- a/src/machines/page_assignment.h
+++ b/src/machines/page_assignment.h
@@ -15,6 +15,7 @@
 struct shard_page_fills {
     struct page_fill pages[MACHINE_PAGES_MAX];
 };
+/* Counts a shard's pages. With store_lock held. */
 void machines_page_fills(int shard, struct shard_page_fills *fills);
 /* The page that the machine is to go to, counted in; -1: all are full. */
 int machines_page_fills_add(struct shard_page_fills *fills, const char *id);
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -1,3 +1,4 @@
+/* Assignment of shards, records in any order, and parts of the write rate. */
 #include "membership/membership.h"
 
 #include <glib.h>
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -1,3 +1,4 @@
+/* Headroom, occupancy and the choice of a machine, by tables of cases. */
 #include "placement/placement.h"
 
 #include <glib.h>
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -10,10 +10,12 @@
 #include "../machines/machines.h"
 #include "../store/store.h"
 
+/* Once, before the threads start. The settings stay the caller's. */
 void quota_init(const struct settings *settings);
 
 /* All with store_lock held. */
 
+/* Whether the team, or any team, is divided over several shards. */
 bool quota_divided(int team);
 bool quota_any_divided(void);
 /* The shard of a job that is accepted now. */
--- a/src/quota/state.h
+++ b/src/quota/state.h
@@ -28,6 +28,7 @@
 
 extern const struct settings *quota_settings;
 
+/* Once, before the threads start. The settings stay the caller's. */
 void quota_state_init(const struct settings *settings);
 struct quota_team *quota_team_at(int team);  /* NULL where the team was never divided here */
 struct quota_team *quota_team_for(int team); /* the same, made where our own settings divide the team */
--- a/src/quota/views.h
+++ b/src/quota/views.h
@@ -6,6 +6,7 @@
 
 #include "state.h"
 
+/* Once, before the threads start. */
 void quota_views_init(void);
 /* What this controller's own settings say. */
 struct quota_view quota_view_own(int team);
--- a/src/scheduler/isolation.h
+++ b/src/scheduler/isolation.h
@@ -10,6 +10,7 @@
     struct timespec workers_heard; /* when enough workers last sent heartbeats, or it could not be judged */
 };
 
+/* Begins to watch: counts as heard now. */
 void isolation_watch_start(struct isolation_watch *watch);
 
 /* With store_lock held. A controller that hears none of its workers leaves its shards to others: at once where not one
--- a/src/schema_version/schema_version_test.c
+++ b/src/schema_version/schema_version_test.c
@@ -1,3 +1,4 @@
+/* When a layout of records is active, and when teams are divided. */
 #include "schema_version/schema_version.h"
 
 #include <glib.h>
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -1,3 +1,4 @@
+/* The three settings files, good and wrong. */
 #include "settings/settings.h"
 
 #include <glib.h>
--- a/src/store/keys_test.c
+++ b/src/store/keys_test.c
@@ -1,3 +1,4 @@
+/* Keys of records. */
 #include "store/keys.h"
 
 #include <glib.h>
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -23,6 +23,7 @@
 /* The settings are kept. */
 void store_mirror_init(const struct settings *settings);
 
+/* The lock of the mirror and of all that is derived from it. Held for short, never across I/O; not recursive. */
 void store_lock(void);
 void store_unlock(void);
 
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -1,3 +1,4 @@
+/* The client and the mirror against a stand-in of the store. */
 #include "store/store.h"
 
 #include <glib.h>
--- a/src/store/transaction.h
+++ b/src/store/transaction.h
@@ -15,6 +15,7 @@
     cJSON *comparisons, *operations;
     int writes; /* number of operations */
 };
+/* Begins an empty transaction; ends one that was carried out or given up. */
 void store_txn_init(struct store_txn *txn);
 void store_txn_free(struct store_txn *txn);
 
@@ -40,6 +41,7 @@
     int64_t revision;     /* that of the transaction on STORE_OK, the store's at the time on STORE_CONFLICT, else 0 */
     GPtrArray *conflicts; /* on STORE_CONFLICT the keys that have changed, else NULL */
 };
+/* Frees what it holds. */
 void store_response_clear(struct store_response *response);
 
 /* One operation of a transaction or one event of a watch. The pointers belong to the JSON that it was read from. */
--- a/src/sync/sync.h
+++ b/src/sync/sync.h
@@ -16,6 +16,7 @@
     pthread_cond_t cond;
     bool signalled;
 };
+/* Before the first use. */
 void sync_wakeup_init(struct sync_wakeup *wakeup);
 void sync_wakeup_signal(struct sync_wakeup *wakeup);
 void sync_wakeup_wait(struct sync_wakeup *wakeup, struct timespec at_most);
--- a/src/workers/codec.h
+++ b/src/workers/codec.h
@@ -45,6 +45,7 @@
     double grace_s; /* of a stop: for so long the task may save its state */
 };
 
+/* Appends a directive to a list of them, in the worker's form. */
 void codec_add_directive(cJSON *directives, const struct directive *directive);
 /* A list of directives starts a task. */
 bool codec_has_start(const cJSON *directives);
--- a/src/workers/proxy.h
+++ b/src/workers/proxy.h
@@ -9,6 +9,7 @@
 #include "../json/json.h"
 #include "../machines/machines.h"
 
+/* Once, before the threads start. The settings stay the caller's. */
 void proxy_init(const struct settings *settings);
 /* Bound like an owner's responses to the last read of the store, and over as soon as store or owner is in reach. */
 bool proxy_allowed(const struct machine *machine);
--- a/src/workers/reconciliation.h
+++ b/src/workers/reconciliation.h
@@ -8,6 +8,7 @@
 #include "codec.h"
 #include "directives.h"
 
+/* Once, before the threads start. The settings stay the caller's. */
 void reconciliation_init(const struct settings *settings);
 /* Takes in a heartbeat of an owned machine, or its answer to a command. False: it can't be read, or is no newer than
  * what is known; nothing has changed. */
--- a/src/workers/senders.h
+++ b/src/workers/senders.h
@@ -3,6 +3,7 @@
 #define FF_WORKERS_SENDERS_H
 #include <stdbool.h>
 
+/* Starts the threads. */
 void senders_start(void);
 /* Pure: whether a command may still be sent, age_s after it was decided on. owned: under the same fencing token of the
  * shard as then; may_start: membership_may_start_tasks. */
