--- a/tests/cluster/compound_failures_test.c
+++ b/tests/cluster/compound_failures_test.c
@@ -35,10 +35,10 @@
     return pair_ask_one(i, "GET", path, NULL, last_state, sizeof last_state);
 }
 
-static bool gone(const char *task, double within) { return pair_task_runs(task, 0, within); }
+static bool task_is_gone(const char *task, double within) { return pair_task_runs(task, 0, within); }
 
 /* A job that runs on, of the team whose shard that controller owns. */
-static void long_job(const char *job_id, int owner, int tasks) {
+static void submit_long_job(const char *job_id, int owner, int tasks) {
     char task[64];
     assert_non_null(pair_team_of(owner));
     assert_true(pair_submit(job_id, pair_team_of(owner), "standing", tasks));
@@ -50,20 +50,20 @@
 
 /* A machine that reaches no controller, while commands reach it: what was cancelled ends at once, the rest elsewhere
  * once its lease is over. */
-static void mute(void) {
-    long_job("req-90001", 1, 2);
-    long_job("req-90002", 1, 2);
+static void machine_cannot_report(void) {
+    submit_long_job("req-90001", 1, 2);
+    submit_long_job("req-90002", 1, 2);
     int on = standin_workers_machine_of("req-90001/0");
     standin_workers_inject(on, STANDIN_CANNOT_REPORT);
     assert_int_equal(cancel(1, "req-90001"), 200);
-    assert_true(gone("req-90001/0", 3));
+    assert_true(task_is_gone("req-90001/0", 3));
     clock_sleep(clock_from_seconds(PAIR_LEASE_S + 1));
     assert_true(pair_task_runs("req-90002/0", 1, 25) && pair_task_runs("req-90002/1", 1, 25));
 }
 
 /* A store whose every answer takes long, while users submit, cancel and ask: an answer is right, or it is none. */
 static void slow_store(void) {
-    long_job("req-90001", 0, 1);
+    submit_long_job("req-90001", 0, 1);
     standin_store_delay_answers(0.15);
     assert_int_equal(cancel(0, "req-90001"), 200);
     struct timespec told = clock_now();
@@ -79,7 +79,7 @@
 }
 
 /* The tasks of one job end far apart, and its owner changes in between: it is done when the last is. */
-static void ends_apart(void) {
+static void tasks_end_far_apart(void) {
     const char *team = pair_team_of(0);
     standin_workers_set_fetch_time("req-10001/2", 7);
     assert_true(pair_submit("req-10001", team, "batch", 3));
@@ -101,8 +101,8 @@
 
 /* Commands are held up for seconds, and then executed, while the machine goes on: some of what they start was given up.
  */
-static void held_commands(void) {
-    long_job("req-90001", 0, 2);
+static void delayed_commands(void) {
+    submit_long_job("req-90001", 0, 2);
     standin_workers_inject(-1, STANDIN_COMMANDS_DELAYED);
     assert_true(pair_submit("req-90002", pair_team_of(0), "standing", 3));
     clock_sleep(clock_from_seconds(1.5));
@@ -116,16 +116,17 @@
                          standin_workers_holding("req-90002/2"),
                      0);
     pair_wait(told, PAIR_CANCEL_S);
-    assert_true(gone("req-90002/0", 0.1) && gone("req-90002/1", 0.1) && gone("req-90002/2", 0.1));
+    assert_true(task_is_gone("req-90002/0", 0.1) && task_is_gone("req-90002/1", 0.1) &&
+                task_is_gone("req-90002/2", 0.1));
     assert_true(pair_task_runs("req-90001/1", 1, 20) && pair_task_runs("req-90003/0", 1, 20) &&
                 pair_task_runs("req-90003/1", 1, 20));
 }
 
 /* A zone with its workers and a controller is cut off for longer than a lease; jobs are cancelled outside. */
-static void zone_cut(void) {
-    long_job("req-90001", 0, 2);
-    long_job("req-90002", 1, 1);
-    long_job("req-90003", 1, 1);
+static void zone_partition(void) {
+    submit_long_job("req-90001", 0, 2);
+    submit_long_job("req-90002", 1, 1);
+    submit_long_job("req-90003", 1, 1);
     standin_workers_inject(-1, STANDIN_PARTITIONED);
     standin_store_refuse(0, true);
     struct timespec cut = clock_now();
@@ -134,7 +135,8 @@
     struct timespec told = clock_now();
     pair_wait(cut, PAIR_LEASE_S + 2);
     pair_wait(told, PAIR_CANCEL_S);
-    assert_true(gone("req-90001/0", 0.1) && gone("req-90001/1", 0.1) && gone("req-90002/0", 0.1));
+    assert_true(task_is_gone("req-90001/0", 0.1) && task_is_gone("req-90001/1", 0.1) &&
+                task_is_gone("req-90002/0", 0.1));
     standin_workers_inject(-1, STANDIN_HEALTHY);
     standin_store_refuse(0, false);
     assert_true(pair_task_runs("req-90003/0", 1, 25));
@@ -158,7 +160,7 @@
 
 /* A cancel and a question meet the end of a job's last task, at two controllers: what anyone was told of the end stays.
  */
-static void at_the_end(void) {
+static void cancel_at_completion(void) {
     for (int i = 0; i < 12; i++) {
         char job_id[32], told[32] = "";
         g_snprintf(job_id, sizeof job_id, "req-10%03d", i);
@@ -193,7 +195,7 @@
 }
 
 /* A team is at its limit when its owner ends; one of its machines can't be asked, and a job of it is cancelled. */
-static void at_the_limit(void) {
+static void team_at_its_limit(void) {
     int owner = pair_team_of(0) && !strcmp(pair_team_of(0), "red") ? 0 : 1; /* green's shard is red's */
     standin_workers_measure_peak("req-90");
     assert_true(pair_submit("req-90001", "green", "standing", 3));
@@ -213,7 +215,8 @@
     pair_wait(told, PAIR_LEASE_S - 1);
     standin_workers_inject(on, STANDIN_HEALTHY);
     pair_wait(told, PAIR_CANCEL_S);
-    assert_true(gone("req-90001/0", 0.1) && gone("req-90001/1", 0.1) && gone("req-90001/2", 0.1));
+    assert_true(task_is_gone("req-90001/0", 0.1) && task_is_gone("req-90001/1", 0.1) &&
+                task_is_gone("req-90001/2", 0.1));
     for (int t = 0; t < 3; t++) {
         char task[32];
         g_snprintf(task, sizeof task, "req-90002/%d", t);
@@ -225,9 +228,9 @@
 
 /* The leader loses the store and the other controllers, not its users: it tells nothing that is older than what the
  * other told. */
-static void cut_leader_asked(void) {
-    long_job("req-90001", 0, 1);
-    long_job("req-90002", 0, 1);
+static void partitioned_leader_is_polled(void) {
+    submit_long_job("req-90001", 0, 1);
+    submit_long_job("req-90002", 0, 1);
     standin_store_refuse(0, true);
     struct timespec cut = clock_now();
     assert_int_equal(cancel(1, "req-90001"), 200);
@@ -237,16 +240,16 @@
         assert_string_equal(last_state, "cancelled");
         clock_sleep(clock_from_seconds(0.1));
     }
-    assert_true(gone("req-90001/0", 0.1));
+    assert_true(task_is_gone("req-90001/0", 0.1));
     standin_store_refuse(0, false);
     assert_true(pair_task_runs("req-90002/0", 1, 25));
 }
 
 /* An owner ends while a machine with a long task hears no answer of anybody: it is given back, and only then does its
  * task begin elsewhere. */
-static void deaf_at_takeover(void) {
-    long_job("req-90001", 0, 1);
-    long_job("req-90002", 0, 4);
+static void machine_deaf_at_failover(void) {
+    submit_long_job("req-90001", 0, 1);
+    submit_long_job("req-90002", 0, 4);
     int on = standin_workers_machine_of("req-90001/0");
     standin_workers_inject(on, STANDIN_CANNOT_HEAR);
     pair_kill_controller(0);
@@ -258,8 +261,8 @@
 }
 
 /* Ten changes of leader, also inside an outage. */
-static void ten_leaders(void) {
-    long_job("req-90001", 0, 2);
+static void ten_leader_changes(void) {
+    submit_long_job("req-90001", 0, 2);
     for (int i = 0; i < 10; i++) {
         int led = pair_leads(0) ? 0 : 1;
         pair_kill_controller(led);
@@ -274,8 +277,8 @@
 }
 
 /* Every second change of the store gets no answer and is carried out after newer ones; an owner ends in between. */
-static void late_transactions(void) {
-    long_job("req-90001", 0, 2);
+static void delayed_transactions(void) {
+    submit_long_job("req-90001", 0, 2);
     standin_store_delay_transactions(1.5);
     for (int i = 0; i < 6; i++) {
         char job_id[32];
@@ -288,7 +291,7 @@
     clock_sleep(clock_from_seconds(0.5));
     pair_start_controller(0);
     pair_wait(told, PAIR_CANCEL_S);
-    assert_true(gone("req-90001/0", 0.1) && gone("req-90001/1", 0.1));
+    assert_true(task_is_gone("req-90001/0", 0.1) && task_is_gone("req-90001/1", 0.1));
     standin_store_delay_transactions(0);
     for (int i = 0; i < 6; i++) {
         char job_id[32];
@@ -300,9 +303,9 @@
 }
 
 /* Of every report a copy comes seconds later, to the other controller, which may have taken over meanwhile. */
-static void late_reports(void) {
+static void delayed_heartbeats(void) {
     standin_workers_duplicate_heartbeats(2.5);
-    long_job("req-90001", 0, 3);
+    submit_long_job("req-90001", 0, 3);
     assert_true(pair_submit("req-10002", pair_team_of(0), "batch", 8));
     clock_sleep(clock_from_seconds(1));
     pair_kill_controller(0);
@@ -312,15 +315,16 @@
     assert_true(pair_job_becomes("req-10002", "done", 30));
     pair_start_controller(0);
     pair_wait(told, PAIR_CANCEL_S);
-    assert_true(gone("req-90001/0", 0.1) && gone("req-90001/1", 0.1) && gone("req-90001/2", 0.1));
+    assert_true(task_is_gone("req-90001/0", 0.1) && task_is_gone("req-90001/1", 0.1) &&
+                task_is_gone("req-90001/2", 0.1));
     assert_true(pair_task_runs("req-90003/0", 1, 20) && pair_task_runs("req-90003/1", 1, 20));
     standin_workers_duplicate_heartbeats(0);
 }
 
 /* All controllers are away for longer than a lease. */
-static void all_away(void) {
-    long_job("req-90001", 0, 2);
-    long_job("req-90002", 1, 1);
+static void all_controllers_down(void) {
+    submit_long_job("req-90001", 0, 2);
+    submit_long_job("req-90002", 1, 1);
     assert_int_equal(cancel(1, "req-90002"), 200);
     pair_kill_controller(0);
     pair_kill_controller(1);
@@ -336,8 +340,8 @@
 
 /* A machine that reports and takes orders, but does not end what was cancelled: it is given back in time. */
 static void stop_not_obeyed(void) {
-    long_job("req-90001", 0, 1);
-    long_job("req-90002", 1, 1);
+    submit_long_job("req-90001", 0, 1);
+    submit_long_job("req-90002", 1, 1);
     int before = standin_cloud_returned();
     standin_workers_inject(standin_workers_machine_of("req-90001/0"), STANDIN_IGNORES_STOPS);
     assert_int_equal(cancel(1, "req-90001"), 200);
@@ -352,9 +356,9 @@
 
 /* All controllers end after the record that drops a machine was written, and before that of its allocations: nobody can
  * ask the machine. Here it even lives on, and reaches nobody: its tasks start elsewhere on the cloud's word alone. */
-static void unrecorded_machine(void) {
-    long_job("req-90001", 0, 1);
-    long_job("req-90002", 0, 4);
+static void machine_without_record(void) {
+    submit_long_job("req-90001", 0, 1);
+    submit_long_job("req-90002", 0, 4);
     int on = standin_workers_machine_of("req-90001/0"), before = standin_cloud_returned();
     pair_kill_controller(0);
     pair_kill_controller(1);
@@ -374,25 +378,25 @@
     void (*bring_about)(void);
     int leader;
 } rows[] = {
-    {"machine_cannot_report", mute, 0},
+    {"machine_cannot_report", machine_cannot_report, 0},
     {"slow_store", slow_store, 0},
-    {"tasks_end_far_apart", ends_apart, 0},
-    {"delayed_commands", held_commands, 0},
-    {"zone_partition", zone_cut, 0},
-    {"cancel_at_completion", at_the_end, 0},
-    {"team_at_its_limit", at_the_limit, 0},
-    {"partitioned_leader_is_polled", cut_leader_asked, 0},
-    {"machine_deaf_at_failover", deaf_at_takeover, 0},
-    {"ten_leader_changes", ten_leaders, 0},
-    {"delayed_transactions", late_transactions, 0},
-    {"delayed_heartbeats", late_reports, 0},
-    {"all_controllers_down", all_away, 0},
+    {"tasks_end_far_apart", tasks_end_far_apart, 0},
+    {"delayed_commands", delayed_commands, 0},
+    {"zone_partition", zone_partition, 0},
+    {"cancel_at_completion", cancel_at_completion, 0},
+    {"team_at_its_limit", team_at_its_limit, 0},
+    {"partitioned_leader_is_polled", partitioned_leader_is_polled, 0},
+    {"machine_deaf_at_failover", machine_deaf_at_failover, 0},
+    {"ten_leader_changes", ten_leader_changes, 0},
+    {"delayed_transactions", delayed_transactions, 0},
+    {"delayed_heartbeats", delayed_heartbeats, 0},
+    {"all_controllers_down", all_controllers_down, 0},
     {"stop_not_obeyed", stop_not_obeyed, 0},
-    {"machine_without_record", unrecorded_machine, 0},
+    {"machine_without_record", machine_without_record, 0},
 };
 static size_t row;
 
-static void meeting(void **state) {
+static void run_case(void **state) {
     (void)state;
     assert_true(pair_start_led_by(rows[row].leader));
     rows[row].bring_about();
@@ -405,7 +409,7 @@
     if (cases_are_listed(argc, argv)) return cases_compare(CASES(rows), argc, argv);
     if (argc < 3 || !cases_find(CASES(rows), argv[2], &row) || !pair_start(argv[1])) return 2;
     standin_cloud_refuse_no_rental();
-    const struct CMUnitTest tests[] = {{rows[row].name, meeting, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, run_case, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     pair_clear();
     return rc;
--- a/tests/cluster/divided_teams_test.c
+++ b/tests/cluster/divided_teams_test.c
@@ -55,7 +55,7 @@
     bool accepted;
 };
 
-static void burst_uid(const struct burst *b, int n, char *job_id, size_t size) {
+static void burst_job_id(const struct burst *b, int n, char *job_id, size_t size) {
     g_snprintf(job_id, size, "req-1%d%d%02d", b->serial, b->at, n);
 }
 
@@ -65,7 +65,7 @@
     for (int n = 0; n < BURST_JOBS; n++) {
         char job_id[32];
         bool gang = n % 4 == 3;
-        burst_uid(b, n, job_id, sizeof job_id);
+        burst_job_id(b, n, job_id, sizeof job_id);
         const struct cluster_job job = {job_id, b->team, gang ? "group" : "batch", "normal", gang ? 4 : 3, 2, 1, NULL};
         if (cluster_submit(b->at, &job) / 100 == 2)
             history_accepted(history_log(), history_now(), job_id, b->team, job.tasks, job.gpus);
@@ -76,7 +76,7 @@
 }
 
 /* The same second at every controller, together five times the limit. */
-static void burst_everywhere(struct burst *all, const char *team, int serial) {
+static void start_bursts(struct burst *all, const char *team, int serial) {
     pthread_t threads[CONTROLLERS];
     for (int i = 0; i < CONTROLLERS; i++) {
         all[i] = (struct burst){i, serial, team, false};
@@ -86,67 +86,67 @@
     for (int i = 0; i < CONTROLLERS; i++) assert_true(all[i].accepted);
 }
 
-static void burst_ends(const struct burst *all) {
+static void check_bursts_are_done(const struct burst *all) {
     for (int i = 0; i < CONTROLLERS; i++)
         for (int n = 0; n < BURST_JOBS; n++) {
             char job_id[32];
-            burst_uid(&all[i], n, job_id, sizeof job_id);
+            burst_job_id(&all[i], n, job_id, sizeof job_id);
             if (!cluster_job_becomes(job_id, "done", 60)) fail_msg("%s is not done", job_id);
         }
 }
 
 static void burst(void) {
     struct burst red[CONTROLLERS];
-    burst_everywhere(red, "red", 0);
-    burst_ends(red);
+    start_bursts(red, "red", 0);
+    check_bursts_are_done(red);
     assert_true(history_peak(history_log(), "red") > LIMIT / 2); /* the limit is made use of */
 }
 
-/* A trouble in the middle of a burst, and a burst in the middle of the trouble. */
-static void burst_with(void (*begins)(void), double lasts_s, void (*ends)(void)) {
+/* A fault in the middle of a burst, and a burst in the middle of the fault. */
+static void burst_with(void (*begin_fault)(void), double fault_s, void (*end_fault)(void)) {
     struct burst before[CONTROLLERS], during[CONTROLLERS];
-    burst_everywhere(before, "red", 0);
+    start_bursts(before, "red", 0);
     struct timespec began = clock_now();
-    begins();
-    burst_everywhere(during, "red", 1);
-    cluster_wait(began, lasts_s);
-    if (ends) ends();
-    burst_ends(before);
-    burst_ends(during);
+    begin_fault();
+    start_bursts(during, "red", 1);
+    cluster_wait(began, fault_s);
+    if (end_fault) end_fault();
+    check_bursts_are_done(before);
+    check_bursts_are_done(during);
 }
 
-static void end_second(void) { cluster_kill_controller(1); }
-static void begin_second(void) { cluster_start_controller(1); }
-static void back_at_once(void) {
+static void kill_second(void) { cluster_kill_controller(1); }
+static void start_second(void) { cluster_start_controller(1); }
+static void restart_second_at_once(void) {
     for (int n = 0; n < 2; n++) {
         cluster_kill_controller(1);
         cluster_start_controller(1);
         clock_sleep(clock_from_seconds(0.3));
     }
 }
-static void stop_second(void) { cluster_pause_controller(1); }
-static void continue_second(void) { cluster_resume_controller(1); }
-static void shut_first(void) { cluster_refuse_store(0, true); }
-static void open_first(void) { cluster_refuse_store(0, false); }
-static void shut_second(void) { cluster_refuse_store(1, true); }
-static void open_second(void) { cluster_refuse_store(1, false); }
-static void late_writes(void) { standin_store_delay_transactions(1.5); }
-static void no_late_writes(void) { standin_store_delay_transactions(0); }
-
-static void owner_ends(void) { burst_with(end_second, 6, begin_second); }
-static void owner_is_back(void) { burst_with(back_at_once, 0, NULL); }
-static void owner_stands_still(void) { burst_with(stop_second, 6, continue_second); }
-static void owner_is_cut(void) { burst_with(shut_first, 6, open_first); }
-static void owner_is_refused(void) { burst_with(shut_second, 6, open_second); }
-static void transactions_late(void) { burst_with(late_writes, 5, no_late_writes); }
+static void pause_second(void) { cluster_pause_controller(1); }
+static void resume_second(void) { cluster_resume_controller(1); }
+static void cut_first_from_store(void) { cluster_refuse_store(0, true); }
+static void reconnect_first(void) { cluster_refuse_store(0, false); }
+static void refuse_second(void) { cluster_refuse_store(1, true); }
+static void admit_second(void) { cluster_refuse_store(1, false); }
+static void delay_transactions(void) { standin_store_delay_transactions(1.5); }
+static void stop_delaying_transactions(void) { standin_store_delay_transactions(0); }
+
+static void owner_ends(void) { burst_with(kill_second, 6, start_second); }
+static void owner_restarts_at_once(void) { burst_with(restart_second_at_once, 0, NULL); }
+static void owner_paused_past_lease(void) { burst_with(pause_second, 6, resume_second); }
+static void owner_cut_from_store_and_peers(void) { burst_with(cut_first_from_store, 6, reconnect_first); }
+static void store_refuses_one_owner(void) { burst_with(refuse_second, 6, admit_second); }
+static void delayed_transactions(void) { burst_with(delay_transactions, 5, stop_delaying_transactions); }
 
 /* The store is out for longer than cancel_s while parts move, and jobs are cancelled just before. */
-static void store_out(void) {
+static void store_outage_during_rebalance(void) {
     struct burst red[CONTROLLERS];
     submit_red(0, "req-90001", "standing", 3);
     submit_red(1, "req-90002", "standing", 2);
     assert_true(cluster_task_runs("req-90001/2", 1, 20) && cluster_task_runs("req-90002/1", 1, 20));
-    burst_everywhere(red, "red", 0);
+    start_bursts(red, "red", 0);
     standin_store_inject(STANDIN_LOST_ANSWER);
     clock_sleep(clock_from_seconds(0.1));
     cancel(0, "req-90001");
@@ -160,28 +160,28 @@
     }
     cluster_wait(told, CLUSTER_CANCEL_S + 2);
     standin_store_inject(STANDIN_NO_FAULT);
-    burst_ends(red);
+    check_bursts_are_done(red);
     cancel(1, "req-90002");
 }
 
 /* Two gangs that each need more than half of the limit: one after the other. */
-static void two_gangs(void) {
+static void two_gangs_over_half(void) {
     struct burst red[CONTROLLERS];
-    burst_everywhere(red, "red", 0);
+    start_bursts(red, "red", 0);
     submit_red(0, "req-10901", "group", 8);
     submit_red(1, "req-10902", "group", 8);
     assert_true(cluster_job_becomes("req-10901", "done", 60) && cluster_job_becomes("req-10902", "done", 60));
-    burst_ends(red);
+    check_bursts_are_done(red);
 }
 
 #define FLOOD_JOBS 240 /* twice what the limit serves in the time that their submission takes */
 
-static void flood_uid(int n, char *job_id, size_t size) { g_snprintf(job_id, size, "req-14%04d", n); }
+static void flood_job_id(int n, char *job_id, size_t size) { g_snprintf(job_id, size, "req-14%04d", n); }
 
 static void *flood_main(void *accepted) {
     for (int n = 0; n < FLOOD_JOBS; n++) {
         char job_id[32];
-        flood_uid(n, job_id, sizeof job_id);
+        flood_job_id(n, job_id, sizeof job_id);
         const struct cluster_job job = {job_id, "red", "batch", "normal", 1, 2, 1, NULL};
         if (cluster_submit(n % CONTROLLERS, &job) / 100 != 2) return NULL;
         history_accepted(history_log(), history_now(), job_id, "red", 1, 1);
@@ -192,7 +192,7 @@
 }
 
 /* A flood of one-task jobs at all controllers, and a gang that needs most of the limit. */
-static void gang_and_flood(void) {
+static void gang_against_flood(void) {
     bool accepted = false;
     pthread_t thread;
     assert_int_equal(pthread_create(&thread, NULL, flood_main, &accepted), 0);
@@ -203,35 +203,35 @@
     assert_true(cluster_job_becomes("req-10903", "done", 60));
     for (int n = 0; n < FLOOD_JOBS; n++) {
         char job_id[32];
-        flood_uid(n, job_id, sizeof job_id);
+        flood_job_id(n, job_id, sizeof job_id);
         if (!cluster_job_becomes(job_id, "done", 60)) fail_msg("%s is not done", job_id);
     }
 }
 
 /* A machine of unknown state, with tasks of the team. */
-static void one_machine(enum standin_worker_fault reach) {
+static void run_with_worker_fault(enum standin_worker_fault fault) {
     submit_red(0, "req-90001", "standing", 2);
     assert_true(cluster_task_runs("req-90001/0", 1, 20) && cluster_task_runs("req-90001/1", 1, 20));
     struct burst before[CONTROLLERS], during[CONTROLLERS];
-    burst_everywhere(before, "red", 0);
+    start_bursts(before, "red", 0);
     int on = standin_workers_machine_of("req-90001/0");
     assert_true(on >= 0);
-    standin_workers_inject(on, reach);
+    standin_workers_inject(on, fault);
     struct timespec began = clock_now();
-    burst_everywhere(during, "red", 1);
+    start_bursts(during, "red", 1);
     cluster_wait(began, 6);
     standin_workers_inject(on, STANDIN_HEALTHY);
-    burst_ends(before);
-    burst_ends(during);
+    check_bursts_are_done(before);
+    check_bursts_are_done(during);
     assert_true(cluster_task_runs("req-90001/0", 1, 30) && cluster_task_runs("req-90001/1", 1, 30));
     cancel(1, "req-90001");
 }
-static void machine_is_deaf(void) { one_machine(STANDIN_CANNOT_HEAR); }
-static void machine_hangs(void) { one_machine(STANDIN_HANGS); }
-static void commands_are_held(void) { one_machine(STANDIN_COMMANDS_DELAYED); }
+static void deaf_machine(void) { run_with_worker_fault(STANDIN_CANNOT_HEAR); }
+static void hanging_machine(void) { run_with_worker_fault(STANDIN_HANGS); }
+static void delayed_commands(void) { run_with_worker_fault(STANDIN_COMMANDS_DELAYED); }
 
 /* Long arrays of a team, one at each controller. */
-static void long_arrays(const char *team, int serial, int tasks) {
+static void submit_long_arrays(const char *team, int serial, int tasks) {
     for (int i = 0; i < CONTROLLERS; i++) {
         char job_id[32];
         g_snprintf(job_id, sizeof job_id, "req-9%d%03d", serial, i);
@@ -242,17 +242,17 @@
 /* All machines are full with work beyond the guarantees of others. */
 #define MACHINES 4 /* of 4 GPUs */
 
-static void one_team_below(void) {
+static void team_below_guarantee(void) {
     standin_cloud_set_capacity(MACHINES);
-    long_arrays("red", 1, 6); /* 18 of which the limit allows 12 */
-    long_arrays("green", 2, 4);
+    submit_long_arrays("red", 1, 6); /* 18 of which the limit allows 12 */
+    submit_long_arrays("green", 2, 4);
     double full = history_now();
     assert_true(history_reached(history_log(), "red", 0, 1) < 30);
     while (history_peak(history_log(), "red") + history_peak(history_log(), "green") < 4 * MACHINES &&
            history_now() < full + 12)
         clock_sleep(clock_from_seconds(0.1));
     double began = history_now(), held = history_least(history_log(), "red", began, began);
-    long_arrays("blue", 3, 2); /* more than its guarantee, together */
+    submit_long_arrays("blue", 3, 2); /* more than its guarantee, together */
     while (history_reached(history_log(), "blue", began, GUARANTEE) < 0 && history_now() < began + 30)
         clock_sleep(clock_from_seconds(0.1));
     double reached = history_reached(history_log(), "blue", began, GUARANTEE);
@@ -263,16 +263,16 @@
     if (least < MIN(GUARANTEE, held)) fail_msg("red fell from %g to %g", held, least);
 }
 
-static void two_teams_below(void) {
+static void two_teams_below_guarantee(void) {
     standin_cloud_set_capacity(MACHINES);
-    long_arrays("green", 2, 6);
+    submit_long_arrays("green", 2, 6);
     double full = history_now();
     while (history_peak(history_log(), "green") < 4 * MACHINES && history_now() < full + 12)
         clock_sleep(clock_from_seconds(0.1));
     assert_true(history_peak(history_log(), "green") == 4 * MACHINES);
     double began = history_now();
-    long_arrays("red", 1, 2);
-    long_arrays("blue", 3, 2);
+    submit_long_arrays("red", 1, 2);
+    submit_long_arrays("blue", 3, 2);
     static const char *const teams[] = {"red", "blue"};
     for (int t = 0; t < 2; t++) {
         while (history_reached(history_log(), teams[t], began, GUARANTEE) < 0 && history_now() < began + 30)
@@ -283,7 +283,7 @@
 }
 
 /* One controller after the other comes back with a lower limit, under load. */
-static void limit_lowered(void) {
+static void limit_lowered_under_load(void) {
     struct burst red[CONTROLLERS];
     submit_red(0, "req-90001", "standing", 7);
     submit_red(1, "req-90002", "standing", 2); /* a gang of four fits beside it */
@@ -297,19 +297,19 @@
         clock_sleep(clock_from_seconds(1));
         if (i == 0) lower = history_now(); /* one names it: nothing starts above it any more */
     }
-    burst_everywhere(red, "red", 0);
+    start_bursts(red, "red", 0);
     clock_sleep(clock_from_seconds(3));
     /* What runs beyond it is not killed. */
     assert_int_equal(standin_workers_running("req-90001/0") + standin_workers_running("req-90002/0"), 2);
     assert_true(history_least(history_log(), "red", lower, history_now()) >= 9);
     cancel(0, "req-90001");
-    burst_ends(red);
+    check_bursts_are_done(red);
     assert_int_equal(history_above(history_log(), "red", LOWER_LIMIT, lower), 0);
     cancel(1, "req-90002");
 }
 
 /* Controllers run with different files for long. */
-static void files_differ(void) {
+static void differing_settings(void) {
     struct burst red[CONTROLLERS];
     cluster_kill_controller(2);
     assert_true(cluster_teams(2, LOWER_TEAMS));
@@ -317,15 +317,15 @@
     assert_true(cluster_all_shards_owned(20));
     clock_sleep(clock_from_seconds(1));
     double lower = history_now();
-    burst_everywhere(red, "red", 0);
-    burst_ends(red);
+    start_bursts(red, "red", 0);
+    check_bursts_are_done(red);
     assert_int_equal(history_above(history_log(), "red", LOWER_LIMIT, lower), 0);
     cluster_kill_controller(2);
     assert_true(cluster_teams(2, TEAMS));
     cluster_start_controller(2);
     assert_true(cluster_all_shards_owned(20));
-    burst_everywhere(red, "red", 1);
-    burst_ends(red);
+    start_bursts(red, "red", 1);
+    check_bursts_are_done(red);
     assert_true(history_peak(history_log(), "red") > LOWER_LIMIT); /* raised again */
 }
 
@@ -333,24 +333,24 @@
 static bool becomes_divided(bool wanted, double within);
 
 /* The division is halted half-way: two of three controllers have the file, for long. */
-static void halted(void) {
+static void division_halted_midway(void) {
     struct burst red[CONTROLLERS], waiting[CONTROLLERS];
-    burst_everywhere(red, "red", 0);
-    burst_ends(red);
-    assert_false(divided("red"));        /* not in force before the last has it */
-    burst_everywhere(waiting, "red", 2); /* most of it waits while the division comes into force */
+    start_bursts(red, "red", 0);
+    check_bursts_are_done(red);
+    assert_false(divided("red"));    /* not in force before the last has it */
+    start_bursts(waiting, "red", 2); /* most of it waits while the division comes into force */
     cluster_kill_controller(2);
     assert_true(cluster_quota(2, DIVIDED));
     cluster_start_controller(2);
     assert_true(becomes_divided(true, 20));
-    burst_everywhere(red, "red", 1);
-    burst_ends(waiting);
-    burst_ends(red);
+    start_bursts(red, "red", 1);
+    check_bursts_are_done(waiting);
+    check_bursts_are_done(red);
 }
 
 static const char *production;
 
-static void all_with(const char *program, const char *file) {
+static void restart_all_with(const char *program, const char *file) {
     for (int i = 0; i < CONTROLLERS; i++) {
         cluster_kill_controller(i);
         if (program) cluster_program(i, program);
@@ -361,21 +361,21 @@
 }
 
 /* The division is taken back under load, and then the version in production comes back. */
-static void taken_back(void) {
+static void division_reverted(void) {
     struct burst red[CONTROLLERS];
     submit_red(0, "req-90001", "standing", 2);
     assert_true(cluster_task_runs("req-90001/0", 1, 20) && cluster_task_runs("req-90001/1", 1, 20));
-    burst_everywhere(red, "red", 0);
-    all_with(NULL, UNDIVIDED);
-    burst_ends(red);
+    start_bursts(red, "red", 0);
+    restart_all_with(NULL, UNDIVIDED);
+    check_bursts_are_done(red);
     cancel(0, "req-90001"); /* a service stays in its shard until it ends */
     assert_true(becomes_divided(false, 20));
     submit_red(0, "req-90002", "standing", 2);
     assert_true(cluster_task_runs("req-90002/0", 1, 20) && cluster_task_runs("req-90002/1", 1, 20));
-    all_with(production, NULL);
+    restart_all_with(production, NULL);
     assert_true(cluster_job_becomes("req-10000", "done", 10));
-    burst_everywhere(red, "red", 1);
-    burst_ends(red);
+    start_bursts(red, "red", 1);
+    check_bursts_are_done(red);
     assert_int_equal(standin_workers_starts_by_prefix("req-90002/"), 2); /* it ran on */
     cancel(1, "req-90002");
 }
@@ -383,27 +383,27 @@
 static const struct row {
     const char *name;
     void (*bring_about)(void);
-    bool halted; /* the third controller begins without the file */
+    bool third_has_no_file; /* the third controller begins without the file */
 } rows[] = {
     {"burst_at_every_controller", burst, false},
     {"owner_ends", owner_ends, false},
-    {"owner_restarts_at_once", owner_is_back, false},
-    {"owner_paused_past_lease", owner_stands_still, false},
-    {"owner_cut_from_store_and_peers", owner_is_cut, false},
-    {"store_refuses_one_owner", owner_is_refused, false},
-    {"delayed_transactions", transactions_late, false},
-    {"store_outage_during_rebalance", store_out, false},
-    {"two_gangs_over_half", two_gangs, false},
-    {"gang_against_flood", gang_and_flood, false},
-    {"deaf_machine", machine_is_deaf, false},
-    {"hanging_machine", machine_hangs, false},
-    {"delayed_commands", commands_are_held, false},
-    {"team_below_guarantee", one_team_below, false},
-    {"two_teams_below_guarantee", two_teams_below, false},
-    {"limit_lowered_under_load", limit_lowered, false},
-    {"differing_settings", files_differ, false},
-    {"division_halted_midway", halted, true},
-    {"division_reverted", taken_back, false},
+    {"owner_restarts_at_once", owner_restarts_at_once, false},
+    {"owner_paused_past_lease", owner_paused_past_lease, false},
+    {"owner_cut_from_store_and_peers", owner_cut_from_store_and_peers, false},
+    {"store_refuses_one_owner", store_refuses_one_owner, false},
+    {"delayed_transactions", delayed_transactions, false},
+    {"store_outage_during_rebalance", store_outage_during_rebalance, false},
+    {"two_gangs_over_half", two_gangs_over_half, false},
+    {"gang_against_flood", gang_against_flood, false},
+    {"deaf_machine", deaf_machine, false},
+    {"hanging_machine", hanging_machine, false},
+    {"delayed_commands", delayed_commands, false},
+    {"team_below_guarantee", team_below_guarantee, false},
+    {"two_teams_below_guarantee", two_teams_below_guarantee, false},
+    {"limit_lowered_under_load", limit_lowered_under_load, false},
+    {"differing_settings", differing_settings, false},
+    {"division_halted_midway", division_halted_midway, true},
+    {"division_reverted", division_reverted, false},
 };
 static size_t row;
 
@@ -422,18 +422,18 @@
     return divided("red") == wanted && divided("blue") == wanted;
 }
 
-static void begin_divided(void) {
+static void start_divided(void) {
     for (int i = 0; i < CONTROLLERS; i++) {
-        assert_true(cluster_quota(i, rows[row].halted && i == 2 ? NULL : DIVIDED));
+        assert_true(cluster_quota(i, rows[row].third_has_no_file && i == 2 ? NULL : DIVIDED));
         cluster_start_controller(i);
     }
     assert_true(cluster_all_shards_owned(20));
-    if (!rows[row].halted) assert_true(becomes_divided(true, 10));
+    if (!rows[row].third_has_no_file) assert_true(becomes_divided(true, 10));
 }
 
-static void quota(void **state) {
+static void run_case(void **state) {
     (void)state;
-    begin_divided();
+    start_divided();
     rows[row].bring_about();
     const struct history *log = history_log();
     assert_int_equal(history_above(log, "red", LIMIT, 0), 0);
@@ -456,7 +456,7 @@
     production = argc > 3 ? argv[3] : NULL;
     if (!cluster_start(argv[1], &site)) return 2;
     standin_cloud_refuse_no_rental();
-    const struct CMUnitTest tests[] = {{rows[row].name, quota, NULL, NULL, NULL}};
+    const struct CMUnitTest tests[] = {{rows[row].name, run_case, NULL, NULL, NULL}};
     int rc = cmocka_run_group_tests(tests, NULL, NULL);
     cluster_clear();
     return rc;
