--- a/src/scheduler/barrier.c
+++ b/src/scheduler/barrier.c
@@ -9,13 +9,15 @@
 
 static bool send_barrier(struct http_client *client, struct store_txn *transaction) {
     struct store_response response;
-    if (store_commit(client, STORE_PRIORITY_ALLOCATE, transaction, &response) != STORE_OK) return false;
-    store_lock();
-    store_apply_committed(transaction, response.revision);
-    store_unlock();
-    store_wake_watch();
+    bool carried_out = store_commit(client, STORE_PRIORITY_ALLOCATE, transaction, &response) == STORE_OK;
+    if (carried_out) {
+        store_lock();
+        store_apply_committed(transaction, response.revision);
+        store_unlock();
+        store_wake_watch();
+    }
     store_response_clear(&response);
-    return true;
+    return carried_out;
 }
 
 void barrier_try(struct http_client *client, int shard) {
