--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -44,10 +44,10 @@
 
 bool owned_start_site(struct settings *settings) {
     char *text = site_json();
-    bool ok = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->state);
+    bool started = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->state);
     g_free(text);
-    if (ok) owned_start(settings);
-    return ok;
+    if (started) owned_start(settings);
+    return started;
 }
 
 void owned_put(const char *key, const char *json) {
