--- a/rehearsal/main.c
+++ b/rehearsal/main.c
@@ -3,6 +3,7 @@
 #include <gsl/gsl_histogram.h>
 #include <gsl/gsl_sort.h>
 #include <gsl/gsl_statistics.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/rehearsal/play.h
+++ b/rehearsal/play.h
@@ -1,6 +1,8 @@
 /* Plays a scenario against real controllers and the stand-ins, and judges it by the workers' own log. */
 #ifndef FF_REHEARSAL_PLAY_H
 #define FF_REHEARSAL_PLAY_H
+#include <stdbool.h>
+
 #include "scenario.h"
 
 struct play_result {
--- a/rehearsal/scenario.c
+++ b/rehearsal/scenario.c
@@ -2,6 +2,7 @@
 
 #include <glib.h>
 #include <libconfig.h>
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdio.h>
 #include <string.h>
--- a/rehearsal/scenario_test.c
+++ b/rehearsal/scenario_test.c
@@ -1,6 +1,8 @@
 /* The schema of scenarios: what is wrong is named. */
 #include "scenario.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 
 #include "../tests/standin/site.h"
--- a/src/bookings/bookings.c
+++ b/src/bookings/bookings.c
@@ -1,11 +1,17 @@
 #include "bookings.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "../clock/clock.h"
 #include "../failures/failures.h"
 #include "../format/format.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../rounds/rounds.h"
 #include "../workers/workers.h"
 
@@ -153,7 +159,8 @@
 static void booking_free(struct booking *b) {
     struct machine *m = b->m;
     /* Who may take the machine over some day knows its images from this. */
-    if (b->job->spec.image && base_since(b->booked) > 20 && !g_hash_table_contains(m->images, b->job->spec.image))
+    if (b->job->spec.image && clock_seconds_since(b->booked) > 20 &&
+        !g_hash_table_contains(m->images, b->job->spec.image))
         g_hash_table_add(m->images, g_strdup(b->job->spec.image));
     struct booking *moved = remove_at(b->job->bookings, b->at_job);
     if (moved) moved->at_job = b->at_job;
@@ -181,7 +188,7 @@
 static int record_stretch(const struct job *j, const cJSON *data) {
     int64_t stretch = 0;
     if (!data) return bookings_stretch(j);
-    if (!base_int(data, "n", &stretch)) return bookings_first_stretch();
+    if (!json_get_int64(data, "n", &stretch)) return bookings_first_stretch();
     return stretch >= STRETCH_LEAST && stretch <= STRETCH_MOST && stretch % STRETCH_LEAST == 0 ? (int)stretch : 0;
 }
 
@@ -202,13 +209,13 @@
     if (chunk < 0 || chunk >= JOB_TASKS_MOST || from >= JOB_TASKS_MOST) return;
     jobs_set_stretch(j, size);
     jobs_run_record(j, chunk, data != NULL);
-    const char *done = base_str(data, "d"), *text = base_str(data, "b");
+    const char *done = json_get_string(data, "d"), *text = json_get_string(data, "b");
     if (done) jobs_done_bits(j, done, from, size);
     int64_t failed_tries = 0;
-    base_int(data, "e", &failed_tries);
+    json_get_int64(data, "e", &failed_tries);
     if (chunk == 0) failures_read(j, (int)CLAMP(failed_tries, 0, INT32_MAX));
     int64_t base = 0, attempt;
-    base_int(data, "f", &base);
+    json_get_int64(data, "f", &base);
     struct booking **at = g_new0(struct booking *, (gsize)size);
     for (guint i = 0; i < j->bookings->len; i++) {
         struct booking *b = j->bookings->pdata[i];
@@ -227,7 +234,7 @@
         b->m = records_find_or_stub(machine);
         b->task = task;
         b->attempt = attempt;
-        b->booked = b->changed = base_now();
+        b->booked = b->changed = clock_now();
         b->inherited = true; /* until a round says that it is its own */
         b->stop = j->state != JOB_QUEUED;
         b->m->had_task = true;
--- a/src/bookings/bookings.h
+++ b/src/bookings/bookings.h
@@ -2,6 +2,11 @@
  * others are booked. One change carries all that a round decided for the job, however many machines it touches. */
 #ifndef FF_BOOKINGS_H
 #define FF_BOOKINGS_H
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "../json/json.h"
 #include "../placement/placement.h"
 
 void bookings_init(const struct settings *s);
--- a/src/boots/boots.c
+++ b/src/boots/boots.c
@@ -1,8 +1,11 @@
 #include "boots.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
 
 #define STARTUP_UNKNOWN_S 60.0 /* for a type that promises no time */
@@ -65,7 +68,7 @@
 }
 
 bool boots_overdue(const struct machine *m) {
-    return !m->up && base_time_of_day() - m->born > boots_expected(cloud_flavour(m->sku));
+    return !m->up && clock_time_of_day() - m->born > boots_expected(cloud_flavour(m->sku));
 }
 
 double boots_limit(const struct machine *m) { return LIMIT_TIMES * startup_of(cloud_flavour(m->sku)) + LIMIT_MORE_S; }
--- a/src/boots/boots.h
+++ b/src/boots/boots.h
@@ -5,6 +5,8 @@
  * the time of its rental, which is on record, so that a new owner sees the same. */
 #ifndef FF_BOOTS_H
 #define FF_BOOTS_H
+#include <stdbool.h>
+
 #include "../records/records.h"
 
 #define BOOTS_REMEMBERED 32 /* of each type */
--- a/src/boots/boots_test.c
+++ b/src/boots/boots_test.c
@@ -1,6 +1,8 @@
 /* After how long a machine that boots is overdue, and how many of these are replaced. */
 #include "boots/boots.h"
 
+#include <glib.h>
+
 #include "../../tests/standin/site.h"
 
 static void expected(void **state) {
--- a/src/chains/chains.c
+++ b/src/chains/chains.c
@@ -1,18 +1,24 @@
 #include "chains.h"
 
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
+#include "../clock/clock.h"
+#include "../http/client.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "../rounds/rounds.h"
+#include "../sync/sync.h"
 
 static const struct settings *cfg;
 static GPtrArray *to_cancel; /* prerequisites before their dependents; those over meanwhile go with the next look */
-static struct base_wakeup wakeup;
+static struct sync_wakeup wakeup;
 
-void chains_wake(void) { base_wakeup_signal(&wakeup); }
+void chains_wake(void) { sync_wakeup_signal(&wakeup); }
 
 bool chains_waits(const struct job *j) { return j->unmet > 0; }
 bool chains_to_cancel(const struct job *j) { return j->prerequisite_cancelled && j->state == JOB_QUEUED; }
@@ -95,7 +101,7 @@
         j->unmet += !(prerequisite->known && prerequisite->state == JOB_DONE);
         ready = MAX(ready, prerequisite->finished);
     }
-    if (j->unmet == 0 && j->ready <= 0) j->seen = base_now();
+    if (j->unmet == 0 && j->ready <= 0) j->seen = clock_now();
     j->ready = j->unmet ? 0 : ready;
 }
 
@@ -107,7 +113,7 @@
     while ((j = g_queue_pop_head(queue))) {
         if (!unfinished(j) || j->prerequisite_cancelled) continue;
         j->prerequisite_cancelled = true;
-        j->cascade_since = base_now();
+        j->cascade_since = clock_now();
         g_ptr_array_add(to_cancel, j);
         for (guint i = 0; j->dependents && i < j->dependents->len; i++)
             g_queue_push_tail(queue, j->dependents->pdata[i]);
@@ -227,7 +233,7 @@
 
 static bool our_turn(struct job *j) {
     j->cascade_ours = j->cascade_ours || told_by_us(j);
-    double waited = base_since(j->cascade_since);
+    double waited = clock_seconds_since(j->cascade_since);
     return j->cascade_ours || waited > ANYONE_AFTER_S || (waited > OWNER_AFTER_S && membership_mine(jobs_share(j)));
 }
 
@@ -282,8 +288,8 @@
     (void)arg;
     struct http_client *c = http_client_new();
     for (;;) {
-        base_wakeup_wait(&wakeup, base_span(LOOK_S));
-        while (write_cancels(c)) base_sleep(base_span(PACE_S));
+        sync_wakeup_wait(&wakeup, clock_from_seconds(LOOK_S));
+        while (write_cancels(c)) clock_sleep(clock_from_seconds(PACE_S));
     }
     return NULL;
 }
@@ -291,7 +297,7 @@
 void chains_init(const struct settings *s) {
     cfg = s;
     to_cancel = g_ptr_array_new();
-    base_wakeup_init(&wakeup);
+    sync_wakeup_init(&wakeup);
 }
 
-void chains_start(void) { base_thread(chains_main, NULL); }
+void chains_start(void) { sync_start_thread(chains_main, NULL); }
--- a/src/chains/chains.h
+++ b/src/chains/chains.h
@@ -7,6 +7,9 @@
  * write it at any time. */
 #ifndef FF_CHAINS_H
 #define FF_CHAINS_H
+#include <stdbool.h>
+
+#include "../http/client.h"
 #include "../jobs/jobs.h"
 
 void chains_init(const struct settings *s);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -1,15 +1,24 @@
 #include "cloud.h"
 
+#include <glib.h>
 #include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
+#include "../clock/clock.h"
+#include "../http/client.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../quota/quota.h"
 #include "../records/records.h"
 #include "../renting/renting.h"
 #include "../rounds/rounds.h"
+#include "../sync/sync.h"
 
 #define FLAVOURS_MOST 64
 #define ORDERS_MOST \
@@ -25,7 +34,7 @@
 };
 static GHashTable *closed_at; /* "sku site kind" -> closed */
 
-static struct base_wakeup wakeup;
+static struct sync_wakeup wakeup;
 
 bool cloud_flavours_known(void) { return n_flavours > 0; }
 const struct flavour_info *cloud_flavours(void) { return flavours; }
@@ -45,7 +54,7 @@
     char *key = place_key(sku, site, spot);
     struct closed *c = g_hash_table_lookup(closed_at, key);
     g_free(key);
-    return !c || base_since(c->until) >= 0;
+    return !c || clock_seconds_since(c->until) >= 0;
 }
 
 void cloud_reopen(const char *sku, const char *site, bool spot) {
@@ -71,12 +80,12 @@
         g_free(key);
     }
     c->pause = c->pause > 0 ? MIN(c->pause * 2, 60) : 7;
-    c->until = base_wall_in(base_span(c->pause));
+    c->until = clock_instant_in(clock_from_seconds(c->pause));
     log_info("cloud: no capacity for %s in %s (%s), asking again in %.0f s", o->sku, o->site,
              o->spot ? "spot" : "ordinary", c->pause);
 }
 
-void cloud_kick(void) { base_wakeup_signal(&wakeup); }
+void cloud_kick(void) { sync_wakeup_signal(&wakeup); }
 
 /* The cloud counts the calls of all controllers: each keeps to its part. */
 static double tokens;
@@ -96,10 +105,10 @@
 /* Urgent calls may take the next call's part: the service allows short bursts. */
 static bool may_call(bool urgent) {
     double rate = call_rate();
-    struct timespec now = base_now();
-    tokens = MIN(tokens + (base_secs(now) - base_secs(tokens_at)) * rate, MAX(1, rate * 1.5));
+    struct timespec now = clock_now();
+    tokens = MIN(tokens + (clock_to_seconds(now) - clock_to_seconds(tokens_at)) * rate, MAX(1, rate * 1.5));
     tokens_at = now;
-    if (base_secs(now) < base_secs(held_off) || tokens < (urgent ? 0 : 1)) return false;
+    if (clock_to_seconds(now) < clock_to_seconds(held_off) || tokens < (urgent ? 0 : 1)) return false;
     tokens -= 1;
     return true;
 }
@@ -112,10 +121,10 @@
     if (o == HTTP_ANSWERED && (*status == 429)) {
         /* It cost nothing and is soon tried again, at a time of its own: controllers that started together once asked
          * together ever after, and the last of them got nothing for 40 s. */
-        held_off = base_wall_in(base_span(g_random_double_range(0.3, 1.1)));
+        held_off = clock_instant_in(clock_from_seconds(g_random_double_range(0.3, 1.1)));
         tokens += 1;
     }
-    if (o != HTTP_ANSWERED || *status == 503) held_off = base_wall_in(base_span(0.5));
+    if (o != HTTP_ANSWERED || *status == 503) held_off = clock_instant_in(clock_from_seconds(0.5));
     return o;
 }
 
@@ -126,20 +135,20 @@
     const cJSON *x;
     if (*rest || !data) return;
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(data, "flavours")) {
-        const char *sku = base_str(x, "sku");
+        const char *sku = json_get_string(x, "sku");
         if (!sku || strlen(sku) >= sizeof flavours[0].sku) continue;
         struct flavour_info *f = (struct flavour_info *)cloud_flavour(sku);
         if (!f && n_flavours == FLAVOURS_MOST) continue;
         if (!f) f = &flavours[n_flavours++];
         g_strlcpy(f->sku, sku, sizeof f->sku);
-        f->vcpus = base_num(x, "vcpus", 0);
-        f->gpus = base_num(x, "gpus", 0);
-        f->memory_gb = base_num(x, "memory_gb", 0);
-        f->local_gb = base_num(x, "local_gb", 0);
-        f->fetch_rate = base_num(x, "fetch_gb_per_s", 1);
-        f->hourly = base_num(x, "hourly", 1);
-        f->market = base_num(x, "market_price", f->hourly);
-        f->startup_s = base_num(x, "startup_s", 60);
+        f->vcpus = json_get_double(x, "vcpus", 0);
+        f->gpus = json_get_double(x, "gpus", 0);
+        f->memory_gb = json_get_double(x, "memory_gb", 0);
+        f->local_gb = json_get_double(x, "local_gb", 0);
+        f->fetch_rate = json_get_double(x, "fetch_gb_per_s", 1);
+        f->hourly = json_get_double(x, "hourly", 1);
+        f->market = json_get_double(x, "market_price", f->hourly);
+        f->startup_s = json_get_double(x, "startup_s", 60);
         const cJSON *s;
         for (int i = 0; i < f->n_sites; i++) g_free(f->sites[i]);
         f->n_sites = 0;
@@ -180,8 +189,9 @@
     if (call(c, "GET", path, NULL, &a, &status) == HTTP_ANSWERED && status == 200) {
         store_lock();
         cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(a, "hosts")) {
-            const char *id = base_str(x, "uid"), *address = base_str(x, "address"), *sku = base_str(x, "flavour"),
-                       *site = base_str(x, "site"), *state = base_str(x, "state");
+            const char *id = json_get_string(x, "uid"), *address = json_get_string(x, "address"),
+                       *sku = json_get_string(x, "flavour"), *site = json_get_string(x, "site"),
+                       *state = json_get_string(x, "state");
             if (!id || !sku || !site || !state || strlen(id) >= sizeof since) continue;
             g_strlcpy(since, id, sizeof since);
             struct machine *m = records_find(id);
@@ -195,12 +205,13 @@
                     g_strlcpy(m->address, address, sizeof m->address);
                     m->unwritten = true;
                 }
-            } else if (!m && !records_known(id) && strcmp(state, "failed") != 0 && base_num(x, "age_s", 0) > 15) {
-                records_adopt(id, address ? address : "", sku, site, base_flag(x, "reclaimable"));
+            } else if (!m && !records_known(id) && strcmp(state, "failed") != 0 &&
+                       json_get_double(x, "age_s", 0) > 15) {
+                records_adopt(id, address ? address : "", sku, site, json_get_bool(x, "reclaimable"));
             }
         }
         store_unlock();
-        if (!base_flag(a, "has_next")) since[0] = 0;
+        if (!json_get_bool(a, "has_next")) since[0] = 0;
     }
     cJSON_Delete(a);
 }
@@ -236,9 +247,9 @@
                  o.spot ? "spot" : "ordinary", o.share);
         pending.open = false;
     } else if (out == HTTP_ANSWERED && status == 503) {
-        const char *e = base_str(a, "error");
+        const char *e = json_get_string(a, "error");
         if (e && strcmp(e, "no capacity") == 0) {
-            held_off = base_now();
+            held_off = clock_now();
             store_lock();
             note_capacity(&o, false);
             store_unlock();
@@ -274,17 +285,17 @@
     (void)arg;
     struct http_client *c = http_client_new();
     struct timespec listed = {0, 0}, typed = {0, 0};
-    struct timespec began = base_now(), returned = base_now();
+    struct timespec began = clock_now(), returned = clock_now();
     for (;;) {
-        base_wakeup_wait(&wakeup, base_span(0.25));
+        sync_wakeup_wait(&wakeup, clock_from_seconds(0.25));
         store_lock();
         bool leads = membership_leads(), typed_once = n_flavours > 0;
         double list_every = MAX(2.5, 6 * membership_live() / cfg->cloud_rps);
         store_unlock();
-        if ((!typed_once && (leads || base_since(began) > 6)) || (leads && base_since(typed) > 120)) {
+        if ((!typed_once && (leads || clock_seconds_since(began) > 6)) || (leads && clock_seconds_since(typed) > 120)) {
             if (!may_call(false)) continue;
             read_flavours(c);
-            typed = base_now();
+            typed = clock_now();
             continue;
         }
         if (!typed_once) continue;
@@ -297,15 +308,15 @@
         /* A plan for a whole share is worth its time only when a call can be made. */
         if (!may_call(busy > 0)) continue;
         store_lock();
-        bool list_first = base_since(listed) > 4 * list_every;
+        bool list_first = clock_seconds_since(listed) > 4 * list_every;
         /* Returns are few calls for many machines; they must not wait for rentals without end, and tasks that can start
          * elsewhere only once their silent machine is returned wait for nothing. */
-        bool back_first = busy || back >= 20 || (back && base_since(returned) > 12);
+        bool back_first = busy || back >= 20 || (back && clock_seconds_since(returned) > 12);
         if (!pending.open && !back_first && !list_first) wants = renting_plan(orders, ORDERS_MOST);
         store_unlock();
         if (back && (back_first || !(pending.open || wants || list_first))) {
             give_back(c, ids, back);
-            returned = base_now();
+            returned = clock_now();
         } else if (pending.open || wants) {
             if (!pending.open) {
                 pending.open = true;
@@ -314,9 +325,9 @@
             }
             rent(c);
             if (wants > 1) cloud_kick();
-        } else if (base_since(listed) > list_every) {
+        } else if (clock_seconds_since(listed) > list_every) {
             read_list(c);
-            listed = base_now();
+            listed = clock_now();
         } else {
             tokens += 1; /* nothing to ask */
         }
@@ -327,10 +338,10 @@
 void cloud_init(const struct settings *s) {
     cfg = s;
     closed_at = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    tokens_at = base_now();
+    tokens_at = clock_now();
     tokens = 1;
-    base_wakeup_init(&wakeup);
+    sync_wakeup_init(&wakeup);
     store_observe("types", apply_types);
 }
 
-void cloud_start(void) { base_thread(cloud_main, NULL); }
+void cloud_start(void) { sync_start_thread(cloud_main, NULL); }
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,6 +1,8 @@
 /* The cloud: machine types, rentals, returns, and the lagging list. */
 #ifndef FF_CLOUD_H
 #define FF_CLOUD_H
+#include <stdbool.h>
+
 #include "../jobs/jobs.h"
 
 void cloud_init(const struct settings *s);
--- a/src/failures/failures.c
+++ b/src/failures/failures.c
@@ -1,8 +1,12 @@
 #include "failures.h"
 
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
 #include <string.h>
 
+#include "../clock/clock.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 
 #define SUSPECT_MACHINES 2 /* a job that fails on so many is suspect */
@@ -32,9 +36,9 @@
 /* A try may be one task or a whole gang, and a job's first failures come by the dozen: those that come while the job
  * waits already are of the same try. */
 static void count_try(struct job *j) {
-    if (failures_suspect(j) && base_since(j->retry_at) < 0) return;
+    if (failures_suspect(j) && clock_seconds_since(j->retry_at) < 0) return;
     j->failed_tries = MIN(j->failed_tries + 1, TRIES_MOST);
-    j->retry_at = base_wall_in(base_span(failures_retry_s(j->failed_tries)));
+    j->retry_at = clock_instant_in(clock_from_seconds(failures_retry_s(j->failed_tries)));
     jobs_touch(j, 0); /* the first record of its bookings says so */
     log_info("job %s: fails wherever it runs, trying it again in %.0f s", j->spec.uid,
              failures_retry_s(j->failed_tries));
@@ -46,7 +50,7 @@
     if (failures_suspect(j) || (j->failed_on->len >= SUSPECT_MACHINES && !anything_done))
         count_try(j);
     else
-        j->retry_at = base_wall_in(base_span(SOUND_RETRY_S * j->failed_on->len));
+        j->retry_at = clock_instant_in(clock_from_seconds(SOUND_RETRY_S * j->failed_on->len));
 }
 
 void failures_note_success(struct job *j) {
@@ -54,7 +58,7 @@
     if (j->failed_tries) {
         log_info("job %s: runs after all", j->spec.uid);
         j->failed_tries = 0;
-        j->retry_at = base_now();
+        j->retry_at = clock_now();
         jobs_touch(j, 0);
     }
     if (j->failed_on) g_ptr_array_set_size(j->failed_on, 0);
--- a/src/failures/failures.h
+++ b/src/failures/failures.h
@@ -6,6 +6,8 @@
  * evidence against machines back; one that completes a task is sound again. */
 #ifndef FF_FAILURES_H
 #define FF_FAILURES_H
+#include <stdbool.h>
+
 #include "../records/records.h"
 
 #define FAILURES_RETRY_MOST_S 30.0 /* a suspect job is tried again at least that often */
--- a/src/format/format.c
+++ b/src/format/format.c
@@ -1,8 +1,13 @@
 #include "format.h"
 
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <string.h>
 
+#include "../json/json.h"
+#include "../logging/logging.h"
+
 static const struct settings *cfg;
 static int own_version;                  /* on record; 0: none */
 static int peer_version[SETTINGS_SEEDS]; /* likewise, in the order of the seeds */
@@ -12,7 +17,7 @@
 /* A controller is only ever upgraded: a lower version, or none, in a later record is a damaged record. */
 static void raise_version(int *known, const cJSON *data) {
     int64_t version = 0;
-    if (base_int(data, "version", &version) && version > *known) *known = (int)version;
+    if (json_get_int64(data, "version", &version) && version > *known) *known = (int)version;
 }
 
 static bool all_upgraded(void) {
@@ -24,7 +29,7 @@
 
 static void note_latest(const char *node, const cJSON *data) {
     int64_t version = 0;
-    base_int(data, "version", &version);
+    json_get_int64(data, "version", &version);
     if (strcmp(node, cfg->node) == 0) latest[0] = (int)version;
     for (int i = 0; i < cfg->n_seeds; i++)
         if (strcmp(node, cfg->seeds[i].node) == 0) latest[i + 1] = (int)version;
--- a/src/format/format.h
+++ b/src/format/format.h
@@ -6,6 +6,8 @@
  * under `format/NODE`, without a lease, and a controller is never downgraded. */
 #ifndef FF_FORMAT_H
 #define FF_FORMAT_H
+#include <stdbool.h>
+
 #include "../store/store.h"
 
 /* Version 1 has no record. Version 2 adds records of bookings that name their own stretch of tasks. */
--- a/src/base/http.c
+++ b/src/http/server.c
@@ -1,11 +1,15 @@
+#include "server.h"
+
 #include <arpa/inet.h>
-#include <curl/curl.h>
+#include <glib.h>
 #include <microhttpd.h>
-#include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
-#include "base.h"
+#include "../clock/clock.h"
 
 #define BODY_MOST (64 * 1024)
 
@@ -16,7 +20,7 @@
     void *ctx;
 };
 
-struct http_req {
+struct http_request {
     struct MHD_Connection *conn;
     char *method, *path;
     GString *body;
@@ -29,34 +33,34 @@
     int retry_after_s;
 };
 
-const char *http_method(const struct http_req *r) { return r->method; }
-const char *http_path(const struct http_req *r) { return r->path; }
-bool http_too_large(const struct http_req *r) { return r->too_large; }
-const char *http_body(const struct http_req *r, size_t *len) {
+const char *http_method(const struct http_request *r) { return r->method; }
+const char *http_path(const struct http_request *r) { return r->path; }
+bool http_body_too_large(const struct http_request *r) { return r->too_large; }
+const char *http_body(const struct http_request *r, size_t *len) {
     if (len) *len = r->body->len;
     return r->body->str;
 }
 
-void http_hold(struct http_req *r) {
+void http_suspend(struct http_request *r) {
     /* Suspended before it is queued anywhere, so that a fast answer can't be lost. */
     r->held = true;
     MHD_suspend_connection(r->conn);
 }
 
-void http_short_lived(struct http_req *r) { r->short_lived = true; }
+void http_close_when_crowded(struct http_request *r) { r->short_lived = true; }
 
 bool http_crowded(unsigned connections, unsigned most) { return connections * 2 > most; }
 
-void http_reply(struct http_req *r, unsigned status, const char *body, int retry_after_s) {
+void http_reply(struct http_request *r, unsigned status, const char *body, int retry_after_s) {
     r->status = status;
-    r->decided = base_now();
+    r->decided = clock_now();
     r->answer = g_strdup(body ? body : "{}");
     r->retry_after_s = retry_after_s;
     r->ready = true;
     if (r->held) MHD_resume_connection(r->conn);
 }
 
-void http_reply_json(struct http_req *r, unsigned status, cJSON *body, int retry_after_s) {
+void http_reply_json(struct http_request *r, unsigned status, cJSON *body, int retry_after_s) {
     char *text = cJSON_PrintUnformatted(body);
     http_reply(r, status, text, retry_after_s);
     free(text);
@@ -65,17 +69,17 @@
 
 #define ANSWER_FRESH_S 1.0
 
-bool http_answer_stale(double age_s) { return age_s > ANSWER_FRESH_S; }
+bool http_reply_expired(double age_s) { return age_s > ANSWER_FRESH_S; }
 
-static void refuse_stale(struct http_req *r) {
-    if (r->status >= 500 || !http_answer_stale(base_since(r->decided))) return;
+static void refuse_stale(struct http_request *r) {
+    if (r->status >= 500 || !http_reply_expired(clock_seconds_since(r->decided))) return;
     g_free(r->answer);
     r->answer = g_strdup("{\"error\":\"the answer is too old by now\"}");
     r->status = MHD_HTTP_SERVICE_UNAVAILABLE;
     r->retry_after_s = 1;
 }
 
-static enum MHD_Result send_ready(struct http_req *r) {
+static enum MHD_Result send_ready(struct http_request *r) {
     refuse_stale(r);
     struct MHD_Response *resp = MHD_create_response_from_buffer(strlen(r->answer), r->answer, MHD_RESPMEM_MUST_COPY);
     MHD_add_response_header(resp, "Content-Type", "application/json");
@@ -99,9 +103,9 @@
                                   const char *version, const char *data, size_t *size, void **state) {
     (void)version;
     struct http_server *s = cls;
-    struct http_req *r = *state;
+    struct http_request *r = *state;
     if (!r) {
-        r = g_new0(struct http_req, 1);
+        r = g_new0(struct http_request, 1);
         r->conn = conn;
         r->server = s;
         r->method = g_strdup(method);
@@ -131,7 +135,7 @@
     (void)cls;
     (void)conn;
     (void)code;
-    struct http_req *r = *state;
+    struct http_request *r = *state;
     if (!r) return;
     g_free(r->method);
     g_free(r->path);
@@ -141,7 +145,7 @@
     *state = NULL;
 }
 
-struct http_server *http_serve(const char *address, unsigned max_connections, http_handler fn, void *ctx) {
+struct http_server *http_server_start(const char *address, unsigned max_connections, http_handler fn, void *ctx) {
     struct sockaddr_in sa = {.sin_family = AF_INET};
     char host[64];
     const char *colon = strrchr(address, ':');
@@ -168,82 +172,3 @@
     }
     return s;
 }
-
-struct http_client {
-    CURL *curl;
-    struct curl_slist *headers;
-    GString *in;
-};
-
-static size_t on_data(char *p, size_t size, size_t n, void *ctx) {
-    g_string_append_len(ctx, p, (gssize)(size * n));
-    return size * n;
-}
-
-struct http_client *http_client_new(void) {
-    static gsize once = 0;
-    if (g_once_init_enter(&once)) {
-        /* No TLS: its tables cost memory and start-up time that the machine doesn't have to spare. */
-        curl_global_init(CURL_GLOBAL_NOTHING);
-        g_once_init_leave(&once, 1);
-    }
-    struct http_client *c = g_new0(struct http_client, 1);
-    c->curl = curl_easy_init();
-    c->in = g_string_sized_new(1024);
-    c->headers = curl_slist_append(NULL, "Content-Type: application/json");
-    c->headers = curl_slist_append(c->headers, "Expect:");
-    curl_easy_setopt(c->curl, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(c->curl, CURLOPT_HTTPHEADER, c->headers);
-    curl_easy_setopt(c->curl, CURLOPT_WRITEFUNCTION, on_data);
-    curl_easy_setopt(c->curl, CURLOPT_WRITEDATA, c->in);
-    curl_easy_setopt(c->curl, CURLOPT_PROXY, "");
-    curl_easy_setopt(c->curl, CURLOPT_MAXCONNECTS, 4L);
-    curl_easy_setopt(c->curl, CURLOPT_BUFFERSIZE, 16384L);
-    return c;
-}
-
-void http_client_free(struct http_client *c) {
-    if (!c) return;
-    curl_easy_cleanup(c->curl);
-    curl_slist_free_all(c->headers);
-    g_string_free(c->in, TRUE);
-    g_free(c);
-}
-
-enum http_outcome http_call(struct http_client *c, const char *method, const char *url, const char *body,
-                            long timeout_ms, long *status, cJSON **answer) {
-    if (answer) *answer = NULL;
-    *status = 0;
-    g_string_truncate(c->in, 0);
-    curl_easy_setopt(c->curl, CURLOPT_URL, url);
-    curl_easy_setopt(c->curl, CURLOPT_TIMEOUT_MS, timeout_ms);
-    curl_easy_setopt(c->curl, CURLOPT_CONNECTTIMEOUT_MS, timeout_ms < 1500 ? timeout_ms : 1500L);
-    if (body) {
-        curl_easy_setopt(c->curl, CURLOPT_POST, 1L);
-        curl_easy_setopt(c->curl, CURLOPT_POSTFIELDSIZE, (long)strlen(body));
-        curl_easy_setopt(c->curl, CURLOPT_POSTFIELDS, body);
-    } else {
-        curl_easy_setopt(c->curl, CURLOPT_HTTPGET, 1L);
-    }
-    curl_easy_setopt(c->curl, CURLOPT_CUSTOMREQUEST, method);
-    CURLcode rc = curl_easy_perform(c->curl);
-    if (rc != CURLE_OK) {
-        /* A connection attempt that was given up never completes later: nothing was sent. Whether anything was is
-         * told by the bytes; the times that curl keeps may read 0 on a kept connection where clocks tick coarsely, and
-         * a request taken for unsent is a start that may be made twice. */
-        long sent = 0;
-        curl_easy_getinfo(c->curl, CURLINFO_REQUEST_SIZE, &sent);
-        return sent <= 0 ? HTTP_NOT_SENT : HTTP_UNKNOWN;
-    }
-    curl_easy_getinfo(c->curl, CURLINFO_RESPONSE_CODE, status);
-    if (answer) *answer = cJSON_ParseWithLength(c->in->str, c->in->len);
-    return HTTP_ANSWERED;
-}
-
-enum http_outcome http_call_once(struct http_client *c, const char *method, const char *url, const char *body,
-                                 long timeout_ms, long *status, cJSON **answer) {
-    curl_easy_setopt(c->curl, CURLOPT_FRESH_CONNECT, 1L);
-    enum http_outcome o = http_call(c, method, url, body, timeout_ms, status, answer);
-    curl_easy_setopt(c->curl, CURLOPT_FRESH_CONNECT, 0L);
-    return o;
-}
--- a/src/jobs/job_spec.c
+++ b/src/jobs/job_spec.c
@@ -1,10 +1,13 @@
 #include "job_spec.h"
 
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <string.h>
 
-#include "../base/base.h"
+#include "../json/json.h"
 
 bool jobs_uid_ok(const char *uid) {
     size_t n = uid ? strlen(uid) : 0;
@@ -48,23 +51,23 @@
         return 400;      \
     }
     NEED(cJSON_IsObject(o), "body");
-    v = base_str(o, "uid");
+    v = json_get_string(o, "uid");
     NEED(jobs_uid_ok(v), "uid");
     g_strlcpy(j->uid, v, sizeof j->uid);
-    v = base_str(o, "jobclass");
+    v = json_get_string(o, "jobclass");
     NEED(v && *v && strlen(v) < 200, "jobclass");
     j->jobclass = g_strdup(v);
-    v = base_str(o, "owner");
+    v = json_get_string(o, "owner");
     NEED(v && *v, "owner");
     j->team = settings_team(s, v);
-    v = base_str(o, "shape");
+    v = json_get_string(o, "shape");
     NEED(v && (!strcmp(v, "batch") || !strcmp(v, "group") || !strcmp(v, "standing")), "shape");
     j->shape = v[0] == 'b' ? JOB_BATCH : v[0] == 'g' ? JOB_GROUP : JOB_STANDING;
-    v = base_str(o, "rank");
+    v = json_get_string(o, "rank");
     NEED(v && (!strcmp(v, "production") || !strcmp(v, "high") || !strcmp(v, "normal") || !strcmp(v, "idle")), "rank");
     j->rank = v[0] == 'p' ? RANK_PRODUCTION : v[0] == 'h' ? RANK_HIGH : v[0] == 'n' ? RANK_NORMAL : RANK_IDLE;
     int64_t n;
-    NEED(base_int(o, "tasks", &n) && n >= 1 && n <= JOB_TASKS_MOST, "tasks");
+    NEED(json_get_int64(o, "tasks", &n) && n >= 1 && n <= JOB_TASKS_MOST, "tasks");
     j->tasks = (int)n;
     static const struct {
         const char *name;
@@ -87,7 +90,7 @@
         NEED(isfinite(d) && d >= 0 && d < 1e9 && !(amounts[i].positive && d <= 0), amounts[i].name);
         *(double *)(void *)((char *)j + amounts[i].at) = d;
     }
-    v = base_str(o, "image");
+    v = json_get_string(o, "image");
     NEED(v && *v && strlen(v) < 200, "image");
     j->image = g_strdup(v);
     const cJSON *x = cJSON_GetObjectItemCaseSensitive(o, "flavours"), *e;
--- a/src/jobs/job_spec.h
+++ b/src/jobs/job_spec.h
@@ -4,6 +4,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
+#include "../json/json.h"
 #include "../settings/settings.h"
 
 struct cJSON;
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -1,12 +1,18 @@
 #include "jobs.h"
 
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "../bookings/bookings.h"
 #include "../chains/chains.h"
+#include "../clock/clock.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 
 static const struct settings *cfg;
@@ -52,7 +58,7 @@
     j->rank = RANK_IDLE;
     j->deadline = INFINITY;
     j->bookings = g_ptr_array_new();
-    j->seen = base_now();
+    j->seen = clock_now();
     g_hash_table_insert(all, j->spec.uid, j);
     return j;
 }
@@ -121,7 +127,7 @@
     if (!runs_ready(j) || task < 0 || task >= j->spec.tasks) return;
     uint8_t *r = &j->runs[task / bookings_stretch(j)];
     if (*r & 2) return;
-    if (j->n_touched == 0) j->touched = base_now();
+    if (j->n_touched == 0) j->touched = clock_now();
     *r |= 2;
     j->n_touched++;
 }
@@ -152,7 +158,7 @@
 static const char *const state_names[] = {"queued", "done", "cancelled"};
 
 static enum job_state state_of(const cJSON *data) {
-    const char *state = base_str(data, "state");
+    const char *state = json_get_string(data, "state");
     for (int i = JOB_DONE; i <= JOB_CANCELLED; i++)
         if (state && strcmp(state, state_names[i]) == 0) return (enum job_state)i;
     return JOB_QUEUED;
@@ -172,7 +178,7 @@
     j->spec = read;
     j->known = true;
     j->spec_text = cJSON_PrintUnformatted(spec);
-    j->submitted = base_num(data, "at", 0);
+    j->submitted = json_get_double(data, "at", 0);
     j->done = g_malloc0((gsize)j->spec.tasks / 8 + 1);
     j->pend = g_malloc0((gsize)j->spec.tasks / 8 + 1);
     return true;
@@ -181,7 +187,7 @@
 /* The share that a record names: only one of a divided team's job does. */
 static int share_of(const cJSON *data) {
     int64_t share = -1;
-    return base_int(data, SHARE, &share) && share >= 0 && share < cfg->size ? (int)share : -1;
+    return json_get_int64(data, SHARE, &share) && share >= 0 && share < cfg->size ? (int)share : -1;
 }
 
 /* Takes the job out of the lists of one share and into those of another. */
@@ -200,11 +206,11 @@
 /* A final state is all that is asked for from now on. */
 static void enter_final_state(struct job *j, enum job_state state) {
     j->state = state;
-    j->ended = base_now();
+    j->ended = clock_now();
     if (membership_mine(jobs_share(j)))
         log_info("job %s (%s, %d tasks, estimate %.0f s) is %s %.1f s after it came, %.1f s after it was ready",
                  j->spec.uid, j->spec.jobclass, j->spec.tasks, j->spec.runtime_s, state_names[state],
-                 base_time_of_day() - j->submitted, j->ready > 0 ? base_time_of_day() - j->ready : 0);
+                 clock_time_of_day() - j->submitted, j->ready > 0 ? clock_time_of_day() - j->ready : 0);
     if (state == JOB_DONE) j->n_done = j->spec.tasks;
     g_free(j->done);
     g_free(j->pend);
@@ -226,7 +232,7 @@
     enum job_state state = state_of(data);
     bool ends = j->state == JOB_QUEUED && state != JOB_QUEUED;
     if (ends) {
-        j->finished = state == JOB_DONE ? base_num(data, "end", 0) : 0;
+        j->finished = state == JOB_DONE ? json_get_double(data, "end", 0) : 0;
         enter_final_state(j, state);
     }
     if (first) chains_job_read(j);
@@ -257,7 +263,7 @@
     cJSON_AddItemToObject(o, chained ? CHAINED_SPEC : SPEC, spec);
     cJSON_AddStringToObject(o, "state", state_names[state]);
     cJSON_AddNumberToObject(o, "at", at);
-    const char *owner = base_str(spec, "owner");
+    const char *owner = json_get_string(spec, "owner");
     int team = owner ? settings_team(cfg, owner) : -1;
     /* Of an undivided team's job it is left out, so that its record is the one that all versions know. */
     if (team >= 0 && share >= 0 && share != team % cfg->size) cJSON_AddNumberToObject(o, SHARE, share);
@@ -298,7 +304,7 @@
     if (jobs_record_bytes(j->spec_text) > jobs_record_most()) keep_needed_fields(spec);
     cJSON *o = value_of(spec, state, j->submitted, j->share);
     /* From when on the times of jobs that need it count, for whoever owns them by then. */
-    if (state == JOB_DONE) cJSON_AddNumberToObject(o, "end", base_time_of_day());
+    if (state == JOB_DONE) cJSON_AddNumberToObject(o, "end", clock_time_of_day());
     return o;
 }
 
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,6 +1,12 @@
 /* Jobs: the record of each, and what is known of its tasks. */
 #ifndef FF_JOBS_H
 #define FF_JOBS_H
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <time.h>
+
+#include "../json/json.h"
 #include "../store/store.h"
 #include "job_spec.h"
 
--- a/src/ledger/ledger.c
+++ b/src/ledger/ledger.c
@@ -1,9 +1,14 @@
 #include "ledger.h"
 
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
+#include <string.h>
 
 #include "../bookings/bookings.h"
 #include "../boots/boots.h"
+#include "../clock/clock.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
@@ -82,7 +87,7 @@
         unsteady += short_of;
         /* One rented for waiting tasks stays until it has had its first. */
         if (m == reception || short_of || m->warning >= 0 ||
-            (!m->had_task && base_time_of_day() - m->born < boots_limit(m)))
+            (!m->had_task && clock_time_of_day() - m->born < boots_limit(m)))
             continue;
         g_array_append_val(order, c);
     }
@@ -96,7 +101,7 @@
         for (guint i = 0; i < order->len && drains > 0; i++, drains--) {
             struct machine *m = g_array_index(order, struct candidate, i).m;
             m->draining = true;
-            m->drain_since = base_now();
+            m->drain_since = clock_now();
             if (!spot) move_off(m);
             log_info("machine %s: draining (share %d, %s, N %d, O %.2f, H %.2f)", m->id, k, spot ? "spot" : "ordinary",
                      n--, occupied, h);
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,6 +1,8 @@
 /* Headroom, drains, and the periodic line of a share. */
 #ifndef FF_LEDGER_H
 #define FF_LEDGER_H
+#include <stdbool.h>
+
 #include "../records/records.h"
 
 void ledger_init(const struct settings *s);
--- a/src/ledger/ledger_test.c
+++ b/src/ledger/ledger_test.c
@@ -1,5 +1,7 @@
 #include "ledger/ledger.h"
 
+#include <glib.h>
+
 #include "../../tests/standin/site.h"
 
 /* Each drain takes 0.8 out of the headroom, and none starts that would leave it under the margin before it. */
--- a/src/main.c
+++ b/src/main.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "base/base.h"
+#include "logging/logging.h"
 #include "service/service.h"
 #include "settings/settings.h"
 
@@ -55,7 +55,7 @@
         settings_clear(&cfg);
         return 0;
     }
-    base_log_init(getenv("LOG_LEVEL"));
+    logging_init(getenv("LOG_LEVEL"));
     log_info("fieldfield " VERSION " on %s", cfg.node);
     service_init(&cfg);
     if (!service_start(&cfg)) {
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -1,12 +1,21 @@
 #include "membership.h"
 
+#include <glib.h>
 #include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <string.h>
+#include <time.h>
 
+#include "../clock/clock.h"
 #include "../format/format.h"
+#include "../http/client.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../quota/quota.h"
 #include "../records/records.h"
+#include "../sync/sync.h"
 #include "../watch/watch.h"
 
 #define NODES_MOST 64
@@ -47,8 +56,8 @@
     my_workers_lost = lost;
     /* Where it can ask workers, and they can't report, it takes them for back each time: the shares must not go to and
      * fro with that. */
-    if (lost) times_lost = base_since(workers_lost_since) < 2 * WORKERS_RETRY_MOST_S ? times_lost + 1 : 1;
-    workers_lost_since = base_now();
+    if (lost) times_lost = clock_seconds_since(workers_lost_since) < 2 * WORKERS_RETRY_MOST_S ? times_lost + 1 : 1;
+    workers_lost_since = clock_now();
     log_info(lost ? "most workers are silent here: giving the shares to others" : "workers can be reached again");
 }
 
@@ -65,11 +74,11 @@
     /* A cancellation told elsewhere after our last look must be kept within cancel_s, and an answered report keeps
      * tasks alive for lease_s more, counted from when it was sent, which is before we answer it. The margin covers the
      * drift of both clocks, twice, and the steps of timers; no more, since a zone that is cut off lives on by it. */
-    double room = base_secs(cfg->cancel) - base_secs(cfg->lease);
-    return room - MIN(0.5, room * 0.1) - 0.002 * base_secs(cfg->cancel);
+    double room = clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease);
+    return room - MIN(0.5, room * 0.1) - 0.002 * clock_to_seconds(cfg->cancel);
 }
 
-bool membership_verified(void) { return store_ready() && base_since(store_verified()) < membership_bound(); }
+bool membership_verified(void) { return store_ready() && clock_seconds_since(store_verified()) < membership_bound(); }
 
 /* An owner that the store refuses alone went on starting what it had booked for as long as it may answer workers, 24 s,
  * while others had confirmed cancellations. A start needs the look that a store in reach always gives. */
@@ -106,20 +115,20 @@
         x = &nodes[n_nodes++];
         g_strlcpy(x->name, rest, sizeof x->name);
     }
-    const char *inc = base_str(data, "inc");
-    if (data && (!x->live || strcmp(x->inc, inc ? inc : "") != 0)) x->since = base_now();
+    const char *inc = json_get_string(data, "inc");
+    if (data && (!x->live || strcmp(x->inc, inc ? inc : "") != 0)) x->since = clock_now();
     if (!data && x->live) log_info("controller %s is gone", rest);
     x->live = data != NULL;
     part_budget();
     x->stamp = data ? stamp : 0;
-    x->workers_lost = base_flag(data, "deaf");
+    x->workers_lost = json_get_bool(data, "deaf");
     g_strlcpy(x->inc, inc ? inc : "", sizeof x->inc);
 }
 
 static void apply_leader(const char *rest, const cJSON *data, int64_t stamp) {
     (void)stamp;
     if (*rest) return;
-    const char *n = base_str(data, "node"), *i = base_str(data, "inc");
+    const char *n = json_get_string(data, "node"), *i = json_get_string(data, "inc");
     g_strlcpy(leader, n ? n : "", sizeof leader);
     g_strlcpy(leader_inc, i ? i : "", sizeof leader_inc);
 }
@@ -133,15 +142,15 @@
     int k = (int)g_ascii_strtoll(rest, NULL, 10);
     if (k < 0 || k >= 64) return;
     struct share *s = &shares[k];
-    const char *o = base_str(data, "owner"), *i = base_str(data, "inc");
+    const char *o = json_get_string(data, "owner"), *i = json_get_string(data, "inc");
     if (strcmp(s->owner, o ? o : "") != 0 || strcmp(s->inc, i ? i : "") != 0) {
-        s->changed = base_now();
+        s->changed = clock_now();
         log_info("share %d: owner %s", k, o ? o : "nobody");
     }
     g_strlcpy(s->owner, o ? o : "", sizeof s->owner);
     g_strlcpy(s->inc, i ? i : "", sizeof s->inc);
     s->stamp = data ? stamp : 0;
-    if (!base_int(data, "fence", &s->fence)) s->fence = 0;
+    if (!json_get_int64(data, "fence", &s->fence)) s->fence = 0;
     part_budget();
 }
 
@@ -266,8 +275,9 @@
     struct node *target = &nodes[live[to]];
     /* A planned shift waits until the controller has stayed a while, so that shares don't flap with it, and until what
      * brought the controller has passed: a new owner has to ask all machines anew. */
-    double settled = base_secs(cfg->lease) / 2;
-    if (!orphans && (base_since(target->since) < settled || base_since(shares[k].changed) < settled)) return false;
+    double settled = clock_to_seconds(cfg->lease) / 2;
+    if (!orphans && (clock_seconds_since(target->since) < settled || clock_seconds_since(shares[k].changed) < settled))
+        return false;
     struct node *was = shares[k].owner[0] ? find_node(shares[k].owner) : NULL;
     if (orphans && shares[k].owner[0] && !(was && was->live)) {
         char key[96];
@@ -306,17 +316,17 @@
 static void *membership_main(void *arg) {
     (void)arg;
     struct http_client *c = http_client_new();
-    struct timespec renewed = base_now();
+    struct timespec renewed = clock_now();
     for (;;) {
         if (!my_lease) {
             join(c);
-            renewed = base_now();
-            if (!my_lease) base_sleep(base_span(0.4));
+            renewed = clock_now();
+            if (!my_lease) clock_sleep(clock_from_seconds(0.4));
             continue;
         }
-        if (base_since(renewed) > base_secs(cfg->tuning.node_lease) / 4) {
+        if (clock_seconds_since(renewed) > clock_to_seconds(cfg->tuning.node_lease) / 4) {
             enum store_result r = store_renew(c, my_lease);
-            if (r == STORE_OK) renewed = base_now();
+            if (r == STORE_OK) renewed = clock_now();
             if (r == STORE_CONFLICT) {
                 log_info("our lease has ended; joining anew");
                 my_lease = 0;
@@ -324,7 +334,8 @@
             }
         }
         store_lock();
-        bool try_again = my_workers_lost && base_since(workers_lost_since) > membership_workers_retry_s(times_lost);
+        bool try_again =
+            my_workers_lost && clock_seconds_since(workers_lost_since) > membership_workers_retry_s(times_lost);
         store_unlock();
         if (try_again && watch_try_workers(c)) {
             store_lock();
@@ -350,9 +361,9 @@
             store_nudge();
         }
         store_txn_free(&t);
-        base_sleep(base_span(send ? 0.05 : 0.2));
+        clock_sleep(clock_from_seconds(send ? 0.05 : 0.2));
     }
     return NULL;
 }
 
-void membership_start(void) { base_thread(membership_main, NULL); }
+void membership_start(void) { sync_start_thread(membership_main, NULL); }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,10 @@
 /* Who lives, who leads, who owns which share. */
 #ifndef FF_MEMBERSHIP_H
 #define FF_MEMBERSHIP_H
+#include <stdbool.h>
+#include <stdint.h>
+#include <time.h>
+
 #include "../store/store.h"
 
 struct share {
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -1,8 +1,11 @@
 #include "membership/membership.h"
 
+#include <glib.h>
+#include <stdint.h>
 #include <string.h>
 
 #include "../../tests/standin/site.h"
+#include "json/json.h"
 
 static void plan(void **state) {
     (void)state;
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -1,10 +1,17 @@
 #include "peers.h"
 
 #include <pthread.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
+#include <time.h>
 
+#include "../clock/clock.h"
+#include "../http/client.h"
+#include "../http/server.h"
+#include "../json/json.h"
 #include "../store/store.h"
+#include "../sync/sync.h"
 
 static const struct settings *cfg;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
@@ -13,11 +20,11 @@
 static struct timespec saw[SETTINGS_SEEDS];     /* when that peer last told of a store it had just seen */
 static struct timespec reached[SETTINGS_SEEDS]; /* when it last answered at all */
 
-static void on_peer(struct http_req *r, void *ctx) {
+static void on_peer(struct http_request *r, void *ctx) {
     (void)ctx;
     if (strcmp(http_path(r), "/hint") == 0) store_nudge();
     store_lock();
-    double age = store_ready() ? base_since(store_verified()) : 1e6;
+    double age = store_ready() ? clock_seconds_since(store_verified()) : 1e6;
     store_unlock();
     char body[64];
     snprintf(body, sizeof body, "{\"store_age_s\":%.2f}", age);
@@ -32,19 +39,19 @@
     char url[128];
     for (;;) {
         pthread_mutex_lock(&lock);
-        if (told == hints) base_cond_wait(&cond, &lock, base_span(1));
+        if (told == hints) sync_cond_wait(&cond, &lock, clock_from_seconds(1));
         bool hint = told != hints;
         told = hints;
         pthread_mutex_unlock(&lock);
-        if (!hint && base_since(asked) < 1) continue;
+        if (!hint && clock_seconds_since(asked) < 1) continue;
         snprintf(url, sizeof url, "http://%s/%s", cfg->seeds[i].address, hint ? "hint" : "age");
         long status;
         cJSON *a = NULL;
-        asked = base_now();
+        asked = clock_now();
         if (http_call(c, "GET", url, NULL, 700, &status, &a) == HTTP_ANSWERED) {
             pthread_mutex_lock(&lock);
-            reached[i] = base_now();
-            if (base_num(a, "store_age_s", 1e6) < 4) saw[i] = reached[i];
+            reached[i] = clock_now();
+            if (json_get_double(a, "store_age_s", 1e6) < 4) saw[i] = reached[i];
             pthread_mutex_unlock(&lock);
         }
         cJSON_Delete(a);
@@ -54,12 +61,12 @@
 
 void peers_init(const struct settings *s) {
     cfg = s;
-    base_cond_init(&cond);
+    sync_cond_init(&cond);
 }
 
 bool peers_start(void) {
-    if (!http_serve(cfg->cluster_listen, 64, on_peer, NULL)) return false;
-    for (int i = 0; i < cfg->n_seeds; i++) base_thread(peer_main, (void *)(intptr_t)i);
+    if (!http_server_start(cfg->cluster_listen, 64, on_peer, NULL)) return false;
+    for (int i = 0; i < cfg->n_seeds; i++) sync_start_thread(peer_main, (void *)(intptr_t)i);
     return true;
 }
 
@@ -73,7 +80,7 @@
 bool peers_see_store(void) {
     bool yes = false;
     pthread_mutex_lock(&lock);
-    for (int i = 0; i < cfg->n_seeds; i++) yes |= saw[i].tv_sec && base_since(saw[i]) < 3;
+    for (int i = 0; i < cfg->n_seeds; i++) yes |= saw[i].tv_sec && clock_seconds_since(saw[i]) < 3;
     pthread_mutex_unlock(&lock);
     return yes;
 }
@@ -82,7 +89,7 @@
     bool yes = false;
     pthread_mutex_lock(&lock);
     for (int i = 0; i < cfg->n_seeds; i++)
-        yes |= strcmp(cfg->seeds[i].node, node) == 0 && reached[i].tv_sec && base_since(reached[i]) < 3;
+        yes |= strcmp(cfg->seeds[i].node, node) == 0 && reached[i].tv_sec && clock_seconds_since(reached[i]) < 3;
     pthread_mutex_unlock(&lock);
     return yes;
 }
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,7 +1,8 @@
 /* What controllers tell one another: hints to look at the store, and how long since each saw it. */
 #ifndef FF_PEERS_H
 #define FF_PEERS_H
-#include "../base/base.h"
+#include <stdbool.h>
+
 #include "../settings/settings.h"
 
 void peers_init(const struct settings *s);
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -1,5 +1,7 @@
 #include "placement.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 
 #include "../failures/failures.h"
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,6 +1,10 @@
 /* Where a task may and should go: decisions on the state at hand, with no I/O and no clock of their own. */
 #ifndef FF_PLACEMENT_H
 #define FF_PLACEMENT_H
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
 #include "../jobs/jobs.h"
 #include "../records/records.h"
 
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -1,5 +1,7 @@
 #include "placement/placement.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 
 #include "../../tests/standin/site.h"
--- a/src/preempt/preempt.c
+++ b/src/preempt/preempt.c
@@ -1,7 +1,11 @@
 #include "preempt.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 
+#include "../clock/clock.h"
+#include "../logging/logging.h"
 #include "../placement/placement.h"
 #include "../quota/quota.h"
 
@@ -46,7 +50,7 @@
 /* A task stopped soon after its start counts as never started to its user. */
 bool preempt_fresh_start(const struct booking *b) {
     return b->state == TASK_UNSEEN || b->state == TASK_FETCHING ||
-           (b->state == TASK_RUNNING && base_since(b->changed) < 32);
+           (b->state == TASK_RUNNING && clock_seconds_since(b->changed) < 32);
 }
 
 /* Stops lower-ranked tasks on one machine so that a task of the job fits there; the machine that already has the
--- a/src/preempt/preempt.h
+++ b/src/preempt/preempt.h
@@ -1,6 +1,9 @@
 /* Who must make way for whom. */
 #ifndef FF_PREEMPT_H
 #define FF_PREEMPT_H
+#include <glib.h>
+#include <stdbool.h>
+
 #include "../records/records.h"
 
 void preempt_init(const struct settings *s);
--- a/src/quota/amount.c
+++ b/src/quota/amount.c
@@ -2,6 +2,8 @@
 
 #include <glib.h>
 #include <math.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 #define ROUNDING 1e-6 /* decimal amounts are not exact in binary */
 
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -1,8 +1,13 @@
 /* The changes that an owner writes of divided teams: their records, and the shares of waiting jobs. */
+#include <glib.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
+#include <time.h>
 
+#include "../clock/clock.h"
 #include "../format/format.h"
+#include "../http/client.h"
 #include "../jobs/jobs.h"
 #include "../membership/membership.h"
 #include "demand.h"
@@ -17,9 +22,10 @@
 static struct timespec changes_counted;
 
 static bool may_change(void) {
-    struct timespec now = base_now();
+    struct timespec now = clock_now();
     double rate = quota_settings->state_write_rps * CHANGES_PART / membership_live();
-    changes_left = MIN(changes_left + (base_secs(now) - base_secs(changes_counted)) * rate, CHANGES_BURST);
+    changes_left =
+        MIN(changes_left + (clock_to_seconds(now) - clock_to_seconds(changes_counted)) * rate, CHANGES_BURST);
     changes_counted = now;
     return changes_left >= 1;
 }
@@ -204,8 +210,8 @@
     bool in_use = quota_in_use(), foreign = jobs_any_foreign();
     store_unlock();
     if (in_use) change_teams(client);
-    if ((in_use || foreign) && base_since(moved) > MOVE_EVERY_S) {
-        moved = base_now();
+    if ((in_use || foreign) && clock_seconds_since(moved) > MOVE_EVERY_S) {
+        moved = clock_now();
         move_all_jobs(client);
     }
 }
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -1,9 +1,14 @@
 #include "demand.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
+#include <time.h>
 
 #include "../bookings/bookings.h"
+#include "../clock/clock.h"
 #include "../failures/failures.h"
+#include "../logging/logging.h"
 #include "../rounds/rounds.h"
 
 #define DEMANDS_MOST 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
@@ -55,7 +60,7 @@
 
 static bool gave_up_lately(const char *uid) {
     for (unsigned i = 0; i < MIN(n_given_up, GIVEN_UP_MOST); i++)
-        if (strcmp(given_up[i].uid, uid) == 0 && base_since(given_up[i].until) < 0) return true;
+        if (strcmp(given_up[i].uid, uid) == 0 && clock_seconds_since(given_up[i].until) < 0) return true;
     return false;
 }
 
@@ -63,7 +68,7 @@
 
 /* Room is held back for one job at a time and not for long: a job that gathers in vain must not idle its team. */
 static void keep_gatherer(struct quota_team *t, const struct job *j) {
-    double most = base_secs(quota_settings->quota.gather);
+    double most = clock_to_seconds(quota_settings->quota.gather);
     if (!j) {
         t->gatherer[0] = 0;
         return;
@@ -71,14 +76,14 @@
     int booked = bookings_count(j);
     if (strcmp(t->gatherer, j->spec.uid) != 0 || t->gatherer_booked != booked) {
         g_strlcpy(t->gatherer, j->spec.uid, sizeof t->gatherer);
-        t->gathering_since = base_now();
+        t->gathering_since = clock_now();
         t->gatherer_booked = booked;
         return;
     }
-    if (base_since(t->gathering_since) < most) return;
+    if (clock_seconds_since(t->gathering_since) < most) return;
     struct given_up *g = &given_up[n_given_up++ % GIVEN_UP_MOST];
     g_strlcpy(g->uid, j->spec.uid, sizeof g->uid);
-    g->until = base_wall_in(base_span(PAUSE_TIMES * most));
+    g->until = clock_instant_in(clock_from_seconds(PAUSE_TIMES * most));
     t->gatherer[0] = 0;
     log_info("quota: team %s: not enough gets free for %s, it steps back", quota_settings->teams[t->team].name,
              j->spec.uid);
@@ -86,7 +91,7 @@
 
 /* How many more tasks of the job may start now. */
 static int tasks_waiting(const struct job *j) {
-    if (base_since(j->retry_at) < 0) return 0;
+    if (clock_seconds_since(j->retry_at) < 0) return 0;
     if (j->spec.shape == JOB_GROUP && bookings_count(j) > 0) return rounds_gang_open(j) ? rounds_missing(j) : 0;
     return failures_suspect(j) && j->spec.shape != JOB_GROUP ? MIN(rounds_missing(j), 1) : rounds_missing(j);
 }
--- a/src/quota/parts.c
+++ b/src/quota/parts.c
@@ -1,6 +1,8 @@
 #include "parts.h"
 
 #include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <string.h>
 
 #define CHUNKS 16 /* a part changes by a sixteenth of the limit at least, so that it need not change often */
--- a/src/quota/parts.h
+++ b/src/quota/parts.h
@@ -5,6 +5,9 @@
  * `unassigned` of the limit is, where the limit was lowered below what the shares hold. */
 #ifndef FF_QUOTA_PARTS_H
 #define FF_QUOTA_PARTS_H
+#include <stdbool.h>
+#include <stdint.h>
+
 #include "amount.h"
 
 #define QUOTA_SHARES_MOST 16 /* of a team: its record stays below 1 KiB */
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -1,8 +1,12 @@
 #include "quota.h"
 
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <string.h>
 
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "demand.h"
 
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -4,6 +4,9 @@
  * there. */
 #ifndef FF_QUOTA_H
 #define FF_QUOTA_H
+#include <stdbool.h>
+
+#include "../http/client.h"
 #include "../records/records.h"
 
 void quota_init(const struct settings *s);
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -1,9 +1,13 @@
 /* Records of divided teams and what follows from them, by tables of cases. */
 #include "quota/quota.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdlib.h>
 #include <string.h>
 
 #include "../../tests/standin/site.h"
+#include "json/json.h"
 #include "quota/record.h"
 
 #define HOME 1
--- a/src/quota/record.c
+++ b/src/quota/record.c
@@ -1,5 +1,11 @@
 #include "record.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "../json/json.h"
+
 static cJSON *amount_value(struct quota_amount a) {
     cJSON *list = cJSON_CreateArray();
     for (int d = 0; d < QUOTA_DIMENSIONS; d++) cJSON_AddItemToArray(list, cJSON_CreateNumber((double)a.of[d]));
@@ -54,7 +60,7 @@
     const cJSON *parts = cJSON_GetObjectItemCaseSensitive(value, "parts"), *x;
     *out = (struct quota_record){0};
     *fault = "its form";
-    if (!base_int(value, "epoch", &out->epoch) || !base_int(value, "shares", &shares) ||
+    if (!json_get_int64(value, "epoch", &out->epoch) || !json_get_int64(value, "shares", &shares) ||
         !read_field(value, "limit", &out->limit) || !read_field(value, "guarantee", &out->guarantee) ||
         !read_field(value, "unassigned", &out->unassigned) ||
         !read_field(value, "guarantee_unassigned", &out->guarantee_unassigned))
--- a/src/quota/record.h
+++ b/src/quota/record.h
@@ -2,7 +2,9 @@
  * the divided teams, `quota-view/NODE`. Only the forms: pure. */
 #ifndef FF_QUOTA_RECORD_H
 #define FF_QUOTA_RECORD_H
-#include "../base/base.h"
+#include <stdbool.h>
+
+#include "../json/json.h"
 #include "parts.h"
 
 cJSON *quota_record_value(const struct quota_record *r);
--- a/src/quota/state.c
+++ b/src/quota/state.c
@@ -1,9 +1,15 @@
 #include "state.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "../json/json.h"
+#include "../logging/logging.h"
+
 #define RECORD_PREFIX "quota/"
 #define VIEW_PREFIX "quota-view/"
 
--- a/src/quota/state.h
+++ b/src/quota/state.h
@@ -2,6 +2,9 @@
  * store_lock held. Internal to this slice. */
 #ifndef FF_QUOTA_STATE_H
 #define FF_QUOTA_STATE_H
+#include <stdbool.h>
+#include <time.h>
+
 #include "quota.h"
 #include "record.h"
 
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -1,11 +1,17 @@
 #include "records.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../failures/failures.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../rounds/rounds.h"
 
@@ -59,7 +65,7 @@
     m->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     m->warning = -1;
     m->share = m->transfer_to = m->page = m->next_page = -1;
-    m->unrecorded_since = base_now();
+    m->unrecorded_since = clock_now();
     g_hash_table_insert(by_id, m->id, m);
     g_ptr_array_add(machines, m);
     return m;
@@ -102,7 +108,7 @@
     cloud_reopen(m->sku, m->site, m->spot);
     m->known = false;
     m->dead = true;
-    m->unrecorded_since = base_now();
+    m->unrecorded_since = clock_now();
     release_all(m);
     set_share(m, -1);
     records_drop_stub(m);
@@ -249,7 +255,7 @@
         refused = true;
         return;
     }
-    if (strlen(id) >= sizeof((struct machine *)0)->id || !base_int(data, "share", &share) || share < 0 ||
+    if (strlen(id) >= sizeof((struct machine *)0)->id || !json_get_int64(data, "share", &share) || share < 0 ||
         share >= cfg->size) {
         log_error("machine/%s: can't be read", id);
         return;
@@ -257,13 +263,13 @@
     struct machine *m = machine_here(id, (int)share, -1);
     m->placed = stamp;
     const char *v;
-    if (!base_int(data, "fence", &m->fence)) m->fence = 0;
-    if ((v = base_str(data, "address")) && *v) g_strlcpy(m->address, v, sizeof m->address);
-    if ((v = base_str(data, "flavour"))) g_strlcpy(m->sku, v, sizeof m->sku);
-    if ((v = base_str(data, "site"))) g_strlcpy(m->site, v, sizeof m->site);
-    m->spot = base_flag(data, "spot");
+    if (!json_get_int64(data, "fence", &m->fence)) m->fence = 0;
+    if ((v = json_get_string(data, "address")) && *v) g_strlcpy(m->address, v, sizeof m->address);
+    if ((v = json_get_string(data, "flavour"))) g_strlcpy(m->sku, v, sizeof m->sku);
+    if ((v = json_get_string(data, "site"))) g_strlcpy(m->site, v, sizeof m->site);
+    m->spot = json_get_bool(data, "spot");
     m->returning = false;
-    m->born = base_num(data, "born", 0);
+    m->born = json_get_double(data, "born", 0);
     rounds_kick();
 }
 
@@ -273,7 +279,7 @@
     if (!membership_mine(m->share)) return false;
     if (m->owned_fence == f) return true;
     m->owned_fence = f;
-    m->heard = m->reported = m->mine_since = base_now();
+    m->heard = m->reported = m->mine_since = clock_now();
     m->unknown = m->need_raise = m->draining = m->want_return = m->dead = m->answered = false;
     m->transfer_to = -1;
     m->seen_fence = m->ordered_tenure = 0;
@@ -325,7 +331,7 @@
     n->spot = spot;
     n->share = share;
     n->page = -1;
-    n->born = base_time_of_day();
+    n->born = clock_time_of_day();
     g_hash_table_replace(unregistered, n->id, n);
     rounds_kick();
 }
@@ -352,12 +358,13 @@
 #define UNRECORDED_S 5.0 /* a page or a transfer between shares is in the mirror long before */
 
 bool records_unrecorded(const struct machine *m) {
-    if (m->known || base_since(m->unrecorded_since) < UNRECORDED_S || g_hash_table_contains(unregistered, m->id))
+    if (m->known || clock_seconds_since(m->unrecorded_since) < UNRECORDED_S ||
+        g_hash_table_contains(unregistered, m->id))
         return false;
     for (guint i = 0; i < m->bookings->len; i++) {
         const struct booking *b = m->bookings->pdata[i];
         int k = jobs_share(b->job);
-        if (!b->over && membership_mine(k) && base_since(records_shares[k].since) > UNRECORDED_S) return true;
+        if (!b->over && membership_mine(k) && clock_seconds_since(records_shares[k].since) > UNRECORDED_S) return true;
     }
     return false;
 }
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -1,7 +1,13 @@
 /* The machines: their records in the state service, and what an owner remembers of each. */
 #ifndef FF_RECORDS_H
 #define FF_RECORDS_H
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <time.h>
+
 #include "../jobs/jobs.h"
+#include "../json/json.h"
 
 #define RECORDS_WINDOW 64
 #define RECORDS_SHARES 64
--- a/src/renting/renting.c
+++ b/src/renting/renting.c
@@ -1,12 +1,16 @@
 #include "renting.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "../bookings/bookings.h"
 #include "../boots/boots.h"
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../quota/quota.h"
@@ -116,7 +120,7 @@
     struct job *like = NULL;
     for (guint i = 0; i < order->len && !like; i++) {
         struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        if (j->spec.shape == JOB_GROUP && !j->spec.reclaimable && base_time_of_day() - j->ready < SPARE_S) like = j;
+        if (j->spec.shape == JOB_GROUP && !j->spec.reclaimable && clock_time_of_day() - j->ready < SPARE_S) like = j;
     }
     int whole = 0;
     for (guint y = 0; y < vms->len; y++) {
@@ -199,7 +203,7 @@
     double waited = 0;
     for (guint i = 0; i < order->len; i++) {
         const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        if (j->unplaced && !j->spec.reclaimable) waited = MAX(waited, base_since(j->seen));
+        if (j->unplaced && !j->spec.reclaimable) waited = MAX(waited, clock_seconds_since(j->seen));
     }
     for (guint i = 0; i < records_machines()->len && waited < TRANSFER_S; i++) {
         const struct machine *m = records_machines()->pdata[i];
@@ -348,7 +352,7 @@
 int renting_plan(struct rent_order *out, int most) {
     int n = 0;
     for (int k = 0; k < cfg->size; k++)
-        if (membership_mine(k) && membership_verified() && base_since(records_shares[k].since) > 4)
+        if (membership_mine(k) && membership_verified() && clock_seconds_since(records_shares[k].since) > 4)
             rent_for_share(k, out, most, &n);
     qsort(out, (size_t)n, sizeof *out, weightier);
     return n;
--- a/src/renting/renting.h
+++ b/src/renting/renting.h
@@ -1,6 +1,9 @@
 /* What to rent, and what to give back. */
 #ifndef FF_RENTING_H
 #define FF_RENTING_H
+#include <glib.h>
+#include <stdbool.h>
+
 #include "../records/records.h"
 
 void renting_init(const struct settings *s);
--- a/src/rounds/plan.c
+++ b/src/rounds/plan.c
@@ -1,11 +1,16 @@
 /* What a round books, and what makes way for it. */
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "../bookings/bookings.h"
+#include "../clock/clock.h"
 #include "../failures/failures.h"
+#include "../logging/logging.h"
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
 #include "round.h"
@@ -57,7 +62,7 @@
         if (attempt && x->attempt != attempt) return 0;
         attempt = x->attempt;
         if (x->stop || !x->seen || (x->state != TASK_FETCHING && x->state != TASK_GATHERING)) return 0;
-        if (base_since(x->m->reported) > base_secs(round_settings->report) * 1.25 + 1) return 0;
+        if (clock_seconds_since(x->m->reported) > clock_to_seconds(round_settings->report) * 1.25 + 1) return 0;
     }
     return attempt;
 }
@@ -112,7 +117,8 @@
 #define PREEMPT_AGAIN_S 3 /* time for what was stopped to make way */
 
 static bool may_preempt(const struct job *j, bool within) {
-    return (within || j->rank > RANK_IDLE) && !failures_suspect(j) && base_since(j->preempted) > PREEMPT_AGAIN_S;
+    return (within || j->rank > RANK_IDLE) && !failures_suspect(j) &&
+           clock_seconds_since(j->preempted) > PREEMPT_AGAIN_S;
 }
 
 /* What found no room in this round. Room only shrinks while a round plans, so that what asks for as much or more finds
@@ -147,7 +153,7 @@
     if (!may_preempt(j, within)) return false;
     int made = 0;
     while (made < MIN(tasks, PREEMPTIONS_MOST) && preempt_for(j, within, mine, NULL, u)) made++;
-    if (made > 0) j->preempted = base_now();
+    if (made > 0) j->preempted = clock_now();
     return made > 0;
 }
 
@@ -219,7 +225,7 @@
         if (with >= j->spec.tasks && may_preempt(j, within)) {
             bool any = false;
             for (int t = (int)kept; t < j->spec.tasks; t++) any |= preempt_for(j, within, mine, zone, u);
-            if (any) j->preempted = base_now();
+            if (any) j->preempted = clock_now();
         }
         return true;
     }
@@ -280,7 +286,7 @@
     free->gpu -= tasks * j->spec.gpus;
 }
 
-static bool waits_to_retry(const struct job *j) { return base_since(j->retry_at) < 0; }
+static bool waits_to_retry(const struct job *j) { return clock_seconds_since(j->retry_at) < 0; }
 
 /* The budget carries no more: the next round goes on. What surely has no room needs machines already now: at a start
  * from nothing they were once asked for half a minute late. */
--- a/src/rounds/rank.c
+++ b/src/rounds/rank.c
@@ -1,8 +1,11 @@
 /* The order among a share's unfinished jobs. */
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 
 #include "../bookings/bookings.h"
 #include "../chains/chains.h"
+#include "../clock/clock.h"
 #include "../failures/failures.h"
 #include "../quota/quota.h"
 #include "round.h"
@@ -84,7 +87,7 @@
 static GArray *rank_jobs(const GPtrArray *jobs, const struct rank_filter *filter) {
     GArray *out = g_array_new(FALSE, FALSE, sizeof(struct rounds_ranked));
     double cpu[SETTINGS_TEAMS] = {0}, gpu[SETTINGS_TEAMS] = {0};
-    double now = base_time_of_day();
+    double now = clock_time_of_day();
     for (guint i = 0; i < jobs->len; i++) {
         struct job *j = jobs->pdata[i];
         if (j->spec.team < 0 || chains_waits(j)) continue;
--- a/src/rounds/round.h
+++ b/src/rounds/round.h
@@ -1,6 +1,10 @@
 /* One round of an owner: decided under the lock, written outside it, applied once written. Internal to this slice. */
 #ifndef FF_ROUND_H
 #define FF_ROUND_H
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
 #include "../placement/placement.h"
 #include "rounds.h"
 
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -1,17 +1,26 @@
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
 #include "../bookings/bookings.h"
 #include "../chains/chains.h"
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../failures/failures.h"
+#include "../http/client.h"
+#include "../json/json.h"
 #include "../ledger/ledger.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
 #include "../quota/quota.h"
 #include "../renting/renting.h"
+#include "../sync/sync.h"
 #include "../transfer/transfer.h"
 #include "../watch/watch.h"
 #include "../workers/workers.h"
@@ -25,9 +34,9 @@
 #define AMPLE_CHANGES 4
 #define GATHER_PROGRESS_S 3.0
 
-static struct base_wakeup wakeup;
+static struct sync_wakeup wakeup;
 
-void rounds_kick(void) { base_wakeup_signal(&wakeup); }
+void rounds_kick(void) { sync_wakeup_signal(&wakeup); }
 
 struct machine *rounds_reception(int k) {
     struct machine *best = NULL;
@@ -40,7 +49,7 @@
 }
 
 void rounds_scratch(int k) {
-    double quiet = base_secs(round_settings->report) * 2 + 1;
+    double quiet = clock_to_seconds(round_settings->report) * 2 + 1;
     for (guint i = 0; i < records_of(k)->len; i++) {
         struct machine *m = records_of(k)->pdata[i];
         if (!records_mine(m)) continue;
@@ -64,14 +73,14 @@
         }
         m->open = m->up && m->page >= 0 && m->flavour && !records_leaving(m) && !m->draining && m->transfer_to < 0 &&
                   m->warning < 0 && !m->need_raise && !m->unknown && m->ignored == 0 && !failures_machine_faulty(m) &&
-                  m->seen_fence >= records_token(m) && base_since(m->reported) < quiet &&
+                  m->seen_fence >= records_token(m) && clock_seconds_since(m->reported) < quiet &&
                   m->bookings->len < RECORDS_TASKS_MOST && !watch_zone_cut(k, m->site);
     }
 }
 
 static int longest_touched(gconstpointer a, gconstpointer b) {
     const struct job *x = *(struct job *const *)a, *y = *(struct job *const *)b;
-    double d = base_secs(x->touched) - base_secs(y->touched);
+    double d = clock_to_seconds(x->touched) - clock_to_seconds(y->touched);
     return d < 0 ? -1 : d > 0;
 }
 
@@ -113,7 +122,8 @@
     g_ptr_array_sort(late, longest_touched);
     for (guint i = 0; i < late->len && r->left > 0; i++) {
         const struct job *j = late->pdata[i];
-        if (r->left < AMPLE_CHANGES && base_since(j->touched) < GATHER_PROGRESS_S) break; /* the rest is younger */
+        if (r->left < AMPLE_CHANGES && clock_seconds_since(j->touched) < GATHER_PROGRESS_S)
+            break; /* the rest is younger */
         round_write_job(r, late->pdata[i]);
     }
     r->more |= late->len > 0 && r->left <= 0;
@@ -126,7 +136,7 @@
     r->plans = g_array_new(FALSE, FALSE, sizeof(struct placement_plan));
     r->txns = g_ptr_array_new_with_free_func(round_txn_free);
     r->left = left;
-    r->apart = base_since(records_shares[k].apart_until) < 0;
+    r->apart = clock_seconds_since(records_shares[k].apart_until) < 0;
     /* With nothing left of the budget there is nothing to decide: the more has gathered, the more the next carries. */
     if (left >= LEAST_CHANGES) plan_round(r);
     return r;
@@ -161,7 +171,7 @@
     const cJSON *x;
     store_apply_written(t, epoch);
     cJSON_ArrayForEach(x, t->ops) {
-        const char *set = base_str(x, "set");
+        const char *set = json_get_string(x, "set");
         if (!set || !g_str_has_prefix(set, "run/")) continue;
         char uid[64];
         g_strlcpy(uid, set + 4, MIN(sizeof uid, strcspn(set + 4, "/") + 1));
@@ -232,7 +242,7 @@
             records_shares[k].fence = f;
             records_shares[k].next = 0;
             records_shares[k].barrier = false;
-            records_shares[k].since = base_now();
+            records_shares[k].since = clock_now();
             log_info("share %d: ours under fence %lld", k, (long long)f);
         }
     }
@@ -266,7 +276,7 @@
         } else if (rc == STORE_BAD) {
             /* Surely not executed. What it held is written apart from other work from now on, and not at once again. */
             if (r->apart || t->writes == 1) round_note_refused(t);
-            records_shares[k].apart_until = base_wall_in(base_span(2 * ROUND_REFUSED_S));
+            records_shares[k].apart_until = clock_instant_in(clock_from_seconds(2 * ROUND_REFUSED_S));
             again = true;
         } else if (rc == STORE_UNKNOWN) {
             records_shares[k].barrier = true;
@@ -287,24 +297,25 @@
 /* A controller that hears none of its workers leaves its shares to others: at once where not one of many is heard in
  * any way, after a report interval where most don't report. */
 static void give_up_when_deaf(const struct watch_hearing *h, struct timespec *hearing) {
-    bool store_seen = base_since(store_verified()) <= STORE_SEEN_S;
-    double report = base_secs(round_settings->report);
-    if (h->up < 4 || h->reported * 10 >= h->up * 3 || !store_seen) *hearing = base_now();
+    bool store_seen = clock_seconds_since(store_verified()) <= STORE_SEEN_S;
+    double report = clock_to_seconds(round_settings->report);
+    if (h->up < 4 || h->reported * 10 >= h->up * 3 || !store_seen) *hearing = clock_now();
     bool deaf = store_seen && watch_deaf(h->up, h->newest_s, report);
-    if ((deaf || base_since(*hearing) > report) && !membership_workers_lost()) membership_set_workers_lost(true);
+    if ((deaf || clock_seconds_since(*hearing) > report) && !membership_workers_lost())
+        membership_set_workers_lost(true);
 }
 
 static void *rounds_main(void *arg) {
     (void)arg;
     struct http_client *c = http_client_new();
-    struct timespec watched = {0, 0}, told = {0, 0}, hearing = base_now();
+    struct timespec watched = {0, 0}, told = {0, 0}, hearing = clock_now();
     for (;;) {
-        base_wakeup_wait(&wakeup, base_span(0.5));
+        sync_wakeup_wait(&wakeup, clock_from_seconds(0.5));
         bool again = false;
         for (int k = 0; k < round_settings->size; k++) again |= run_round(c, k);
         quota_run(c);
-        if (base_since(watched) > 0.5) {
-            watched = base_now();
+        if (clock_seconds_since(watched) > 0.5) {
+            watched = clock_now();
             store_lock();
             struct watch_hearing h = watch_hearing();
             give_up_when_deaf(&h, &hearing);
@@ -314,15 +325,15 @@
                     ledger_run(k, false);
                     ledger_run(k, true);
                 }
-            if (base_since(told) > 10) {
-                told = base_now();
+            if (clock_seconds_since(told) > 10) {
+                told = clock_now();
                 for (int k = 0; k < round_settings->size; k++)
                     if (membership_mine(k)) ledger_tell(k);
             }
             store_unlock();
             workers_kick();
         }
-        base_sleep(base_span(0.03));
+        clock_sleep(clock_from_seconds(0.03));
         if (again) rounds_kick();
     }
     return NULL;
@@ -330,7 +341,7 @@
 
 void rounds_init(const struct settings *s) {
     round_settings = s;
-    base_wakeup_init(&wakeup);
+    sync_wakeup_init(&wakeup);
 }
 
-void rounds_start(void) { base_thread(rounds_main, NULL); }
+void rounds_start(void) { sync_start_thread(rounds_main, NULL); }
--- a/src/rounds/rounds.h
+++ b/src/rounds/rounds.h
@@ -1,6 +1,10 @@
 /* The owner's rounds: rank, plan, write, apply. */
 #ifndef FF_ROUNDS_H
 #define FF_ROUNDS_H
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
 #include "../records/records.h"
 
 void rounds_init(const struct settings *s);
--- a/src/rounds/write_jobs.c
+++ b/src/rounds/write_jobs.c
@@ -1,9 +1,15 @@
 /* What a round writes of jobs and their bookings. */
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
 #include "../bookings/bookings.h"
+#include "../clock/clock.h"
+#include "../json/json.h"
 #include "../membership/membership.h"
 #include "round.h"
 
@@ -33,16 +39,16 @@
 
 bool round_refused_lately(const char *key) {
     const struct timespec *until = refused_until ? g_hash_table_lookup(refused_until, key) : NULL;
-    return until && base_since(*until) < 0;
+    return until && clock_seconds_since(*until) < 0;
 }
 
 void round_note_refused(const struct store_txn *t) {
     const cJSON *op;
     if (!refused_until) refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cJSON_ArrayForEach(op, t->ops) {
-        const char *key = base_str(op, "set") ? base_str(op, "set") : base_str(op, "remove");
+        const char *key = json_get_string(op, "set") ? json_get_string(op, "set") : json_get_string(op, "remove");
         struct timespec *until = g_new0(struct timespec, 1);
-        *until = base_wall_in(base_span(ROUND_REFUSED_S));
+        *until = clock_instant_in(clock_from_seconds(ROUND_REFUSED_S));
         g_hash_table_replace(refused_until, g_strdup(key), until);
     }
 }
--- a/src/rounds/write_pages.c
+++ b/src/rounds/write_pages.c
@@ -1,8 +1,13 @@
 /* What a round writes of machines. */
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "../clock/clock.h"
+#include "../json/json.h"
 #include "../membership/membership.h"
 #include "../transfer/transfer.h"
 #include "round.h"
@@ -149,8 +154,8 @@
 /* The pages of the share's machines. */
 void round_write_pages(struct round *r, int k) {
     struct page_plan p = {.fence = membership_fence() + 1, .raise_writes = 1};
-    bool tidy = base_since(records_shares[k].tidied) > TIDY_S;
-    if (tidy) records_shares[k].tidied = base_now();
+    bool tidy = clock_seconds_since(records_shares[k].tidied) > TIDY_S;
+    if (tidy) records_shares[k].tidied = clock_now();
     records_large_pages(k, p.large);
     struct records_fills fills;
     forget_places(k);
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -1,15 +1,20 @@
 /* Wires the slices together; every decision is theirs. */
 #include "service.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 #include <sys/resource.h>
 
 #include "../bookings/bookings.h"
 #include "../chains/chains.h"
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../format/format.h"
+#include "../http/server.h"
 #include "../jobs/jobs.h"
 #include "../ledger/ledger.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "../preempt/preempt.h"
@@ -24,7 +29,7 @@
 #include "../watch/watch.h"
 #include "../workers/workers.h"
 
-static void on_request(struct http_req *r, void *ctx) {
+static void on_request(struct http_request *r, void *ctx) {
     (void)ctx;
     if (strcmp(http_path(r), "/up") == 0) {
         if (strcmp(http_method(r), "GET") != 0) {
@@ -32,7 +37,7 @@
             return;
         }
         store_lock();
-        bool sees = store_ready() && base_since(store_verified()) < 5;
+        bool sees = store_ready() && clock_seconds_since(store_verified()) < 5;
         bool first = !store_ready();
         store_unlock();
         /* Refused by the store while peers are served: others can help the users. In an outage that all see, the
@@ -80,7 +85,7 @@
     raise_open_files(s->sockets);
     users_start();
     chains_start();
-    if (!http_serve(s->bind, (unsigned)s->sockets * 3 / 4, on_request, NULL) || !peers_start()) return false;
+    if (!http_server_start(s->bind, (unsigned)s->sockets * 3 / 4, on_request, NULL) || !peers_start()) return false;
     store_mirror_start();
     membership_start();
     rounds_start();
@@ -102,7 +107,7 @@
         "ago, %d answers to users "
         "(median %.1f ms, p95 %.1f ms)",
         jobs_active()->len, records_machines()->len, (now - last) / 10.0, store_budget_pace(false),
-        store_budget_pace(true), base_since(store_verified()), answers, median, p95);
+        store_budget_pace(true), clock_seconds_since(store_verified()), answers, median, p95);
     quota_tell();
     store_unlock();
     static struct store_changes before;
--- a/src/settings/quota_file.c
+++ b/src/settings/quota_file.c
@@ -5,10 +5,11 @@
  *
  * The first entry that names a team holds for it; "*" names all. */
 #include <glib.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
 
-#include "../base/base.h"
+#include "../clock/clock.h"
 #include "reader.h"
 
 #define SHARES_MOST 16
@@ -64,7 +65,7 @@
 static void read_gather(struct reader *r, const config_setting_t *value, struct settings *s) {
     double seconds = config_setting_is_number(value) ? config_setting_get_float(value) : -1;
     if (seconds >= GATHER_LEAST_S && seconds <= GATHER_MOST_S)
-        s->quota.gather = base_span(seconds);
+        s->quota.gather = clock_from_seconds(seconds);
     else
         settings_fail(r, "gather_s", "not a number within its bounds");
 }
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -2,6 +2,7 @@
 #ifndef FF_SETTINGS_READER_H
 #define FF_SETTINGS_READER_H
 #include <libconfig.h>
+#include <stdbool.h>
 
 #include "settings.h"
 
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -2,10 +2,13 @@
 
 #include <glib.h>
 #include <libconfig.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <string.h>
+#include <time.h>
 
-#include "../base/base.h"
+#include "../clock/clock.h"
+#include "../json/json.h"
 #include "reader.h"
 
 static const struct settings_tuning tuning_defaults = {
@@ -27,7 +30,7 @@
 }
 
 static char *need_str(struct reader *r, const cJSON *o, const char *at, const char *name) {
-    const char *v = base_str(o, name);
+    const char *v = json_get_string(o, name);
     char field[128];
     snprintf(field, sizeof field, "%s%s", at, name);
     if (!v || !*v) settings_fail(r, field, "a non-empty string is needed");
@@ -35,7 +38,7 @@
 }
 
 static double need_num(struct reader *r, const cJSON *o, const char *at, const char *name, double least, double most) {
-    double v = base_num(o, name, -1);
+    double v = json_get_double(o, name, -1);
     char field[128];
     snprintf(field, sizeof field, "%s%s", at, name);
     if (!(v >= least && v <= most)) settings_fail(r, field, "missing or out of range");
@@ -141,27 +144,27 @@
     /* Aims of kinds not known here are passed over: new ones may be added. */
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(p, "objectives")) {
         static const char *const kinds[] = {"wait", "finished", "guarantee", "deadline"};
-        const char *kind = base_str(x, "kind"), *cls = base_str(x, "class");
+        const char *kind = json_get_string(x, "kind"), *cls = json_get_string(x, "class");
         for (int i = 0; i < (int)G_N_ELEMENTS(kinds) && kind; i++)
             if (strcmp(kind, kinds[i]) == 0 && s->n_objectives < SETTINGS_OBJECTIVES)
                 s->objectives[s->n_objectives++] =
                     (struct settings_objective){(enum settings_aim)i, g_strdup(cls ? cls : ""),
-                                                base_num(x, "within_s", 60), base_num(x, "share", 1)};
+                                                json_get_double(x, "within_s", 60), json_get_double(x, "share", 1)};
     }
     const cJSON *w = cJSON_GetObjectItemCaseSensitive(p, "workers");
-    s->report = base_span(need_num(&r, w, "settings.workers.", "report_s", 0.01, 3600));
-    s->lease = base_span(need_num(&r, w, "settings.workers.", "lease_s", 0.1, 86400));
-    s->gang_wait = base_span(need_num(&r, w, "settings.workers.", "gang_wait_s", 0, 86400));
-    s->gang_peer = base_span(need_num(&r, w, "settings.workers.", "gang_peer_s", 0, 86400));
-    s->cancel = base_span(need_num(&r, w, "settings.workers.", "cancel_s", 0.1, 86400));
-    if (r.ok && base_secs(s->cancel) <= base_secs(s->lease))
+    s->report = clock_from_seconds(need_num(&r, w, "settings.workers.", "report_s", 0.01, 3600));
+    s->lease = clock_from_seconds(need_num(&r, w, "settings.workers.", "lease_s", 0.1, 86400));
+    s->gang_wait = clock_from_seconds(need_num(&r, w, "settings.workers.", "gang_wait_s", 0, 86400));
+    s->gang_peer = clock_from_seconds(need_num(&r, w, "settings.workers.", "gang_peer_s", 0, 86400));
+    s->cancel = clock_from_seconds(need_num(&r, w, "settings.workers.", "cancel_s", 0.1, 86400));
+    if (r.ok && clock_to_seconds(s->cancel) <= clock_to_seconds(s->lease))
         settings_fail(&r, "settings.workers.cancel_s", "must be above lease_s");
     read_state_limits(&r, cJSON_GetObjectItemCaseSensitive(p, "state"), s);
     const cJSON *c = cJSON_GetObjectItemCaseSensitive(p, "cloud");
     s->cloud_rps = need_num(&r, c, "settings.cloud.", "rps", 0.01, 1e6);
-    s->list_lag = base_span(need_num(&r, c, "settings.cloud.", "list_lag_s", 0, 3600));
+    s->list_lag = clock_from_seconds(need_num(&r, c, "settings.cloud.", "list_lag_s", 0, 3600));
     const cJSON *l = cJSON_GetObjectItemCaseSensitive(p, "machine_limits");
-    s->sockets = (int)base_num(l, "sockets", 1000);
+    s->sockets = (int)json_get_double(l, "sockets", 1000);
     if (s->sockets < 64) settings_fail(&r, "settings.machine_limits.sockets", "below 64");
     cJSON_Delete(root);
     return r.ok;
@@ -213,7 +216,7 @@
         else if (!number || !(v >= k->least && v <= k->most))
             settings_fail(&r, k->name, "not a number within its bounds");
         else if (k->span)
-            *(struct timespec *)(void *)((char *)out + k->offset) = base_span(v);
+            *(struct timespec *)(void *)((char *)out + k->offset) = clock_from_seconds(v);
         else
             *(double *)(void *)((char *)out + k->offset) = v;
     }
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -1,9 +1,10 @@
 #include "settings/settings.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 
 #include "../../tests/standin/site.h"
-#include "base/base.h"
 
 static void good_settings(void **state) {
     (void)state;
--- a/src/stall/stall.c
+++ b/src/stall/stall.c
@@ -1,7 +1,11 @@
 #include "stall.h"
 
-#include "../base/base.h"
+#include <time.h>
+
+#include "../clock/clock.h"
+#include "../logging/logging.h"
 #include "../store/store.h"
+#include "../sync/sync.h"
 #include "../watch/watch.h"
 
 #define TICK_S 0.25
@@ -12,9 +16,9 @@
 static void *stall_main(void *arg) {
     (void)arg;
     for (;;) {
-        struct timespec before = base_now();
-        base_sleep(base_span(TICK_S));
-        double stood = stall_length(base_since(before), TICK_S);
+        struct timespec before = clock_now();
+        clock_sleep(clock_from_seconds(TICK_S));
+        double stood = stall_length(clock_seconds_since(before), TICK_S);
         if (stood <= 0) continue;
         log_info("stood still for %.1f s: nobody is taken for silent over that time", stood);
         store_lock();
@@ -24,4 +28,4 @@
     return NULL;
 }
 
-void stall_start(void) { base_thread(stall_main, NULL); }
+void stall_start(void) { sync_start_thread(stall_main, NULL); }
--- a/src/stall/stall_test.c
+++ b/src/stall/stall_test.c
@@ -1,6 +1,8 @@
 /* Which late ticks are a stop of the whole process. */
 #include "stall/stall.h"
 
+#include <glib.h>
+
 #include "../../tests/standin/site.h"
 
 static void lengths(void **state) {
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,9 +1,19 @@
 #include "store.h"
 
+#include <glib.h>
 #include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
+
+#include "../clock/clock.h"
+#include "../http/client.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
+#include "../sync/sync.h"
 
 static const struct settings *cfg;
 
@@ -31,8 +41,8 @@
 static double most_writes(void) { return MIN(MAX(rate_writes(), cfg->txn_ops), cfg->state_write_rps); }
 
 static void budget_refill(void) {
-    struct timespec now = base_now();
-    double dt = base_secs(now) - base_secs(budget_at);
+    struct timespec now = clock_now();
+    double dt = clock_to_seconds(now) - clock_to_seconds(budget_at);
     budget_at = now;
     budget_calls = MIN(budget_calls + dt * rate_calls(), rate_calls());
     budget_writes = MIN(budget_writes + dt * rate_writes(), most_writes());
@@ -55,7 +65,7 @@
     double keep = budget_reserve[cls], cap = most_writes();
     bool ok = budget_calls - 1 >= keep * rate_calls() &&
               (writes == 0 || budget_writes >= keep * cap + MIN(writes, cap * 0.5));
-    if (cls != STORE_RENEW && base_secs(budget_at) < base_secs(budget_block)) ok = false;
+    if (cls != STORE_RENEW && clock_to_seconds(budget_at) < clock_to_seconds(budget_block)) ok = false;
     if (ok) {
         budget_calls -= 1;
         budget_writes -= writes;
@@ -69,8 +79,8 @@
     pthread_mutex_lock(&budget_lock);
     budget_refill();
     double room = budget_writes - budget_reserve[cls] * most_writes();
-    bool blocked =
-        base_secs(budget_at) < base_secs(budget_block) || budget_calls - 1 < budget_reserve[cls] * rate_calls();
+    bool blocked = clock_to_seconds(budget_at) < clock_to_seconds(budget_block) ||
+                   budget_calls - 1 < budget_reserve[cls] * rate_calls();
     pthread_mutex_unlock(&budget_lock);
     return blocked || room < 0 ? 0 : (int)room;
 }
@@ -79,7 +89,7 @@
  * once left hundreds of machines idle for minutes, while the rate of changes was half used. */
 static void budget_pause(bool changes) {
     pthread_mutex_lock(&budget_lock);
-    budget_block = base_wall_in(base_span(0.12));
+    budget_block = clock_instant_in(clock_from_seconds(0.12));
     pace_calls = MAX(pace_calls * 0.8, PACE_LEAST);
     if (changes) pace_writes = MAX(pace_writes * 0.8, PACE_LEAST);
     pthread_mutex_unlock(&budget_lock);
@@ -109,7 +119,7 @@
 
 void store_init(const struct settings *s) {
     cfg = s;
-    budget_at = base_now();
+    budget_at = clock_now();
     budget_calls = s->state_rps * 0.3;
     budget_writes = s->state_write_rps * 0.3;
 }
@@ -124,7 +134,7 @@
 
 void store_txn_if(struct store_txn *t, const char *key, int64_t stamp) {
     const cJSON *x;
-    cJSON_ArrayForEach(x, t->conds) if (strcmp(base_str(x, "path"), key) == 0) return;
+    cJSON_ArrayForEach(x, t->conds) if (strcmp(json_get_string(x, "path"), key) == 0) return;
     cJSON *o = cJSON_CreateObject();
     cJSON_AddStringToObject(o, "path", key);
     cJSON_AddNumberToObject(o, "stamp", (double)stamp);
@@ -177,7 +187,7 @@
     GString *what = g_string_new("");
     cJSON_ArrayForEach(op, t->ops) {
         char *value = cJSON_PrintUnformatted(cJSON_GetObjectItemCaseSensitive(op, "data"));
-        const char *key = base_str(op, "set") ? base_str(op, "set") : base_str(op, "remove");
+        const char *key = json_get_string(op, "set") ? json_get_string(op, "set") : json_get_string(op, "remove");
         g_string_append_printf(what, " %s (%zu bytes)", key, value ? strlen(value) : 0);
         free(value);
     }
@@ -192,7 +202,7 @@
     const cJSON *op;
     pthread_mutex_lock(&budget_lock);
     cJSON_ArrayForEach(op, t->ops) {
-        const char *set = base_str(op, "set"), *key = set ? set : base_str(op, "remove");
+        const char *set = json_get_string(op, "set"), *key = set ? set : json_get_string(op, "remove");
         if (g_str_has_prefix(key, "job/"))
             changes.jobs++;
         else if (g_str_has_prefix(key, "run/"))
@@ -226,10 +236,10 @@
     /* Users wait 2 s for a poll and 5 s for a submission: a silent store must leave time for a refusal. */
     enum store_result r = call(c, "POST", "/multi", body, t->writes ? 2000 : 1200, &ans, &status);
     if (r == STORE_OK) {
-        if (status == 200 && base_int(ans, "epoch", &a->epoch)) {
+        if (status == 200 && json_get_int64(ans, "epoch", &a->epoch)) {
         } else if (status == 409) {
             r = STORE_CONFLICT;
-            base_int(ans, "epoch", &a->epoch);
+            json_get_int64(ans, "epoch", &a->epoch);
             a->failed = g_ptr_array_new_with_free_func(g_free);
             const cJSON *x;
             cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(ans, "failed")) if (cJSON_IsString(x))
@@ -255,9 +265,9 @@
     if (!budget_take(STORE_CANCEL, 0)) return STORE_REFUSED;
     snprintf(path, sizeof path, "/kv/%s", key);
     enum store_result r = call(c, "GET", path, NULL, 1500, &ans, &status);
-    if (r == STORE_OK && status == 200 && base_int(ans, "stamp", stamp))
+    if (r == STORE_OK && status == 200 && json_get_int64(ans, "stamp", stamp))
         *data = cJSON_DetachItemFromObjectCaseSensitive(ans, "data");
-    else if (r == STORE_OK && status == 404 && base_int(ans, "epoch", epoch))
+    else if (r == STORE_OK && status == 404 && json_get_int64(ans, "epoch", epoch))
         r = STORE_OK;
     else
         r = STORE_REFUSED; /* a read that brought nothing changed nothing */
@@ -269,10 +279,10 @@
     char body[64];
     cJSON *ans = NULL;
     long status;
-    snprintf(body, sizeof body, "{\"ttl_ms\":%lld}", (long long)(base_secs(ttl) * 1000));
+    snprintf(body, sizeof body, "{\"ttl_ms\":%lld}", (long long)(clock_to_seconds(ttl) * 1000));
     budget_take(STORE_RENEW, 0);
     enum store_result r = call(c, "POST", "/grants", body, 1500, &ans, &status);
-    if (r == STORE_OK && !(status == 200 && base_int(ans, "lease", lease))) r = STORE_UNKNOWN;
+    if (r == STORE_OK && !(status == 200 && json_get_int64(ans, "lease", lease))) r = STORE_UNKNOWN;
     cJSON_Delete(ans);
     return r;
 }
@@ -306,7 +316,7 @@
 static int64_t mirror_epoch;
 static bool mirror_ready;
 static struct timespec mirror_verified;
-static struct base_wakeup nudge;
+static struct sync_wakeup nudge;
 
 void store_lock(void) { pthread_mutex_lock(&mirror_lock); }
 void store_unlock(void) { pthread_mutex_unlock(&mirror_lock); }
@@ -342,7 +352,7 @@
 void store_apply_written(const struct store_txn *t, int64_t epoch) {
     const cJSON *op;
     cJSON_ArrayForEach(op, t->ops) {
-        const char *set = base_str(op, "set"), *removed = base_str(op, "remove");
+        const char *set = json_get_string(op, "set"), *removed = json_get_string(op, "remove");
         if (set) store_apply(set, cJSON_GetObjectItemCaseSensitive(op, "data"), epoch);
         if (removed) store_apply(removed, NULL, epoch);
     }
@@ -380,7 +390,7 @@
     GString *since = g_string_new("");
     int64_t first = -1;
     bool more = true, ok = true;
-    struct timespec sent = base_now();
+    struct timespec sent = clock_now();
     while (more && ok) {
         char path[400];
         cJSON *ans = NULL, *x;
@@ -391,20 +401,20 @@
         budget_take(STORE_RENEW, 0);
         int64_t epoch = 0;
         ok = call(c, "GET", path, NULL, 3000, &ans, &status) == STORE_OK && status == 200 &&
-             base_int(ans, "epoch", &epoch);
+             json_get_int64(ans, "epoch", &epoch);
         if (ok) {
             if (first < 0) first = epoch;
             store_lock();
             cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(ans, "rows")) {
                 int64_t stamp;
-                const char *key = base_str(x, "path");
-                if (!key || !base_int(x, "stamp", &stamp)) continue;
+                const char *key = json_get_string(x, "path");
+                if (!key || !json_get_int64(x, "stamp", &stamp)) continue;
                 store_apply(key, cJSON_GetObjectItemCaseSensitive(x, "data"), stamp);
                 g_hash_table_add(seen, g_strdup(key));
                 g_string_assign(since, key);
             }
             store_unlock();
-            more = base_flag(ans, "has_next");
+            more = json_get_bool(ans, "has_next");
         }
         cJSON_Delete(ans);
     }
@@ -432,17 +442,17 @@
     return ok;
 }
 
-void store_nudge(void) { base_wakeup_signal(&nudge); }
+void store_nudge(void) { sync_wakeup_signal(&nudge); }
 
 static int hold_most(void) {
     /* An idle watch must come back well within the time for which a look at the store stays good. */
-    return (int)(CLAMP((base_secs(cfg->cancel) - base_secs(cfg->lease)) / 8, 0.1, 0.7) * 1000);
+    return (int)(CLAMP((clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease)) / 8, 0.1, 0.7) * 1000);
 }
 
 bool store_away(void) {
     /* Just before an idle watch returns, the last one that did was sent two holds ago. */
-    return !mirror_ready ||
-           base_since(mirror_verified) > 2 * hold_most() / 1000.0 + base_secs(cfg->tuning.watch_gap) + 0.9;
+    return !mirror_ready || clock_seconds_since(mirror_verified) >
+                                2 * hold_most() / 1000.0 + clock_to_seconds(cfg->tuning.watch_gap) + 0.9;
 }
 
 static void *mirror_main(void *arg) {
@@ -452,13 +462,13 @@
     for (;;) {
         if (full) {
             full = !read_all(c);
-            if (full) base_sleep(base_span(0.3));
+            if (full) clock_sleep(clock_from_seconds(0.3));
             continue;
         }
         char path[160];
         cJSON *ans = NULL, *x;
         long status;
-        struct timespec sent = base_now();
+        struct timespec sent = clock_now();
         /* After a failure the first look asks for no hold: its answer is what everyone waits for. */
         int hold_ms = failed ? 0 : hold_most();
         failed = true;
@@ -466,12 +476,12 @@
         budget_take(STORE_RENEW, 0);
         enum store_result r = call(c, "GET", path, NULL, 4000, &ans, &status);
         int64_t epoch;
-        if (r == STORE_OK && status == 200 && base_int(ans, "epoch", &epoch)) {
+        if (r == STORE_OK && status == 200 && json_get_int64(ans, "epoch", &epoch)) {
             store_lock();
             cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(ans, "events")) {
                 int64_t stamp;
-                if (!base_int(x, "stamp", &stamp)) continue;
-                const char *set = base_str(x, "set"), *gone = base_str(x, "remove");
+                if (!json_get_int64(x, "stamp", &stamp)) continue;
+                const char *set = json_get_string(x, "set"), *gone = json_get_string(x, "remove");
                 if (set) store_apply(set, cJSON_GetObjectItemCaseSensitive(x, "data"), stamp);
                 if (gone) store_apply(gone, NULL, stamp);
             }
@@ -483,16 +493,16 @@
         } else if (r == STORE_OK && status == 410) {
             full = true;
         } else {
-            base_sleep(base_span(0.25));
+            clock_sleep(clock_from_seconds(0.25));
         }
         cJSON_Delete(ans);
         /* A short gap gathers changes into one answer; someone who waits for one cuts it short. */
-        base_wakeup_wait(&nudge, cfg->tuning.watch_gap);
+        sync_wakeup_wait(&nudge, cfg->tuning.watch_gap);
     }
     return NULL;
 }
 
 void store_mirror_start(void) {
-    base_wakeup_init(&nudge);
-    base_thread(mirror_main, NULL);
+    sync_wakeup_init(&nudge);
+    sync_start_thread(mirror_main, NULL);
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,7 +1,13 @@
 /* The state service: calls, rate budget, and a mirror of every key kept by a watch. */
 #ifndef FF_STORE_H
 #define FF_STORE_H
-#include "../base/base.h"
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+#include <time.h>
+
+#include "../http/client.h"
+#include "../json/json.h"
 #include "../settings/settings.h"
 
 /* What a transaction came to. REFUSED: surely not executed. BAD: neither, and would not be if repeated as it is: a
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -1,8 +1,14 @@
 #include "transfer.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <string.h>
+
 #include "../bookings/bookings.h"
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../failures/failures.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../placement/placement.h"
 #include "../preempt/preempt.h"
@@ -87,7 +93,7 @@
     GArray *order = rounds_rank(s);
     for (guint i = 0; i < order->len && !found; i++) {
         struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        if (j->spec.reclaimable != reclaimable || failures_suspect(j) || base_since(j->seen) < 0.4) continue;
+        if (j->spec.reclaimable != reclaimable || failures_suspect(j) || clock_seconds_since(j->seen) < 0.4) continue;
         /* A dear machine that nobody needs is given back rather than kept for work that nobody expects by a time. */
         if (reclaimable && !rounds_has_aim(j)) continue;
         const struct settings_team *t = &cfg->teams[j->spec.team];
@@ -139,11 +145,13 @@
     if (claims ? own_guarantee_first(k, j) : own_work_first(k, j)) return NULL;
     for (guint i = 0; i < records_of(k)->len; i++) {
         struct machine *m = records_of(k)->pdata[i];
-        if (m == reception || m->touched || base_since(m->mine_since) < 5 || m->transfer_to >= 0 || !m->up ||
+        if (m == reception || m->touched || clock_seconds_since(m->mine_since) < 5 || m->transfer_to >= 0 || !m->up ||
             !records_mine(m) || !m->flavour)
             continue;
         if (records_leaving(m) || m->warning >= 0 || !m->address[0]) continue;
-        if (base_since(m->heard) > base_secs(cfg->report) * 2 + 1 || !renting_may_use(&j->spec, m->flavour)) continue;
+        if (clock_seconds_since(m->heard) > clock_to_seconds(cfg->report) * 2 + 1 ||
+            !renting_may_use(&j->spec, m->flavour))
+            continue;
         if (!placement_allowed(m, j, site, NULL)) continue;
         /* For work that could use cheap machines a dear one goes only if it is surplus here. */
         if (j->spec.reclaimable && !within && !m->spot && !m->draining) continue;
@@ -164,11 +172,11 @@
 void transfer_plan(int k) {
     for (guint i = 0; i < records_of(k)->len; i++) {
         struct machine *m = records_of(k)->pdata[i];
-        if (m->transfer_to >= 0 && base_since(m->transfer_since) > 12) m->transfer_to = -1;
+        if (m->transfer_to >= 0 && clock_seconds_since(m->transfer_since) > 12) m->transfer_to = -1;
     }
     /* A look at every other share's needs is the dearest part of a round, and nothing passes faster than this. */
-    if (base_since(records_shares[k].passed) < records_machines()->len * 0.0008) return;
-    records_shares[k].passed = base_now();
+    if (clock_seconds_since(records_shares[k].passed) < records_machines()->len * 0.0008) return;
+    records_shares[k].passed = clock_now();
     for (int s = 0; s < cfg->size; s++) {
         if (s == k || jobs_active_of(s)->len == 0) continue;
         struct machine *m = NULL;
@@ -180,7 +188,7 @@
         }
         if (!m) continue;
         m->transfer_to = s;
-        m->transfer_since = base_now();
+        m->transfer_since = clock_now();
         log_info("machine %s: transfer from share %d to share %d for %s", m->id, k, s, j->spec.uid);
         for (guint b = 0; b < m->bookings->len; b++) {
             struct booking *x = m->bookings->pdata[b];
--- a/src/transfer/transfer.h
+++ b/src/transfer/transfer.h
@@ -1,6 +1,8 @@
 /* Transfers of machines between shares. */
 #ifndef FF_TRANSFER_H
 #define FF_TRANSFER_H
+#include <stdbool.h>
+
 #include "../records/records.h"
 
 void transfer_init(const struct settings *s);
--- a/src/users/users.c
+++ b/src/users/users.c
@@ -1,24 +1,33 @@
 #include "users.h"
 
+#include <glib.h>
 #include <gsl/gsl_histogram.h>
 #include <math.h>
 #include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
 #include "../chains/chains.h"
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
+#include "../http/client.h"
+#include "../http/server.h"
+#include "../json/json.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "../quota/quota.h"
+#include "../sync/sync.h"
 
 static const struct settings *cfg;
 
 enum request_kind { REQUEST_SUBMIT, REQUEST_POLL, REQUEST_CANCEL };
 struct user_request {
     enum request_kind kind;
-    struct http_req *req;
+    struct http_request *req;
     char uid[64];
     char *spec_text;
     int team;
@@ -43,7 +52,7 @@
 static gsl_histogram *latency; /* of log10 of milliseconds, from 0.1 ms to 100 s */
 
 static void note_latency(struct timespec came) {
-    double ms = MAX(base_since(came) * 1000, 0.11);
+    double ms = MAX(clock_seconds_since(came) * 1000, 0.11);
     pthread_mutex_lock(&latency_lock);
     gsl_histogram_increment(latency, MIN(log10(ms), 4.99));
     pthread_mutex_unlock(&latency_lock);
@@ -75,14 +84,15 @@
     g_free(a);
 }
 
-static void reply_job(struct http_req *r, unsigned status, const char *uid, const char *state, int done, int running) {
+static void reply_job(struct http_request *r, unsigned status, const char *uid, const char *state, int done,
+                      int running) {
     char body[200];
     snprintf(body, sizeof body, "{\"uid\":\"%s\",\"state\":\"%s\",\"done\":%d,\"running\":%d}", uid, state, done,
              running);
     http_reply(r, status, body, 0);
 }
 
-static void refuse(struct http_req *r, unsigned status, const char *why, int after) {
+static void refuse(struct http_request *r, unsigned status, const char *why, int after) {
     char body[256];
     snprintf(body, sizeof body, "{\"error\":\"%s\"}", why);
     http_reply(r, status, body, after);
@@ -105,7 +115,7 @@
     pthread_mutex_lock(&l->lock);
     bool full = l->q->length >= REQUESTS_MOST;
     if (!full) {
-        http_hold(a->req);
+        http_suspend(a->req);
         g_queue_push_tail(l->q, a);
         pthread_cond_signal(&l->cond);
     }
@@ -134,18 +144,18 @@
     return 400;
 }
 
-static void on_submit(struct http_req *r) {
+static void on_submit(struct http_request *r) {
     size_t len;
     const char *body = http_body(r, &len);
     struct job_spec spec;
     char field[64] = "body", why[128] = "";
-    if (http_too_large(r)) {
+    if (http_body_too_large(r)) {
         refuse(r, 400, "body: above 64 KiB", 0);
         return;
     }
     unsigned refusal = (unsigned)jobs_parse(body, len, cfg, &spec, field, sizeof field);
     cJSON *o = cJSON_ParseWithLength(body, len);
-    const char *uid = base_str(o, "uid");
+    const char *uid = json_get_string(o, "uid");
     if (refusal) snprintf(why, sizeof why, "%s: missing or invalid", field);
     if (refusal && !jobs_uid_ok(uid)) {
         refuse(r, refusal, why, 0);
@@ -157,7 +167,7 @@
     struct user_request *a = g_new0(struct user_request, 1);
     a->kind = REQUEST_SUBMIT;
     a->req = r;
-    a->came = base_now();
+    a->came = clock_now();
     a->refusal = refusal;
     g_strlcpy(a->uid, uid, sizeof a->uid);
     store_lock();
@@ -186,7 +196,7 @@
     cJSON_Delete(o);
 }
 
-bool users_route(struct http_req *r) {
+bool users_route(struct http_request *r) {
     const char *p = http_path(r), *m = http_method(r);
     if (strcmp(p, "/work") == 0) {
         if (strcmp(m, "POST") == 0)
@@ -215,7 +225,7 @@
     struct user_request *a = g_new0(struct user_request, 1);
     a->kind = cancel ? REQUEST_CANCEL : REQUEST_POLL;
     a->req = r;
-    a->came = base_now();
+    a->came = clock_now();
     g_strlcpy(a->uid, uid, sizeof a->uid);
     store_lock();
     struct job *j = jobs_find(uid);
@@ -246,7 +256,7 @@
 
 static void gather(struct request_queue *l, GPtrArray *batch, guint most) {
     pthread_mutex_lock(&l->lock);
-    while (l->q->length == 0) base_cond_wait(&l->cond, &l->lock, base_span(10));
+    while (l->q->length == 0) sync_cond_wait(&l->cond, &l->lock, clock_from_seconds(10));
     pthread_mutex_unlock(&l->lock);
     gather_more(l, batch, most);
 }
@@ -258,7 +268,7 @@
         if (strcmp(answer->failed->pdata[f], key) != 0) continue;
         const cJSON *x;
         int64_t was = -1;
-        cJSON_ArrayForEach(x, t->conds) if (!strcmp(base_str(x, "path"), key)) base_int(x, "stamp", &was);
+        cJSON_ArrayForEach(x, t->conds) if (!strcmp(json_get_string(x, "path"), key)) json_get_int64(x, "stamp", &was);
         return store_stamp(key) == was;
     }
     return false;
@@ -270,7 +280,7 @@
         refuse(a->req, 503, "the state service is out of reach", 2);
         return;
     }
-    if (base_since(a->came) > POLL_S) {
+    if (clock_seconds_since(a->came) > POLL_S) {
         /* We stood still or are far behind: what was confirmed may be old by now. */
         refuse(a->req, 503, "the answer took too long", 1);
         return;
@@ -310,7 +320,7 @@
         gather(&queues[1], batch, most);
         /* The batch widens where requests are scarce: polls by the hundred, a request each, left none for bookings. */
         if (batch->len < (guint)cfg->txn_ops && store_budget_calls_scarce()) {
-            base_sleep(base_span(POLL_GATHER_S));
+            clock_sleep(clock_from_seconds(POLL_GATHER_S));
             gather_more(&queues[1], batch, most);
         }
         struct store_txn t;
@@ -346,7 +356,7 @@
         if (twice) continue;
         if (a->kind == REQUEST_SUBMIT && !(j && j->known) && !a->refusal) {
             enum job_state state = chains_cancelled_among(a->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
-            store_txn_set(t, key, jobs_value(a->spec_text, state, base_time_of_day(), share_of_new(a)), 0);
+            store_txn_set(t, key, jobs_value(a->spec_text, state, clock_time_of_day(), share_of_new(a)), 0);
         } else if (j && j->known && j->state == JOB_QUEUED && (a->kind == REQUEST_CANCEL || chains_to_cancel(j))) {
             store_txn_set(t, key, jobs_final_value(j, JOB_CANCELLED), 0);
         }
@@ -358,7 +368,7 @@
 static void accept_answer(GPtrArray *batch, enum store_result rc, struct store_txn *t, struct timespec asked) {
     /* We stood still since: another node may have told of a newer state. Final ones stay true, but are as well asked
      * for again. */
-    if (rc == STORE_OK && base_since(asked) > CONFIRMED_S) rc = STORE_UNKNOWN;
+    if (rc == STORE_OK && clock_seconds_since(asked) > CONFIRMED_S) rc = STORE_UNKNOWN;
     for (guint i = 0; i < batch->len; i++) {
         struct user_request *a = batch->pdata[i];
         char key[96];
@@ -377,7 +387,7 @@
         bool wrote = false;
         int running;
         const cJSON *x;
-        cJSON_ArrayForEach(x, t->ops) wrote |= strcmp(base_str(x, "set"), key) == 0;
+        cJSON_ArrayForEach(x, t->ops) wrote |= strcmp(json_get_string(x, "set"), key) == 0;
         store_lock();
         struct job *j = jobs_find(a->uid);
         if (a->kind == REQUEST_SUBMIT) {
@@ -443,14 +453,14 @@
         /* The answer is lost: the keys tell whether it was applied. What may yet be applied late is a submission that
          * its user repeats, or a cancel that its user repeats. */
         const cJSON *x;
-        cJSON_ArrayForEach(x, t->ops) store_refresh(c, base_str(x, "set"));
+        cJSON_ArrayForEach(x, t->ops) store_refresh(c, json_get_string(x, "set"));
     }
 }
 
 /* Over the rate, not out of reach: the next round's writes go in a moment. Sent away, the user would be back a second
  * later at the earliest. */
 static bool only_over_rate(enum store_result rc, struct timespec began) {
-    if (rc != STORE_REFUSED || base_since(began) >= OVER_RATE_S) return false;
+    if (rc != STORE_REFUSED || clock_seconds_since(began) >= OVER_RATE_S) return false;
     store_lock();
     bool away = store_away();
     store_unlock();
@@ -462,7 +472,7 @@
                                       struct timespec *asked) {
     enum store_class cls = any_cancels(batch) ? STORE_CANCEL : STORE_ACCEPT;
     enum store_result rc = STORE_REFUSED;
-    struct timespec began = *asked = base_now();
+    struct timespec began = *asked = clock_now();
     for (int attempt = 0; attempt < ATTEMPTS_MOST;) {
         struct store_answer answer;
         store_txn_free(t);
@@ -470,15 +480,15 @@
         store_lock();
         accept_fill(batch, t);
         store_unlock();
-        *asked = base_now();
+        *asked = clock_now();
         rc = store_multi(c, cls, t, &answer);
         learn_outcome(c, rc, t, &answer);
         store_answer_clear(&answer);
         if (only_over_rate(rc, began)) {
-            base_sleep(base_span(OVER_RATE_PAUSE_S));
+            clock_sleep(clock_from_seconds(OVER_RATE_PAUSE_S));
             continue;
         }
-        if (rc == STORE_OK || rc == STORE_REFUSED || rc == STORE_BAD || base_since(began) > ATTEMPTS_S) break;
+        if (rc == STORE_OK || rc == STORE_REFUSED || rc == STORE_BAD || clock_seconds_since(began) > ATTEMPTS_S) break;
         attempt++;
     }
     return rc;
@@ -509,9 +519,9 @@
     gsl_histogram_set_ranges_uniform(latency, -1, 5);
     for (int i = 0; i < 2; i++) {
         pthread_mutex_init(&queues[i].lock, NULL);
-        base_cond_init(&queues[i].cond);
+        sync_cond_init(&queues[i].cond);
         queues[i].q = g_queue_new();
     }
-    base_thread(accept_main, NULL);
-    base_thread(poll_main, NULL);
+    sync_start_thread(accept_main, NULL);
+    sync_start_thread(poll_main, NULL);
 }
--- a/src/watch/watch.c
+++ b/src/watch/watch.c
@@ -1,14 +1,21 @@
 #include "watch.h"
 
+#include <glib.h>
 #include <math.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
 #include "../bookings/bookings.h"
 #include "../boots/boots.h"
+#include "../clock/clock.h"
 #include "../cloud/cloud.h"
 #include "../failures/failures.h"
+#include "../http/client.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../workers/workers.h"
 
@@ -20,7 +27,7 @@
 /* Reports come up to a quarter late; then a machine is asked directly, a few times. Shorter than that, healthy machines
  * that report every 8 s were returned by the hundred. */
 static double silent_limit(void) {
-    return MAX(base_secs(cfg->tuning.silent_return), base_secs(cfg->report) * 1.25 + 4);
+    return MAX(clock_to_seconds(cfg->tuning.silent_return), clock_to_seconds(cfg->report) * 1.25 + 4);
 }
 
 bool watch_try_workers(struct http_client *c) {
@@ -45,7 +52,7 @@
 /* Shorter than any silence that has a consequence: with the same time for both, a controller that lost all workers at
  * once found the first of them silent while it had "just" heard the others, and returned one healthy machine after the
  * other. */
-static double heard_lately(void) { return MIN(base_secs(cfg->report) * 1.25 + 1, silent_limit() * 0.6); }
+static double heard_lately(void) { return MIN(clock_to_seconds(cfg->report) * 1.25 + 1, silent_limit() * 0.6); }
 
 struct watch_hearing watch_hearing(void) {
     struct watch_hearing h = {0, 0, 0, HUGE_VAL};
@@ -55,9 +62,9 @@
             struct machine *m = records_of(k)->pdata[i];
             if (!records_mine(m) || !m->up || records_leaving(m)) continue;
             h.up++;
-            h.heard += base_since(m->heard) < lately;
-            h.reported += base_since(m->reported) < lately;
-            h.newest_s = MIN(h.newest_s, base_since(m->heard));
+            h.heard += clock_seconds_since(m->heard) < lately;
+            h.reported += clock_seconds_since(m->reported) < lately;
+            h.newest_s = MIN(h.newest_s, clock_seconds_since(m->heard));
         }
     return h;
 }
@@ -92,7 +99,7 @@
 double watch_zone_keeps(const char *site) {
     bool inside = strcmp(cfg->area, site) == 0;
     for (int i = 0; i < cfg->n_seeds; i++) inside |= strcmp(cfg->seeds[i].area, site) == 0;
-    return base_secs(cfg->lease) + (inside ? membership_bound() + 1 : 0);
+    return clock_to_seconds(cfg->lease) + (inside ? membership_bound() + 1 : 0);
 }
 
 /* Zones of a share in which nothing is heard any more: cut off rather than dead, machine by machine. */
@@ -105,13 +112,13 @@
         int n = settings_zone(cfg, m->site);
         if (n < 0) continue;
         z[n].up++;
-        z[n].heard += base_since(m->heard) < lately;
-        z[n].newest = MIN(z[n].newest, base_since(m->heard));
+        z[n].heard += clock_seconds_since(m->heard) < lately;
+        z[n].newest = MIN(z[n].newest, clock_seconds_since(m->heard));
     }
     for (int i = 0; i < cfg->n_zones; i++) {
-        bool cut = z[i].newest > watch_zone_silence(z[i].up, base_secs(cfg->report));
+        bool cut = z[i].newest > watch_zone_silence(z[i].up, clock_to_seconds(cfg->report));
         if (zone_cut[k][i] != cut) log_info("share %d: zone %s is %s", k, cfg->zones[i], cut ? "silent" : "back");
-        if (zone_cut[k][i] && !cut) zone_back[k][i] = base_now();
+        if (zone_cut[k][i] && !cut) zone_back[k][i] = clock_now();
         zone_cut[k][i] = cut;
     }
 }
@@ -152,8 +159,8 @@
     for (guint i = 0; i < m->bookings->len; i++) {
         const struct booking *b = m->bookings->pdata[i];
         if (!b->over && b->seen && b->job->state == JOB_CANCELLED &&
-            watch_end_overdue(base_since(b->job->ended), base_since(m->reported), base_secs(cfg->lease),
-                              base_secs(cfg->cancel)))
+            watch_end_overdue(clock_seconds_since(b->job->ended), clock_seconds_since(m->reported),
+                              clock_to_seconds(cfg->lease), clock_to_seconds(cfg->cancel)))
             return true;
     }
     return false;
@@ -168,8 +175,8 @@
         m->faulty_since = (struct timespec){0, 0};
         return false;
     }
-    if (!m->faulty_since.tv_sec) m->faulty_since = base_now();
-    return base_since(m->faulty_since) > FAULTY_S;
+    if (!m->faulty_since.tv_sec) m->faulty_since = clock_now();
+    return clock_seconds_since(m->faulty_since) > FAULTY_S;
 }
 
 void watch_machines(int k, const struct watch_hearing *hearing) {
@@ -187,18 +194,19 @@
         /* Of a cut zone a few are asked, in turn: each that does not answer costs a sender its time limit. Where one
          * has just failed to answer, all are asked: what took it may have taken a hundred at once. */
         double again = cut ? MAX(1.5, zones[z].up / 4.0) : 1.5,
-               quiet = base_since(records_shares[k].alarm) < ALARM_S ? ALARM_S / 2 : base_secs(cfg->report) * 1.1;
-        if (m->up && base_since(m->heard) > quiet && base_since(m->probed) > again) {
+               quiet = clock_seconds_since(records_shares[k].alarm) < ALARM_S ? ALARM_S / 2
+                                                                              : clock_to_seconds(cfg->report) * 1.1;
+        if (m->up && clock_seconds_since(m->heard) > quiet && clock_seconds_since(m->probed) > again) {
             /* Asked directly, so that silence is not just a report on its way round the controllers. */
-            m->probed = base_now();
+            m->probed = clock_now();
             m->hello = true;
         }
-        bool silent =
-            base_since(m->heard) > silent_limit() || base_since(m->reported) > base_secs(cfg->lease) + silent_limit();
+        bool silent = clock_seconds_since(m->heard) > silent_limit() ||
+                      clock_seconds_since(m->reported) > clock_to_seconds(cfg->lease) + silent_limit();
         /* Two questions without an answer tell it sooner; only where a cut of the whole zone would have shown before.
          */
-        if (m->unanswered >= 2 && base_since(m->heard) > UNANSWERED_S && z >= 0 &&
-            watch_zone_silence(zones[z].up, base_secs(cfg->report)) < UNANSWERED_S - 1)
+        if (m->unanswered >= 2 && clock_seconds_since(m->heard) > UNANSWERED_S && z >= 0 &&
+            watch_zone_silence(zones[z].up, clock_to_seconds(cfg->report)) < UNANSWERED_S - 1)
             silent = true;
         if (m->up && m->unanswered && !cut) replicas_at_risk(m);
         /* It reports, but nothing of what we answer reaches it: its lease runs out though it is not silent. */
@@ -208,17 +216,17 @@
         }
         /* When a cut zone is heard again, its machines come one after the other: 65 healthy ones were once returned in
          * the moment in which the first of them answered. */
-        if (z >= 0 && base_since(zone_back[k][z]) < silent_limit()) silent = false;
+        if (z >= 0 && clock_seconds_since(zone_back[k][z]) < silent_limit()) silent = false;
         if (m->up && cut) silent = !wait_for_zone(m, &zones[z]);
         if (m->up && silent && hears) {
-            log_info("machine %s: silent for %.0f s, returning it", m->id, base_since(m->heard));
+            log_info("machine %s: silent for %.0f s, returning it", m->id, clock_seconds_since(m->heard));
             m->want_return = true;
         }
         if (m->up && faulty_for_long(m)) {
             log_info("machine %s: different jobs fail on it, returning it", m->id);
             m->want_return = true;
         }
-        if (!m->up && base_time_of_day() - m->born > boots_limit(m) && base_since(m->mine_since) > 20) {
+        if (!m->up && clock_time_of_day() - m->born > boots_limit(m) && clock_seconds_since(m->mine_since) > 20) {
             log_info("machine %s: never came up, returning it", m->id);
             m->want_return = true;
         }
@@ -227,7 +235,7 @@
             m->want_return = true;
         }
         if (m->warning >= 0) {
-            double left = m->warning - base_since(m->warned);
+            double left = m->warning - clock_seconds_since(m->warned);
             for (guint b = 0; b < m->bookings->len; b++) {
                 struct booking *x = m->bookings->pdata[b];
                 if (!x->stop && x->job->spec.checkpoint_s > 0 && left < x->job->spec.flush_s + 6) {
@@ -244,7 +252,7 @@
         if (m->draining && m->bookings->len == 0) {
             log_info("machine %s: drained, returning it", m->id);
             m->want_return = true;
-        } else if (m->draining && base_passed(m->drain_since, cfg->tuning.drain_reopen)) {
+        } else if (m->draining && clock_has_elapsed(m->drain_since, cfg->tuning.drain_reopen)) {
             log_info("machine %s: still busy, drain given up", m->id);
             m->draining = false;
         }
@@ -253,7 +261,7 @@
 
 /* What is counted from that time on counts anew; a time that was never set stays so. */
 static void count_anew(struct timespec *since) {
-    if (since->tv_sec || since->tv_nsec) *since = base_now();
+    if (since->tv_sec || since->tv_nsec) *since = clock_now();
 }
 
 /* A controller that came back after a minute once took the silence of all its machines for theirs: the first that were
--- a/src/watch/watch.h
+++ b/src/watch/watch.h
@@ -1,6 +1,9 @@
 /* Silent machines, failed boots, notices, and whether it is us who hear nobody. */
 #ifndef FF_WATCH_H
 #define FF_WATCH_H
+#include <stdbool.h>
+
+#include "../http/client.h"
 #include "../records/records.h"
 
 void watch_init(const struct settings *s);
--- a/src/watch/watch_test.c
+++ b/src/watch/watch_test.c
@@ -1,5 +1,8 @@
 #include "watch/watch.h"
 
+#include <glib.h>
+#include <stdbool.h>
+
 #include "../../tests/standin/site.h"
 
 /* A zone counts as cut when nothing is heard from any of its machines; the more there are, the sooner that is told. */
--- a/src/workers/checkin.c
+++ b/src/workers/checkin.c
@@ -1,13 +1,18 @@
 /* Workers' reports over HTTP: who answers them, and how. */
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <string.h>
 
+#include "../http/server.h"
+#include "../json/json.h"
 #include "../membership/membership.h"
 #include "../peers/peers.h"
 #include "../rounds/rounds.h"
 #include "internal.h"
 
-static void go_elsewhere(struct http_req *r, const char *master) {
+static void go_elsewhere(struct http_request *r, const char *master) {
     char body[128];
     if (master && *master && strcmp(master, workers_settings->node) != 0)
         snprintf(body, sizeof body, "{\"master\":\"%s\"}", master);
@@ -36,8 +41,9 @@
     GHashTable *seen = g_hash_table_new(g_direct_hash, g_direct_equal); /* a report may name a task twice */
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
         int64_t attempt = 0;
-        const char *task = base_str(x, "task");
-        struct booking *b = task && base_int(x, "try", &attempt) ? workers_listed_booking(m, task, attempt) : NULL;
+        const char *task = json_get_string(x, "task");
+        struct booking *b =
+            task && json_get_int64(x, "try", &attempt) ? workers_listed_booking(m, task, attempt) : NULL;
         if (b && b->job->state == JOB_CANCELLED) listed += g_hash_table_add(seen, b);
     }
     g_hash_table_destroy(seen);
@@ -57,7 +63,7 @@
 }
 
 /* A machine that no record names: the owner of the share that it would be in asks it, and adopts it. */
-static void on_unrecorded(struct http_req *r, const char *id, const char *address) {
+static void on_unrecorded(struct http_request *r, const char *id, const char *address) {
     int k = records_share_of(id);
     if (!membership_mine(k)) {
         go_elsewhere(r, membership_share(k)->owner);
@@ -68,10 +74,10 @@
 }
 
 /* A machine of another's share, or of one that we do not know to be ours yet. */
-static void on_anothers(struct http_req *r, struct machine *m, const cJSON *report) {
+static void on_anothers(struct http_request *r, struct machine *m, const cJSON *report) {
     const struct share *s = membership_share(m->share);
     int64_t fence = 0;
-    base_int(report, "fence", &fence);
+    json_get_int64(report, "fence", &fence);
     if (fence <= records_token(m) && workers_may_proxy(m) && !workers_start_in_doubt(m, report))
         http_reply_json(r, 200, workers_proxy_answer(m, report), 0);
     else if (strcmp(s->owner, workers_settings->node) == 0)
@@ -86,7 +92,7 @@
     m->unwritten = true;
 }
 
-static void answer_report(struct http_req *r, struct machine *m, const cJSON *report, int64_t fence) {
+static void answer_report(struct http_request *r, struct machine *m, const cJSON *report, int64_t fence) {
     bool newest = workers_report(m, report, true);
     if (newest && fence >= records_token(m)) records_row(m);
     if (m->unknown && !workers_start_on_its_way(m) && records_token(m) <= m->unknown_fence) {
@@ -103,9 +109,9 @@
     m->answered = true;
 }
 
-static void on_ours(struct http_req *r, struct machine *m, const cJSON *report, const char *address) {
+static void on_ours(struct http_request *r, struct machine *m, const cJSON *report, const char *address) {
     int64_t fence = 0;
-    base_int(report, "fence", &fence);
+    json_get_int64(report, "fence", &fence);
     learn_address(m, address);
     if (fence > records_token(m))
         go_elsewhere(r, NULL); /* someone newer commands it */
@@ -117,12 +123,12 @@
 
 #define ID_MOST 60
 
-static void on_checkin(struct http_req *r) {
+static void on_checkin(struct http_request *r) {
     size_t len;
     const char *body = http_body(r, &len);
     cJSON *report = cJSON_ParseWithLength(body, len);
-    const char *id = base_str(report, "host"), *address = base_str(report, "address");
-    if (!id || !base_str(report, "flavour") || !base_str(report, "site") || strlen(id) > ID_MOST) {
+    const char *id = json_get_string(report, "host"), *address = json_get_string(report, "address");
+    if (!id || !json_get_string(report, "flavour") || !json_get_string(report, "site") || strlen(id) > ID_MOST) {
         http_reply(r, 400, "{\"error\":\"host, flavour or site is missing\"}", 0);
         cJSON_Delete(report);
         return;
@@ -141,9 +147,9 @@
     cJSON_Delete(report);
 }
 
-bool workers_route(struct http_req *r) {
+bool workers_route(struct http_request *r) {
     if (strcmp(http_path(r), "/checkin") != 0) return false;
-    http_short_lived(r);
+    http_close_when_crowded(r);
     if (strcmp(http_method(r), "POST") != 0)
         http_reply(r, 405, NULL, 0);
     else
