--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -1,11 +1,20 @@
 /* Orders sent straight to workers, and questions to them. */
+#include <glib.h>
 #include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <time.h>
 
+#include "../clock/clock.h"
+#include "../http/client.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../membership/membership.h"
 #include "../rounds/rounds.h"
+#include "../sync/sync.h"
 #include "internal.h"
 
 #define SENDERS 44
@@ -15,9 +24,9 @@
 #define ANSWER_MS 1500 /* how long a worker may take to answer */
 
 const struct settings *workers_settings;
-static struct base_wakeup wakeup;
+static struct sync_wakeup wakeup;
 
-void workers_kick(void) { base_wakeup_signal(&wakeup); }
+void workers_kick(void) { sync_wakeup_signal(&wakeup); }
 
 struct job_queue {
     pthread_mutex_t lock;
@@ -58,8 +67,8 @@
     if (!l->has_run) return true; /* most letters only ask: no lock for them */
     store_lock();
     struct machine *m = records_find(l->id);
-    bool good = workers_still_good(true, base_since(l->decided), m && records_mine(m) && m->owned_fence == l->owned,
-                                   membership_may_start());
+    bool good = workers_still_good(true, clock_seconds_since(l->decided),
+                                   m && records_mine(m) && m->owned_fence == l->owned, membership_may_start());
     store_unlock();
     return good;
 }
@@ -82,11 +91,12 @@
     struct first_and_last *when = g_hash_table_lookup(asked, id);
     if (!when) {
         when = g_new0(struct first_and_last, 1);
-        when->first = base_now();
+        when->first = clock_now();
         g_hash_table_insert(asked, g_strdup(id), when);
     }
-    if (base_since(when->first) < ADOPT_S || (when->last.tv_sec && base_since(when->last) < 2)) return;
-    when->last = base_now();
+    if (clock_seconds_since(when->first) < ADOPT_S || (when->last.tv_sec && clock_seconds_since(when->last) < 2))
+        return;
+    when->last = clock_now();
     struct direct_command *l = g_new0(struct direct_command, 1);
     g_strlcpy(l->id, id, sizeof l->id);
     g_strlcpy(l->address, address, sizeof l->address);
@@ -94,10 +104,11 @@
 }
 
 static void adopt_answer(const struct direct_command *l, const cJSON *a) {
-    const char *id = base_str(a, "host"), *sku = base_str(a, "flavour"), *site = base_str(a, "site");
+    const char *id = json_get_string(a, "host"), *sku = json_get_string(a, "flavour"),
+               *site = json_get_string(a, "site");
     if (!id || strcmp(id, l->id) != 0 || !sku || !site) return;
     store_lock();
-    records_adopt(l->id, l->address, sku, site, base_flag(a, "reclaimable"));
+    records_adopt(l->id, l->address, sku, site, json_get_bool(a, "reclaimable"));
     store_unlock();
 }
 
@@ -110,7 +121,7 @@
  * holds without it. */
 static void end_cancelled_elsewhere(struct machine *m) {
     cJSON *orders = NULL;
-    if (!m->address[0] || m->bookings->len == 0 || base_since(m->asked_to_end) < END_AGAIN_S) return;
+    if (!m->address[0] || m->bookings->len == 0 || clock_seconds_since(m->asked_to_end) < END_AGAIN_S) return;
     for (guint i = 0; i < m->bookings->len && i < RECORDS_TASKS_MOST; i++) {
         struct booking *b = m->bookings->pdata[i];
         char task[96];
@@ -121,7 +132,7 @@
         b->asked_to_end++;
     }
     if (!orders) return;
-    m->asked_to_end = base_now();
+    m->asked_to_end = clock_now();
     struct direct_command *l = g_new0(struct direct_command, 1);
     g_strlcpy(l->id, m->id, sizeof l->id);
     g_strlcpy(l->address, m->address, sizeof l->address);
@@ -144,9 +155,9 @@
         free(body);
         log_debug("machine %s: asked to end cancelled tasks, %ld", l->id, status);
         int64_t shown = 0;
-        const char *host = base_str(a, "host");
-        bool again = answered && status == 409 && host && strcmp(host, l->id) == 0 && base_int(a, "tenure", &shown) &&
-                     shown != tenure;
+        const char *host = json_get_string(a, "host");
+        bool again = answered && status == 409 && host && strcmp(host, l->id) == 0 &&
+                     json_get_int64(a, "tenure", &shown) && shown != tenure;
         tenure = shown;
         cJSON_Delete(a);
         if (!again) break;
@@ -162,7 +173,7 @@
         m->sending = false;
         bool same = records_mine(m) && m->owned_fence == l->owned;
         if (same && good && out != HTTP_ANSWERED && in_time && m->unanswered++ == 0)
-            records_shares[m->share].alarm = base_now();
+            records_shares[m->share].alarm = clock_now();
         bool answered = out == HTTP_ANSWERED && (status == 200 || status == 409);
         /* Only a start's outcome matters: a late stop or forget harms nobody, attempts are unique. */
         if (same && l->has_run) {
@@ -183,14 +194,14 @@
     long status = 0;
     cJSON *answer = NULL;
     snprintf(url, sizeof url, "http://%s/commands", l->address);
-    struct timespec sent = base_now();
+    struct timespec sent = clock_now();
     bool good = still_good(l);
     /* A start whose first copy is still on its way must not be taken for known because its second was answered. */
     enum http_outcome out = !good        ? HTTP_NOT_SENT
                             : l->has_run ? http_call_once(c, "POST", url, l->body, ANSWER_MS, &status, &answer)
                                          : http_call(c, "POST", url, l->body, ANSWER_MS, &status, &answer);
     /* A controller that stood still or is short of its processor time learns nothing from a late look. */
-    bool in_time = base_since(sent) < ANSWER_MS / 1000.0 + 0.3;
+    bool in_time = clock_seconds_since(sent) < ANSWER_MS / 1000.0 + 0.3;
     take_outcome(l, out, status, answer, good, in_time);
     cJSON_Delete(answer);
 }
@@ -216,7 +227,7 @@
     struct http_client *c = http_client_new();
     for (;;) {
         pthread_mutex_lock(&q->lock);
-        while (q->q->length == 0) base_cond_wait(&q->cond, &q->lock, base_span(30));
+        while (q->q->length == 0) sync_cond_wait(&q->cond, &q->lock, clock_from_seconds(30));
         struct direct_command *l = g_queue_pop_head(q->q);
         pthread_mutex_unlock(&q->lock);
         if (l->ends)
@@ -256,13 +267,13 @@
         }
         struct direct_command *l = g_new0(struct direct_command, 1);
         const cJSON *x;
-        cJSON_ArrayForEach(x, orders) l->has_run |= strcmp(base_str(x, "verb"), "run") == 0;
+        cJSON_ArrayForEach(x, orders) l->has_run |= strcmp(json_get_string(x, "verb"), "run") == 0;
         g_strlcpy(l->id, m->id, sizeof l->id);
         g_strlcpy(l->address, m->address, sizeof l->address);
         l->fence = records_token(m);
         l->tenure = m->tenure > 0 ? m->tenure : 1;
         l->owned = m->owned_fence;
-        l->decided = base_now();
+        l->decided = clock_now();
         l->body = command_body(l->fence, l->tenure, orders);
         cJSON_Delete(orders);
         m->sending = true;
@@ -280,25 +291,25 @@
 static void *post_main(void *arg) {
     (void)arg;
     for (;;) {
-        base_wakeup_wait(&wakeup, base_span(1));
+        sync_wakeup_wait(&wakeup, clock_from_seconds(1));
         send_due_commands();
-        base_sleep(base_span(0.02));
+        clock_sleep(clock_from_seconds(0.02));
     }
     return NULL;
 }
 
 void workers_init(const struct settings *s) {
     workers_settings = s;
-    base_wakeup_init(&wakeup);
+    sync_wakeup_init(&wakeup);
     struct job_queue *const queues[] = {&outbox, &probes};
     for (int i = 0; i < 2; i++) {
         pthread_mutex_init(&queues[i]->lock, NULL);
-        base_cond_init(&queues[i]->cond);
+        sync_cond_init(&queues[i]->cond);
         queues[i]->q = g_queue_new();
     }
 }
 
 void workers_start(void) {
-    base_thread(post_main, NULL);
-    for (int i = 0; i < SENDERS; i++) base_thread(sender_main, i < PROBERS ? &probes : &outbox);
+    sync_start_thread(post_main, NULL);
+    for (int i = 0; i < SENDERS; i++) sync_start_thread(sender_main, i < PROBERS ? &probes : &outbox);
 }
--- a/src/workers/internal.h
+++ b/src/workers/internal.h
@@ -1,6 +1,10 @@
 /* Shared by the files of this slice only. All with store_lock held. */
 #ifndef FF_WORKERS_INTERNAL_H
 #define FF_WORKERS_INTERNAL_H
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "../json/json.h"
 #include "workers.h"
 
 extern const struct settings *workers_settings;
--- a/src/workers/orders.c
+++ b/src/workers/orders.c
@@ -1,8 +1,12 @@
 /* Which orders a machine gets. */
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <string.h>
 
 #include "../chains/chains.h"
+#include "../json/json.h"
 #include "../membership/membership.h"
 #include "internal.h"
 
--- a/src/workers/reports.c
+++ b/src/workers/reports.c
@@ -1,10 +1,16 @@
 /* What a worker's report proves. */
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "../boots/boots.h"
+#include "../clock/clock.h"
 #include "../failures/failures.h"
+#include "../json/json.h"
+#include "../logging/logging.h"
 #include "../rounds/rounds.h"
 #include "internal.h"
 
@@ -41,9 +47,9 @@
         log_info("task %s/%d failed on machine %s", j->spec.uid, b->task, b->m->id);
         failures_note(j, b->m);
     } else if (strcmp(cause, "unknown") == 0) {
-        j->retry_at = base_wall_in(base_span(3));
+        j->retry_at = clock_instant_in(clock_from_seconds(3));
     } else if (strcmp(cause, "no_room") == 0 || strcmp(cause, "busy") == 0) {
-        j->retry_at = base_wall_in(base_span(1));
+        j->retry_at = clock_instant_in(clock_from_seconds(1));
     }
 }
 
@@ -68,13 +74,13 @@
     const cJSON *x;
     g_array_set_size(m->unknown_tasks, 0);
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
-        const char *task = base_str(x, "task"), *slash = task ? strrchr(task, '/') : NULL;
+        const char *task = json_get_string(x, "task"), *slash = task ? strrchr(task, '/') : NULL;
         struct unknown_task st = {"", 0, false};
         char uid[64];
-        if (!slash || (size_t)(slash - task) >= sizeof uid || !base_int(x, "try", &st.attempt)) continue;
+        if (!slash || (size_t)(slash - task) >= sizeof uid || !json_get_int64(x, "try", &st.attempt)) continue;
         g_strlcpy(uid, task, (gsize)(slash - task) + 1);
         const struct job *j = jobs_find(uid);
-        if (!j || j->state != JOB_CANCELLED || state_of(base_str(x, "state")) == TASK_ENDED) continue;
+        if (!j || j->state != JOB_CANCELLED || state_of(json_get_string(x, "state")) == TASK_ENDED) continue;
         g_strlcpy(st.task, task, sizeof st.task);
         g_array_append_val(m->unknown_tasks, st);
     }
@@ -83,12 +89,12 @@
 /* One that names another machine, or whose tasks can't be read, proves nothing: taken for an empty list it would
  * release all that runs there. An address may have passed to another machine since it was recorded. */
 static bool readable(const struct machine *m, const cJSON *report) {
-    const char *id = base_str(report, "host");
+    const char *id = json_get_string(report, "host");
     if (id && strcmp(id, m->id) != 0) return false;
     const cJSON *x, *tasks = cJSON_GetObjectItemCaseSensitive(report, "tasks");
     if (!cJSON_IsArray(tasks)) return false;
     int64_t attempt;
-    cJSON_ArrayForEach(x, tasks) if (!base_str(x, "task") || !base_int(x, "try", &attempt)) return false;
+    cJSON_ArrayForEach(x, tasks) if (!json_get_string(x, "task") || !json_get_int64(x, "try", &attempt)) return false;
     return true;
 }
 
@@ -97,8 +103,8 @@
  * token up at once. One whose reports arrive but which never does is out of reach of our answers. */
 static void take_outdated(struct machine *m, const cJSON *report, bool checkin) {
     if (checkin && m->answered) m->ignored++;
-    if (checkin && base_since(m->probed) > PROBE_S) {
-        m->probed = base_now();
+    if (checkin && clock_seconds_since(m->probed) > PROBE_S) {
+        m->probed = clock_now();
         m->hello = m->kick = true;
         workers_kick();
     }
@@ -114,7 +120,8 @@
         waiting += !b->seen && !b->stop && b->ordered >= 2;
     }
     const cJSON *tasks = cJSON_GetObjectItemCaseSensitive(report, "tasks");
-    if (new_session && m->answered && base_since(m->reported) < base_secs(workers_settings->lease) * 0.7)
+    if (new_session && m->answered &&
+        clock_seconds_since(m->reported) < clock_to_seconds(workers_settings->lease) * 0.7)
         m->ignored += 2;
     else if (waiting && cJSON_GetArraySize(tasks) < waiting)
         m->ignored++;
@@ -124,7 +131,7 @@
 
 static void take_sign_of_life(struct machine *m, int64_t fence, bool checkin) {
     m->seen_fence = fence;
-    m->heard = base_now();
+    m->heard = clock_now();
     m->unanswered = 0;
     /* The first answer may be to a question of ours, long after it was rented: its reports are due from now on. One in
      * sixteen machines was once returned the moment it came up, for not having reported. */
@@ -132,8 +139,8 @@
     if (!m->up) {
         log_info("machine %s: up", m->id);
         /* Only who owned it all the while knows that this is its first word. */
-        if (!m->had_task && base_time_of_day() - m->born < base_since(m->mine_since) + RENTAL_S)
-            boots_note(m->sku, base_time_of_day() - m->born);
+        if (!m->had_task && clock_time_of_day() - m->born < clock_seconds_since(m->mine_since) + RENTAL_S)
+            boots_note(m->sku, clock_time_of_day() - m->born);
     }
     m->up = true;
 }
@@ -153,8 +160,8 @@
     const struct job_spec *spec = &b->job->spec;
     bool there = spec->image && g_hash_table_contains(b->m->images, spec->image);
     log_info("task %s runs on %s (%s): %.1f s after its job was ready, %.1f s after booking, image was %s", task,
-             b->m->id, spec->jobclass ? spec->jobclass : "?", base_time_of_day() - b->job->ready, base_since(b->booked),
-             there ? "there" : "fetched");
+             b->m->id, spec->jobclass ? spec->jobclass : "?", clock_time_of_day() - b->job->ready,
+             clock_seconds_since(b->booked), there ? "there" : "fetched");
 }
 
 /* One task of the list. True if that ended it. */
@@ -163,7 +170,7 @@
     if (b->state != state) b->changed = b->m->heard;
     if (state == TASK_RUNNING && b->state != state) log_start(b, task);
     b->state = state;
-    if (state == TASK_RUNNING && b->job->spec.shape == JOB_STANDING && base_since(b->changed) > PROVEN_S)
+    if (state == TASK_RUNNING && b->job->spec.shape == JOB_STANDING && clock_seconds_since(b->changed) > PROVEN_S)
         failures_note_success(b->job);
     if ((state == TASK_RUNNING || state == TASK_GATHERING) && b->job->spec.image)
         g_hash_table_add(b->m->images, g_strdup(b->job->spec.image));
@@ -178,10 +185,10 @@
     const cJSON *x;
     g_array_set_size(m->unknown_tasks, 0);
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
-        const char *task = base_str(x, "task");
+        const char *task = json_get_string(x, "task");
         int64_t attempt = 0;
-        if (!task || !base_int(x, "try", &attempt)) continue;
-        enum task_state state = state_of(base_str(x, "state"));
+        if (!task || !json_get_int64(x, "try", &attempt)) continue;
+        enum task_state state = state_of(json_get_string(x, "state"));
         struct booking *b = workers_listed_booking(m, task, attempt);
         if (!b) {
             struct unknown_task unknown = {"", attempt, state == TASK_ENDED};
@@ -190,7 +197,7 @@
             continue;
         }
         if (b->at_machine < BOOKINGS_MOST) listed[b->at_machine] = true;
-        change |= take_state(b, task, state, base_str(x, "cause"));
+        change |= take_state(b, task, state, json_get_string(x, "cause"));
     }
     return change;
 }
@@ -202,8 +209,8 @@
     for (guint i = 0; i < m->bookings->len && i < BOOKINGS_MOST; i++) {
         struct booking *b = m->bookings->pdata[i];
         if (listed[i] || b->over) continue;
-        bool gang_lost =
-            b->job->spec.shape == JOB_GROUP && base_since(b->booked) > 2 * base_secs(workers_settings->report);
+        bool gang_lost = b->job->spec.shape == JOB_GROUP &&
+                         clock_seconds_since(b->booked) > 2 * clock_to_seconds(workers_settings->report);
         if (!b->seen && !b->stop && !b->inherited && !gang_lost) continue;
         log_info("task %s/%d try %lld is gone from machine %s", b->job->spec.uid, b->task, (long long)b->attempt,
                  m->id);
@@ -216,11 +223,11 @@
 
 bool workers_report(struct machine *m, const cJSON *report, bool checkin) {
     int64_t tenure = 0, seq = 0, fence = 0;
-    if (!base_int(report, "tenure", &tenure) || !base_int(report, "seq", &seq) || !readable(m, report)) {
+    if (!json_get_int64(report, "tenure", &tenure) || !json_get_int64(report, "seq", &seq) || !readable(m, report)) {
         log_debug("machine %s: a report that can't be read", m->id);
         return false;
     }
-    base_int(report, "fence", &fence);
+    json_get_int64(report, "fence", &fence);
     /* A copy of what is known already, or of something older. */
     if (tenure < m->tenure || (tenure == m->tenure && seq <= m->seq)) return false;
     bool new_session = m->tenure > 0 && tenure > m->tenure;
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -1,12 +1,16 @@
 /* Dealings with workers: reports in, orders out, tokens. */
 #ifndef FF_WORKERS_H
 #define FF_WORKERS_H
+#include <stdbool.h>
+
+#include "../http/server.h"
+#include "../json/json.h"
 #include "../records/records.h"
 
 void workers_init(const struct settings *s);
 void workers_start(void);
 void workers_kick(void);
-bool workers_route(struct http_req *r);
+bool workers_route(struct http_request *r);
 bool workers_may_proxy(const struct machine *m); /* with store_lock held: answer for an owner that the zone lost */
 bool workers_start_in_doubt(const struct machine *m, const cJSON *report);
 cJSON *workers_proxy_answer(struct machine *m, const cJSON *report);
--- a/tests/standin/cluster.h
+++ b/tests/standin/cluster.h
@@ -2,7 +2,9 @@
  * through a door of its own, which can be shut for it alone. */
 #ifndef FF_STANDIN_CLUSTER_H
 #define FF_STANDIN_CLUSTER_H
-#include "base/base.h"
+#include <stdbool.h>
+#include <stddef.h>
+#include <time.h>
 
 #define CLUSTER_MOST 5
 #define CLUSTER_LEASE_S 4
--- a/tests/standin/fleet.h
+++ b/tests/standin/fleet.h
@@ -1,7 +1,8 @@
 /* Stand-ins of the cloud and of workers: enough of both to rent, run, fall silent and be returned. */
 #ifndef FF_STANDIN_FLEET_H
 #define FF_STANDIN_FLEET_H
-#include "base/base.h"
+#include <stdbool.h>
+#include <time.h>
 
 bool standin_cloud_start(const char *address, const char *controller);
 int standin_cloud_rented(void);
--- a/tests/standin/history_test.c
+++ b/tests/standin/history_test.c
@@ -1,6 +1,8 @@
 /* The checks of histories are shown to fail: each on a made-up log that breaks what it checks, and on none other. */
 #include "history.h"
 
+#include <glib.h>
+
 #include "site.h"
 
 enum what { COMES, GOES, ACCEPTED, CANCELLED };
--- a/tests/standin/owned.h
+++ b/tests/standin/owned.h
@@ -1,6 +1,9 @@
 /* All slices wired as in the service, with one share owned: what tests of an owner's decisions begin from. */
 #ifndef FF_STANDIN_OWNED_H
 #define FF_STANDIN_OWNED_H
+#include <stdbool.h>
+#include <stdint.h>
+
 #include "membership/membership.h"
 #include "records/records.h"
 #include "service/service.h"
--- a/tests/standin/pair.h
+++ b/tests/standin/pair.h
@@ -1,6 +1,9 @@
 /* A cluster of two controllers. The first, n0 in zone za, sees no peer; the second, n1, is in zone zb. */
 #ifndef FF_STANDIN_PAIR_H
 #define FF_STANDIN_PAIR_H
+#include <stdbool.h>
+#include <time.h>
+
 #include "cluster.h"
 
 #define PAIR_LEASE_S CLUSTER_LEASE_S
--- a/tests/standin/site.h
+++ b/tests/standin/site.h
@@ -6,6 +6,7 @@
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
+#include <string.h>
 /* clang-format off */
 #include <cmocka.h>
 /* clang-format on */
--- a/tests/standin/state.h
+++ b/tests/standin/state.h
@@ -1,7 +1,8 @@
 /* Stand-in of the state service, with the troubles that its protocol allows. */
 #ifndef FF_STANDIN_STATE_H
 #define FF_STANDIN_STATE_H
-#include "base/base.h"
+#include <stdbool.h>
+#include <time.h>
 
 enum standin_trouble {
     STANDIN_NONE,
