--- a/src/bookings/bookings.c
+++ b/src/bookings/bookings.c
@@ -30,7 +30,7 @@
 }
 
 int bookings_first_stretch(void) { return stretch_for(cfg->value_kb); }
-int bookings_stretch(const struct job *j) { return j->stretch ? j->stretch : bookings_first_stretch(); }
+int bookings_stretch(const struct job *j) { return j->chunk_size ? j->chunk_size : bookings_first_stretch(); }
 int bookings_chunks_of(const struct job *j, int stretch) { return (j->spec.tasks + stretch - 1) / stretch; }
 int bookings_chunks(const struct job *j) { return bookings_chunks_of(j, bookings_stretch(j)); }
 double bookings_value_most(void) { return 1024 * (schema_version_active() ? cfg->next_value_kb : cfg->value_kb); }
@@ -40,11 +40,11 @@
 int bookings_write_stretch(const struct job *j) {
     int now = bookings_stretch(j), next = stretch_for(cfg->next_value_kb);
     if (!schema_version_active() || now <= next) return now;
-    return j->n_runs == 0 || bookings_chunks_of(j, next) <= cfg->txn_ops ? next : now;
+    return j->n_recorded_chunks == 0 || bookings_chunks_of(j, next) <= cfg->txn_ops ? next : now;
 }
 
 void bookings_key(const struct job *j, int chunk, char *key, size_t n) {
-    snprintf(key, n, "run/%s/%d", j->spec.uid, chunk);
+    snprintf(key, n, "run/%s/%d", j->spec.job_id, chunk);
 }
 
 uint8_t *bookings_bits(const struct job *j) {
@@ -80,7 +80,7 @@
     if (j->state != JOB_QUEUED)
         for (guint i = 0; i < j->bookings->len; i++) {
             struct booking *b = j->bookings->pdata[i];
-            if (j->state == JOB_DONE && j->spec.shape == JOB_GROUP) continue; /* they complete together */
+            if (j->state == JOB_DONE && j->spec.kind == JOB_GANG) continue; /* they complete together */
             b->stop = true;
             b->grace_s = 0;
             b->m->kick = true;
@@ -93,7 +93,7 @@
     const char *p = *text + strspn(*text, " ");
     char *end;
     long t = strtol(p, &end, 10);
-    if (end == p || *end != '@' || t < 0 || t >= JOB_TASKS_MOST) return false;
+    if (end == p || *end != '@' || t < 0 || t >= JOB_TASKS_MAX) return false;
     const char *name = end + 1, *plus = strchr(name, '+');
     if (!plus || plus == name || (size_t)(plus - name) >= n) return false;
     gint64 delta = g_ascii_strtoll(plus + 1, &end, 10);
@@ -117,7 +117,7 @@
         const struct placement_plan *p = &g_array_index(plans, struct placement_plan, i);
         if (p->j == j && p->task >= from && p->task < from + n) base = MIN(base, p->attempt);
     }
-    char *done = j->pend && !final ? jobs_bits_text(j->pend, from, n) : NULL;
+    char *done = j->reported_done && !final ? jobs_bits_text(j->reported_done, from, n) : NULL;
     bool any = done && strspn(done, "0") < strlen(done);
     int failed_tries = chunk == 0 && !final ? failures_to_record(j) : 0;
     if (base == INT64_MAX && !any && !failed_tries) {
@@ -180,8 +180,9 @@
         live = true;
     }
     if (chunk == 0 && j->failed_tries_recorded != failures_to_record(j)) return true;
-    if (j->pend && n > 0 && memcmp(j->done + from / 8, j->pend + from / 8, (size_t)(n + 7) / 8) != 0) return true;
-    return j->state != JOB_QUEUED && !live && j->runs && (j->runs[chunk] & 1);
+    if (j->reported_done && n > 0 && memcmp(j->done + from / 8, j->reported_done + from / 8, (size_t)(n + 7) / 8) != 0)
+        return true;
+    return j->state != JOB_QUEUED && !live && j->chunk_flags && (j->chunk_flags[chunk] & 1);
 }
 
 /* The stretch that a record names; the first layout's names none. One that is gone had that of the job's others. */
@@ -194,21 +195,21 @@
 
 static void apply_run(const char *rest, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
-    char uid[64], machine[64];
+    char job_id[64], machine[64];
     const char *slash = strchr(rest, '/');
     if (!slash) return;
-    g_strlcpy(uid, rest, MIN(sizeof uid, (size_t)(slash - rest) + 1));
-    if (!jobs_uid_ok(uid)) return;
-    struct job *j = jobs_find_or_stub(uid);
+    g_strlcpy(job_id, rest, MIN(sizeof job_id, (size_t)(slash - rest) + 1));
+    if (!job_id_valid(job_id)) return;
+    struct job *j = jobs_find_or_stub(job_id);
     int size = record_stretch(j, data);
     if (size == 0) {
         log_error("run/%s: its stretch can't be read, the bookings known of it stay", rest);
         return;
     }
     int chunk = (int)g_ascii_strtoll(slash + 1, NULL, 10), from = chunk * size;
-    if (chunk < 0 || chunk >= JOB_TASKS_MOST || from >= JOB_TASKS_MOST) return;
-    jobs_set_stretch(j, size);
-    jobs_run_record(j, chunk, data != NULL);
+    if (chunk < 0 || chunk >= JOB_TASKS_MAX || from >= JOB_TASKS_MAX) return;
+    jobs_set_chunk_size(j, size);
+    jobs_set_chunk_recorded(j, chunk, data != NULL);
     const char *done = json_get_string(data, "d"), *text = json_get_string(data, "b");
     if (done) jobs_done_bits(j, done, from, size);
     int64_t failed_tries = 0;
@@ -255,7 +256,7 @@
     g_free(at);
     g_free(keep);
     /* What was reported while the record was under way is not in it. */
-    if (bookings_differ(j, chunk)) jobs_touch(j, from);
+    if (bookings_differ(j, chunk)) jobs_mark_dirty(j, from);
     jobs_list(j);
 }
 
--- a/src/boots/boots.c
+++ b/src/boots/boots.c
@@ -58,11 +58,11 @@
     return CLAMP(usual * SEEN_MARGIN, startup_s * EXPECTED_LEAST, startup_s * EXPECTED_MOST);
 }
 
-static double startup_of(const struct flavour_info *f) {
+static double startup_of(const struct machine_type *f) {
     return f && f->startup_s > 0 ? f->startup_s : STARTUP_UNKNOWN_S;
 }
 
-double boots_expected(const struct flavour_info *f) {
+double boots_expected(const struct machine_type *f) {
     const struct boot_times *t = f ? times_of(f->sku) : NULL;
     return t ? boots_expected_of(t->took_s, t->n, startup_of(f)) : startup_of(f) * PROMISED_TIMES;
 }
--- a/src/boots/boots.h
+++ b/src/boots/boots.h
@@ -16,7 +16,7 @@
 /* The machine, rented so long ago, has just been heard for the first time. */
 void boots_note(const char *sku, double took_s);
 /* After how long a machine of the type is overdue. */
-double boots_expected(const struct flavour_info *flavour);
+double boots_expected(const struct machine_type *flavour);
 bool boots_overdue(const struct machine *m);
 /* After how long a machine is taken for one that never comes up. */
 double boots_limit(const struct machine *m);
--- a/src/chains/chains.c
+++ b/src/chains/chains.c
@@ -29,18 +29,18 @@
 /* ---- rank and deadline ---- */
 
 static void reset_urgency(struct job *j) {
-    j->rank = j->spec.rank;
+    j->priority = j->spec.priority;
     /* Where no aim of its class counts deadlines, its other aims say what is wanted. */
-    bool counts = j->known && j->spec.due_s > 0 && settings_has_aim(cfg, AIM_DEADLINE, j->spec.jobclass);
-    j->deadline = counts ? j->submitted + j->spec.due_s : INFINITY;
+    bool counts = j->known && j->spec.deadline_s > 0 && settings_has_aim(cfg, AIM_DEADLINE, j->spec.job_class);
+    j->deadline = counts ? j->submitted + j->spec.deadline_s : INFINITY;
 }
 
 /* A dependent's rank, and its deadline less the time that it runs itself. True if that changed anything. */
 static bool inherit_urgency(struct job *prerequisite, const struct job *dependent) {
-    enum job_rank rank = MAX(prerequisite->rank, dependent->rank);
+    enum job_priority rank = MAX(prerequisite->priority, dependent->priority);
     double deadline = MIN(prerequisite->deadline, dependent->deadline - dependent->spec.runtime_s);
-    bool changed = rank != prerequisite->rank || deadline < prerequisite->deadline;
-    prerequisite->rank = rank;
+    bool changed = rank != prerequisite->priority || deadline < prerequisite->deadline;
+    prerequisite->priority = rank;
     prerequisite->deadline = deadline;
     return changed;
 }
@@ -83,8 +83,8 @@
 static void link_prerequisites(struct job *j) {
     if (!j->spec.prerequisites) return;
     j->prerequisites = g_ptr_array_new();
-    for (char **uid = j->spec.prerequisites; *uid; uid++) {
-        struct job *prerequisite = jobs_find_or_stub(*uid);
+    for (char **job_id = j->spec.prerequisites; *job_id; job_id++) {
+        struct job *prerequisite = jobs_find_or_stub(*job_id);
         if (!prerequisite->dependents) prerequisite->dependents = g_ptr_array_new();
         g_ptr_array_add(j->prerequisites, prerequisite);
         g_ptr_array_add(prerequisite->dependents, j);
@@ -101,7 +101,7 @@
         j->unmet += !(prerequisite->known && prerequisite->state == JOB_DONE);
         ready = MAX(ready, prerequisite->finished);
     }
-    if (j->unmet == 0 && j->ready <= 0) j->seen = clock_now();
+    if (j->unmet == 0 && j->ready <= 0) j->eligible_since = clock_now();
     j->ready = j->unmet ? 0 : ready;
 }
 
@@ -167,12 +167,12 @@
 
 enum name_status { NAME_GOOD, NAME_UNKNOWN, NAME_UNREADABLE, NAME_SERVICE };
 
-static enum name_status look_up(const char *uid) {
+static enum name_status look_up(const char *job_id) {
     char key[96];
-    snprintf(key, sizeof key, "job/%s", uid);
+    snprintf(key, sizeof key, "job/%s", job_id);
     store_lock();
-    const struct job *j = jobs_find(uid);
-    enum name_status status = j && j->known             ? (j->spec.shape == JOB_STANDING ? NAME_SERVICE : NAME_GOOD)
+    const struct job *j = jobs_find(job_id);
+    enum name_status status = j && j->known             ? (j->spec.kind == JOB_SERVICE ? NAME_SERVICE : NAME_GOOD)
                               : store_key_revision(key) ? NAME_UNREADABLE
                                                         : NAME_UNKNOWN;
     store_unlock();
@@ -205,11 +205,11 @@
     }
 }
 
-unsigned chains_check(struct http_client *c, const char *uid, char *const *prerequisites, char *why, size_t n) {
+unsigned chains_check(struct http_client *c, const char *job_id, char *const *prerequisites, char *why, size_t n) {
     unsigned status = 0;
     for (; status == 0 && prerequisites && *prerequisites; prerequisites++) {
-        if (strcmp(*prerequisites, uid) == 0) {
-            snprintf(why, n, "prereqs: %s names itself", uid);
+        if (strcmp(*prerequisites, job_id) == 0) {
+            snprintf(why, n, "prereqs: %s names itself", job_id);
             return 422;
         }
         status = check_name(c, *prerequisites, why, n);
@@ -226,15 +226,15 @@
 static bool told_by_us(const struct job *j) {
     for (guint i = 0; i < j->prerequisites->len; i++) {
         const struct job *prerequisite = j->prerequisites->pdata[i];
-        if (prerequisite->told_cancelled || prerequisite->cascade_ours) return true;
+        if (prerequisite->cancel_acknowledged || prerequisite->cascade_owned) return true;
     }
     return false;
 }
 
 static bool our_turn(struct job *j) {
-    j->cascade_ours = j->cascade_ours || told_by_us(j);
+    j->cascade_owned = j->cascade_owned || told_by_us(j);
     double waited = clock_seconds_since(j->cascade_since);
-    return j->cascade_ours || waited > ANYONE_AFTER_S || (waited > OWNER_AFTER_S && membership_owns(jobs_shard(j)));
+    return j->cascade_owned || waited > ANYONE_AFTER_S || (waited > OWNER_AFTER_S && membership_owns(jobs_shard(j)));
 }
 
 int chains_next_cancels(struct job **out, int most) {
@@ -264,7 +264,7 @@
     int n = store_unreachable() ? 0 : chains_next_cancels(jobs, MIN(CANCELS_MOST, cfg->txn_ops));
     for (int i = 0; i < n; i++) {
         char key[96];
-        snprintf(key, sizeof key, "job/%s", jobs[i]->spec.uid);
+        snprintf(key, sizeof key, "job/%s", jobs[i]->spec.job_id);
         store_txn_compare(&t, key, store_key_revision(key));
         store_txn_put(&t, key, jobs_final_value(jobs[i], JOB_CANCELLED), 0);
     }
--- a/src/chains/chains.h
+++ b/src/chains/chains.h
@@ -33,5 +33,5 @@
 
 /* Without the lock. Whether a submission may name these jobs: 0, 422 with the reason, or 503 where the store can't
  * tell. A name not mirrored yet is read from the store: it may have been accepted elsewhere a moment ago. */
-unsigned chains_check(struct http_client *c, const char *uid, char *const *prerequisites, char *why, size_t n);
+unsigned chains_check(struct http_client *c, const char *job_id, char *const *prerequisites, char *why, size_t n);
 #endif
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -25,7 +25,7 @@
     128 /* by shard, type, zone and kind; one controller may own all shards. Those beyond come next time */
 
 static const struct settings *cfg;
-static struct flavour_info flavours[FLAVOURS_MOST];
+static struct machine_type machine_types[FLAVOURS_MOST];
 static int n_flavours;
 
 struct closed {
@@ -37,12 +37,12 @@
 static struct sync_wakeup wakeup;
 
 bool cloud_flavours_known(void) { return n_flavours > 0; }
-const struct flavour_info *cloud_flavours(void) { return flavours; }
+const struct machine_type *cloud_flavours(void) { return machine_types; }
 int cloud_flavours_count(void) { return n_flavours; }
 
-const struct flavour_info *cloud_flavour(const char *sku) {
+const struct machine_type *cloud_flavour(const char *sku) {
     for (int i = 0; i < n_flavours; i++)
-        if (strcmp(flavours[i].sku, sku) == 0) return &flavours[i];
+        if (strcmp(machine_types[i].sku, sku) == 0) return &machine_types[i];
     return NULL;
 }
 
@@ -136,18 +136,18 @@
     if (*rest || !data) return;
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(data, "flavours")) {
         const char *sku = json_get_string(x, "sku");
-        if (!sku || strlen(sku) >= sizeof flavours[0].sku) continue;
-        struct flavour_info *f = (struct flavour_info *)cloud_flavour(sku);
+        if (!sku || strlen(sku) >= sizeof machine_types[0].sku) continue;
+        struct machine_type *f = (struct machine_type *)cloud_flavour(sku);
         if (!f && n_flavours == FLAVOURS_MOST) continue;
-        if (!f) f = &flavours[n_flavours++];
+        if (!f) f = &machine_types[n_flavours++];
         g_strlcpy(f->sku, sku, sizeof f->sku);
         f->vcpus = json_get_double(x, "vcpus", 0);
         f->gpus = json_get_double(x, "gpus", 0);
         f->memory_gb = json_get_double(x, "memory_gb", 0);
         f->local_gb = json_get_double(x, "local_gb", 0);
         f->fetch_rate = json_get_double(x, "fetch_gb_per_s", 1);
-        f->hourly = json_get_double(x, "hourly", 1);
-        f->market = json_get_double(x, "market_price", f->hourly);
+        f->hourly_price = json_get_double(x, "hourly", 1);
+        f->spot_price = json_get_double(x, "market_price", f->hourly_price);
         f->startup_s = json_get_double(x, "startup_s", 60);
         const cJSON *s;
         for (int i = 0; i < f->n_sites; i++) g_free(f->sites[i]);
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -10,9 +10,9 @@
 void cloud_kick(void);
 /* With store_lock held. */
 bool cloud_flavours_known(void);
-const struct flavour_info *cloud_flavours(void);
+const struct machine_type *cloud_flavours(void);
 int cloud_flavours_count(void);
-const struct flavour_info *cloud_flavour(const char *sku);
+const struct machine_type *cloud_flavour(const char *sku);
 void cloud_reopen(const char *sku, const char *site, bool spot); /* a machine of this kind was given back */
 bool cloud_open(const char *sku, const char *site, bool spot);   /* has not just refused */
 #endif
--- a/src/failures/failures.c
+++ b/src/failures/failures.c
@@ -39,14 +39,14 @@
     if (failures_suspect(j) && clock_seconds_since(j->retry_at) < 0) return;
     j->failed_tries = MIN(j->failed_tries + 1, TRIES_MOST);
     j->retry_at = clock_instant_in(clock_from_seconds(failures_retry_s(j->failed_tries)));
-    jobs_touch(j, 0); /* the first record of its bookings says so */
-    log_info("job %s: fails wherever it runs, trying it again in %.0f s", j->spec.uid,
+    jobs_mark_dirty(j, 0); /* the first record of its bookings says so */
+    log_info("job %s: fails wherever it runs, trying it again in %.0f s", j->spec.job_id,
              failures_retry_s(j->failed_tries));
 }
 
 void failures_note(struct job *j, struct machine *m) {
     remember(j, m);
-    bool anything_done = j->n_pend > 0;
+    bool anything_done = j->n_reported_done > 0;
     if (failures_suspect(j) || (j->failed_on->len >= SUSPECT_MACHINES && !anything_done))
         count_try(j);
     else
@@ -56,10 +56,10 @@
 void failures_note_success(struct job *j) {
     if (!j->failed_on && !j->failed_tries) return;
     if (j->failed_tries) {
-        log_info("job %s: runs after all", j->spec.uid);
+        log_info("job %s: runs after all", j->spec.job_id);
         j->failed_tries = 0;
         j->retry_at = clock_now();
-        jobs_touch(j, 0);
+        jobs_mark_dirty(j, 0);
     }
     if (j->failed_on) g_ptr_array_set_size(j->failed_on, 0);
 }
--- a/src/jobs/job_spec.h
+++ b/src/jobs/job_spec.h
@@ -9,39 +9,39 @@
 
 struct cJSON;
 
-#define JOB_TASKS_MOST 100000
+#define JOB_TASKS_MAX 100000
 
-enum job_shape { JOB_BATCH, JOB_GROUP, JOB_STANDING };
-enum job_rank { RANK_IDLE, RANK_NORMAL, RANK_HIGH, RANK_PRODUCTION };
+enum job_kind { JOB_ARRAY, JOB_GANG, JOB_SERVICE };
+enum job_priority { PRIORITY_IDLE, PRIORITY_NORMAL, PRIORITY_HIGH, PRIORITY_PRODUCTION };
 
 struct job_spec {
-    char uid[64];
-    char *jobclass, *image, *site;
-    char **flavours;
+    char job_id[64];
+    char *job_class, *image, *site;
+    char **machine_types;
     int team; /* -1: unknown */
-    enum job_shape shape;
-    enum job_rank rank;
+    enum job_kind kind;
+    enum job_priority priority;
     int tasks;
-    double vcpus, gpus, memory_gb, pull_gb;
-    bool together, spread, reclaimable;
-    double runtime_s, checkpoint_s, flush_s, due_s;
+    double vcpus, gpus, memory_gb, image_gb;
+    bool single_zone, spread, allows_spot;
+    double runtime_s, checkpoint_s, checkpoint_flush_s, deadline_s;
     char **prerequisites; /* ids of jobs that have to be done first, each once; NULL: none */
 };
 
-struct flavour_info {
+struct machine_type {
     char sku[64];
-    double vcpus, gpus, memory_gb, local_gb, fetch_rate, hourly, market, startup_s;
+    double vcpus, gpus, memory_gb, local_gb, fetch_rate, hourly_price, spot_price, startup_s;
     char *sites[32];
     int n_sites;
 };
 
 /* 0, or 400 with the field named. */
-int jobs_parse(const char *body, size_t len, const struct settings *s, struct job_spec *out, char *field, size_t n);
+int job_spec_parse(const char *body, size_t len, const struct settings *s, struct job_spec *out, char *field, size_t n);
 /* The same for what was parsed already; *bad is a constant. */
-int jobs_spec_read(const struct cJSON *o, const struct settings *s, struct job_spec *out, const char **bad);
+int job_spec_read(const struct cJSON *o, const struct settings *s, struct job_spec *out, const char **bad);
 /* 0, or 422 with the reason named. */
-int jobs_feasible(const struct job_spec *j, const struct settings *s, const struct flavour_info *f, int nf, char *why,
-                  size_t n);
-void jobs_spec_clear(struct job_spec *j);
-bool jobs_uid_ok(const char *uid);
+int job_spec_check_feasible(const struct job_spec *j, const struct settings *s, const struct machine_type *f, int nf,
+                            char *why, size_t n);
+void job_spec_clear(struct job_spec *j);
+bool job_id_valid(const char *job_id);
 #endif
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -39,8 +39,8 @@
         bits[from / 8 + i] |= (uint8_t)(g_ascii_xdigit_value(text[2 * i]) << 4 | g_ascii_xdigit_value(text[2 * i + 1]));
 }
 
-struct job *jobs_find(const char *uid) {
-    return g_hash_table_lookup(all, uid);
+struct job *jobs_find(const char *job_id) {
+    return g_hash_table_lookup(all, job_id);
 }
 GPtrArray *jobs_active(void) { return active; }
 static int home_of(const struct job *j) { return j->spec.team < 0 ? 0 : j->spec.team % cfg->size; }
@@ -49,24 +49,24 @@
 static int foreign; /* unfinished jobs in other shards than their teams' homes */
 bool jobs_any_foreign(void) { return foreign > 0; }
 
-struct job *jobs_find_or_stub(const char *uid) {
-    struct job *j = jobs_find(uid);
+struct job *jobs_find_or_stub(const char *job_id) {
+    struct job *j = jobs_find(job_id);
     if (j) return j;
     j = g_new0(struct job, 1);
-    g_strlcpy(j->spec.uid, uid, sizeof j->spec.uid);
+    g_strlcpy(j->spec.job_id, job_id, sizeof j->spec.job_id);
     j->spec.team = j->shard = -1;
-    j->rank = RANK_IDLE;
+    j->priority = PRIORITY_IDLE;
     j->deadline = INFINITY;
     j->bookings = g_ptr_array_new();
-    j->seen = clock_now();
-    g_hash_table_insert(all, j->spec.uid, j);
+    j->eligible_since = clock_now();
+    g_hash_table_insert(all, j->spec.job_id, j);
     return j;
 }
 
 static int older(gconstpointer a, gconstpointer b) {
     const struct job *x = *(struct job *const *)a, *y = *(struct job *const *)b;
     if (x->submitted < y->submitted) return -1;
-    return x->submitted > y->submitted ? 1 : strcmp(x->spec.uid, y->spec.uid);
+    return x->submitted > y->submitted ? 1 : strcmp(x->spec.job_id, y->spec.job_id);
 }
 
 GPtrArray *jobs_active_of(int k) { return active_of[k]; }
@@ -79,7 +79,7 @@
 }
 
 void jobs_list(struct job *j) {
-    bool is_active = j->known && j->state == JOB_QUEUED, is_ended = j->known && !is_active && j->n_runs > 0;
+    bool is_active = j->known && j->state == JOB_QUEUED, is_ended = j->known && !is_active && j->n_recorded_chunks > 0;
     int k = jobs_shard(j);
     if (is_active != j->listed_active) {
         if (is_active) {
@@ -102,34 +102,34 @@
 }
 
 static bool runs_ready(struct job *j) {
-    if (!j->runs && j->spec.tasks > 0) j->runs = g_malloc0((gsize)bookings_chunks(j));
-    return j->runs != NULL;
+    if (!j->chunk_flags && j->spec.tasks > 0) j->chunk_flags = g_malloc0((gsize)bookings_chunks(j));
+    return j->chunk_flags != NULL;
 }
 
-void jobs_set_stretch(struct job *j, int stretch) {
+void jobs_set_chunk_size(struct job *j, int stretch) {
     if (bookings_stretch(j) == stretch) return;
-    bool touched = j->n_touched > 0;
-    g_free(j->runs);
-    j->runs = NULL;
-    j->n_runs = j->n_touched = 0;
-    j->stretch = stretch;
-    for (int task = 0; touched && task < j->spec.tasks; task += stretch) jobs_touch(j, task);
+    bool touched = j->n_dirty_chunks > 0;
+    g_free(j->chunk_flags);
+    j->chunk_flags = NULL;
+    j->n_recorded_chunks = j->n_dirty_chunks = 0;
+    j->chunk_size = stretch;
+    for (int task = 0; touched && task < j->spec.tasks; task += stretch) jobs_mark_dirty(j, task);
 }
 
-void jobs_run_record(struct job *j, int chunk, bool there) {
+void jobs_set_chunk_recorded(struct job *j, int chunk, bool there) {
     if (!runs_ready(j) || chunk >= bookings_chunks(j)) return;
-    j->n_runs += there - (j->runs[chunk] & 1);
-    j->n_touched -= (j->runs[chunk] & 2) != 0;
-    j->runs[chunk] = there;
+    j->n_recorded_chunks += there - (j->chunk_flags[chunk] & 1);
+    j->n_dirty_chunks -= (j->chunk_flags[chunk] & 2) != 0;
+    j->chunk_flags[chunk] = there;
 }
 
-void jobs_touch(struct job *j, int task) {
+void jobs_mark_dirty(struct job *j, int task) {
     if (!runs_ready(j) || task < 0 || task >= j->spec.tasks) return;
-    uint8_t *r = &j->runs[task / bookings_stretch(j)];
+    uint8_t *r = &j->chunk_flags[task / bookings_stretch(j)];
     if (*r & 2) return;
-    if (j->n_touched == 0) j->touched = clock_now();
+    if (j->n_dirty_chunks == 0) j->dirty_since = clock_now();
     *r |= 2;
-    j->n_touched++;
+    j->n_dirty_chunks++;
 }
 
 /* Counts the bits of so many tasks from one at the start of a byte. */
@@ -142,11 +142,11 @@
 void jobs_done_bits(struct job *j, const char *bits, int from, int n) {
     if (!j->done || from >= j->spec.tasks) return;
     n = MIN(n, j->spec.tasks - from);
-    int done_before = count_bits(j->done, from, n), pend_before = count_bits(j->pend, from, n);
+    int done_before = count_bits(j->done, from, n), pend_before = count_bits(j->reported_done, from, n);
     jobs_bits_read(bits, j->done, from, n);
-    jobs_bits_read(bits, j->pend, from, n);
+    jobs_bits_read(bits, j->reported_done, from, n);
     j->n_done += count_bits(j->done, from, n) - done_before;
-    j->n_pend += count_bits(j->pend, from, n) - pend_before;
+    j->n_reported_done += count_bits(j->reported_done, from, n) - pend_before;
 }
 
 /* Jobs with prerequisites stand under a name of their own: the first version, which knows none, must not start them
@@ -170,9 +170,9 @@
     const cJSON *spec = cJSON_GetObjectItemCaseSensitive(data, SPEC);
     struct job_spec read;
     if (!spec) spec = cJSON_GetObjectItemCaseSensitive(data, CHAINED_SPEC);
-    if (jobs_spec_read(spec, cfg, &read, &bad) != 0 || strcmp(read.uid, j->spec.uid) != 0) {
-        log_error("job/%s: its %s can't be read", j->spec.uid, bad);
-        jobs_spec_clear(&read);
+    if (job_spec_read(spec, cfg, &read, &bad) != 0 || strcmp(read.job_id, j->spec.job_id) != 0) {
+        log_error("job/%s: its %s can't be read", j->spec.job_id, bad);
+        job_spec_clear(&read);
         return false;
     }
     j->spec = read;
@@ -180,7 +180,7 @@
     j->spec_text = cJSON_PrintUnformatted(spec);
     j->submitted = json_get_double(data, "at", 0);
     j->done = g_malloc0((gsize)j->spec.tasks / 8 + 1);
-    j->pend = g_malloc0((gsize)j->spec.tasks / 8 + 1);
+    j->reported_done = g_malloc0((gsize)j->spec.tasks / 8 + 1);
     return true;
 }
 
@@ -209,23 +209,23 @@
     j->ended = clock_now();
     if (membership_owns(jobs_shard(j)))
         log_info("job %s (%s, %d tasks, estimate %.0f s) is %s %.1f s after it came, %.1f s after it was ready",
-                 j->spec.uid, j->spec.jobclass, j->spec.tasks, j->spec.runtime_s, state_names[state],
+                 j->spec.job_id, j->spec.job_class, j->spec.tasks, j->spec.runtime_s, state_names[state],
                  clock_time_of_day() - j->submitted, j->ready > 0 ? clock_time_of_day() - j->ready : 0);
     if (state == JOB_DONE) j->n_done = j->spec.tasks;
     g_free(j->done);
-    g_free(j->pend);
+    g_free(j->reported_done);
     free(j->spec_text);
-    j->done = j->pend = NULL;
+    j->done = j->reported_done = NULL;
     j->spec_text = NULL;
     /* What is left on record of its bookings goes once they are proven gone. */
-    for (int c = 0; j->n_runs > 0 && c < bookings_chunks(j); c++)
-        if (j->runs[c] & 1) jobs_touch(j, c * bookings_stretch(j));
+    for (int c = 0; j->n_recorded_chunks > 0 && c < bookings_chunks(j); c++)
+        if (j->chunk_flags[c] & 1) jobs_mark_dirty(j, c * bookings_stretch(j));
 }
 
-static void apply_job(const char *uid, const cJSON *data, int64_t mod_revision) {
+static void apply_job(const char *job_id, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
-    if (!data || !jobs_uid_ok(uid)) return;
-    struct job *j = jobs_find_or_stub(uid);
+    if (!data || !job_id_valid(job_id)) return;
+    struct job *j = jobs_find_or_stub(job_id);
     bool first = !j->known;
     if (first && !read_spec(j, data)) return;
     enter_shard(j, shard_of(data));
@@ -242,19 +242,18 @@
 }
 
 void jobs_mark_done(struct job *j, int task) {
-    if (!j->pend || task >= j->spec.tasks) return;
+    if (!j->reported_done || task >= j->spec.tasks) return;
     /* A gang completes together: one task's word is enough for all. */
-    for (int i = j->spec.shape == JOB_GROUP ? 0 : task; i < (j->spec.shape == JOB_GROUP ? j->spec.tasks : task + 1);
-         i++)
-        if (!jobs_bit(j->pend, i)) {
-            j->pend[i / 8] |= (uint8_t)(1 << (i % 8));
-            j->n_pend++;
-            jobs_touch(j, i);
+    for (int i = j->spec.kind == JOB_GANG ? 0 : task; i < (j->spec.kind == JOB_GANG ? j->spec.tasks : task + 1); i++)
+        if (!jobs_bit(j->reported_done, i)) {
+            j->reported_done[i / 8] |= (uint8_t)(1 << (i % 8));
+            j->n_reported_done++;
+            jobs_mark_dirty(j, i);
         }
 }
 
 bool jobs_complete(const struct job *j) {
-    return j->state == JOB_QUEUED && j->known && j->spec.shape != JOB_STANDING && j->n_pend == j->spec.tasks;
+    return j->state == JOB_QUEUED && j->known && j->spec.kind != JOB_SERVICE && j->n_reported_done == j->spec.tasks;
 }
 
 static cJSON *value_of(cJSON *spec, enum job_state state, double at, int shard) {
@@ -282,7 +281,7 @@
 /* All else in a record: names, state, two times and a shard. */
 #define RECORD_BYTES 100
 
-size_t jobs_record_most(void) { return (size_t)(cfg->next_value_kb * 1024); }
+size_t jobs_record_bytes_max(void) { return (size_t)(cfg->next_value_kb * 1024); }
 size_t jobs_record_bytes(const char *spec_text) { return strlen(spec_text) + RECORD_BYTES; }
 
 /* Drops what a record does not need in order to be read: it is of no use once the job is over. */
@@ -301,7 +300,7 @@
 cJSON *jobs_final_value(const struct job *j, enum job_state state) {
     cJSON *spec = cJSON_Parse(j->spec_text);
     /* Accepted by the first version under the present limit, it may be too large to be rewritten under the next. */
-    if (jobs_record_bytes(j->spec_text) > jobs_record_most()) keep_needed_fields(spec);
+    if (jobs_record_bytes(j->spec_text) > jobs_record_bytes_max()) keep_needed_fields(spec);
     cJSON *o = value_of(spec, state, j->submitted, j->shard);
     /* From when on the times of jobs that need it count, for whoever owns them by then. */
     if (state == JOB_DONE) cJSON_AddNumberToObject(o, "end", clock_time_of_day());
--- a/src/ledger/ledger.c
+++ b/src/ledger/ledger.c
@@ -25,8 +25,8 @@
         if (!g_hash_table_contains(m->images, j->spec.image) || (m->used_gpu <= 0 && m->used_cpu <= 0)) continue;
         /* In its own zone it takes its own place among a spread job's tasks. */
         struct job alone = *j;
-        if (strcmp(m->site, b->m->site) == 0) alone.spec.spread = alone.spec.together = false;
-        if (placement_allowed(m, &alone, alone.spec.together ? b->m->site : NULL, NULL)) return m;
+        if (strcmp(m->site, b->m->site) == 0) alone.spec.spread = alone.spec.single_zone = false;
+        if (placement_allowed(m, &alone, alone.spec.single_zone ? b->m->site : NULL, NULL)) return m;
     }
     return NULL;
 }
@@ -40,14 +40,14 @@
         struct booking *x = m->bookings->pdata[b];
         const struct job_spec *s = &x->job->spec;
         if (!x->stop && preempt_fresh_start(x)) return;
-        if (x->stop || (s->shape == JOB_BATCH && s->checkpoint_s > 0)) continue;
-        struct machine *to = s->shape == JOB_STANDING && x->state == TASK_RUNNING ? replica_target(x) : NULL;
+        if (x->stop || (s->kind == JOB_ARRAY && s->checkpoint_s > 0)) continue;
+        struct machine *to = s->kind == JOB_SERVICE && x->state == TASK_RUNNING ? replica_target(x) : NULL;
         if (!to) return;
         placement_take(to, s, 1);
     }
     for (guint b = 0; b < m->bookings->len; b++) {
         struct booking *x = m->bookings->pdata[b];
-        bookings_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.flush_s + 2 : 0);
+        bookings_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.checkpoint_flush_s + 2 : 0);
     }
 }
 
@@ -127,13 +127,13 @@
             if (((struct booking *)m->bookings->pdata[b])->over) continue;
             const struct job_spec *s = &((struct booking *)m->bookings->pdata[b])->job->spec;
             used[m->spot] += s->gpus;
-            if (!m->spot && s->reclaimable) filler += s->gpus;
+            if (!m->spot && s->allows_spot) filler += s->gpus;
         }
     }
     GPtrArray *jobs = jobs_active_of(k);
     for (guint i = 0; i < jobs->len; i++) {
         struct job *j = jobs->pdata[i];
-        waiting[j->rank] += MAX(0, rounds_missing(j));
+        waiting[j->priority] += MAX(0, rounds_missing(j));
     }
     log_info(
         "share %d: waiting %d/%d/%d/%d tasks (production to idle), up %d ordinary %d spot, booting %d+%d, draining %d, "
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -7,14 +7,14 @@
 #include "../failures/failures.h"
 
 bool placement_fits(const struct machine *m, const struct job_spec *j) {
-    const struct flavour_info *f = m->flavour;
+    const struct machine_type *f = m->flavour;
     if (!f || m->used_tasks >= RECORDS_TASKS_MOST) return false;
     return m->used_cpu + j->vcpus <= f->vcpus + 1e-6 && m->used_gpu + j->gpus <= f->gpus + 1e-6 &&
            m->used_mem + j->memory_gb <= f->memory_gb + 1e-6;
 }
 
 const char *placement_site(const struct job *j) {
-    for (guint i = 0; j->spec.together && i < j->bookings->len; i++) {
+    for (guint i = 0; j->spec.single_zone && i < j->bookings->len; i++) {
         const struct booking *b = j->bookings->pdata[i];
         if (!b->over) return b->m->site;
     }
@@ -23,10 +23,10 @@
 
 bool placement_allowed(const struct machine *m, const struct job *j, const char *together_site, GArray *plans) {
     const struct job_spec *s = &j->spec;
-    if (m->spot && !s->reclaimable) return false;
-    if (s->flavours && !g_strv_contains((const char *const *)s->flavours, m->sku)) return false;
+    if (m->spot && !s->allows_spot) return false;
+    if (s->machine_types && !g_strv_contains((const char *const *)s->machine_types, m->sku)) return false;
     if (s->site && strcmp(s->site, m->site) != 0) return false;
-    if (s->together && together_site && strcmp(together_site, m->site) != 0) return false;
+    if (s->single_zone && together_site && strcmp(together_site, m->site) != 0) return false;
     if (s->spread) {
         /* Tasks that are ending count until they are proven gone. */
         int here = 0;
@@ -66,7 +66,7 @@
     struct machine *best = NULL;
     double best_score = 0;
     const char *together = NULL;
-    if (j->spec.together) {
+    if (j->spec.single_zone) {
         together = placement_site(j);
         if (!together && plans && plans->len) {
             struct placement_plan *p = &g_array_index(plans, struct placement_plan, plans->len - 1);
@@ -88,7 +88,7 @@
         if (m->used_gpu <= 0 && m->used_cpu <= 0) score -= 5;
         /* Cheap machines for those who may use them; then an image at hand, which is worth more than the order
          * among machines that all have room: a fetch lasts longer than the whole wait a user accepts. */
-        if (j->spec.reclaimable) score += m->spot ? 40 : 0;
+        if (j->spec.allows_spot) score += m->spot ? 40 : 0;
         if (g_hash_table_contains(m->images, j->spec.image)) score += 10;
         /* Where others have failed last, and where this job has, after these. */
         score -= 60.0 * failures_of_machine(m) + (failures_known_on(j, m) ? 120.0 : 0);
--- a/src/preempt/preempt.c
+++ b/src/preempt/preempt.c
@@ -41,8 +41,8 @@
  * beyond its. The claim holds only while the claiming team is below its guarantee and the other stays at or
  * above: two teams that each had some work beyond once stopped one another's tasks for minutes. */
 bool preempt_evictable(const struct booking *x, const struct job *j, bool within) {
-    if (x->over || x->stop || x->job->spec.shape != JOB_BATCH) return false;
-    if (x->job->rank < j->rank) return true;
+    if (x->over || x->stop || x->job->spec.kind != JOB_ARRAY) return false;
+    if (x->job->priority < j->priority) return true;
     return within && x->job->spec.team != j->spec.team && preempt_beyond(j->spec.team) + j->spec.gpus <= 1e-6 &&
            preempt_beyond(x->job->spec.team) >= MAX(x->job->spec.gpus, 1e-3) && quota_may_be_stopped(x);
 }
@@ -59,7 +59,7 @@
 bool preempt_for(struct job *j, bool within, GPtrArray *mine, const char *zone, const struct preempt_usage *u) {
     struct machine *best = NULL;
     double best_cost = 0;
-    const struct flavour_info *f;
+    const struct machine_type *f;
     if (!preempt_quota_left(&u[j->spec.team], j, 1)) return false;
     for (guint i = 0; i < mine->len; i++) {
         struct machine *m = mine->pdata[i];
@@ -87,7 +87,7 @@
     }
     if (!best) return false;
     f = best->flavour;
-    double quick = settings_within(cfg, AIM_WAIT, j->spec.jobclass, 60);
+    double quick = settings_within(cfg, AIM_WAIT, j->spec.job_class, 60);
     /* Those whose start has counted first, and of them the youngest: they lose least. */
     for (guint n = 2 * best->bookings->len; n-- > 0;) {
         struct booking *x = best->bookings->pdata[n % best->bookings->len];
@@ -95,9 +95,11 @@
         if (!preempt_evictable(x, j, within) || (n >= best->bookings->len && preempt_fresh_start(x))) continue;
         quota_stopped(x);
         x->stop = true;
-        x->grace_s = x->job->spec.checkpoint_s > 0 && x->job->spec.flush_s + 1 < quick ? x->job->spec.flush_s + 1 : 0;
+        x->grace_s = x->job->spec.checkpoint_s > 0 && x->job->spec.checkpoint_flush_s + 1 < quick
+                         ? x->job->spec.checkpoint_flush_s + 1
+                         : 0;
         placement_take(best, &x->job->spec, -1);
-        log_info("task %s/%d on machine %s makes way for %s", x->job->spec.uid, x->task, best->id, j->spec.uid);
+        log_info("task %s/%d on machine %s makes way for %s", x->job->spec.job_id, x->task, best->id, j->spec.job_id);
     }
     placement_take(best, &j->spec, 1); /* kept free for the rest of this round */
     best->kick = true;
@@ -117,12 +119,13 @@
 }
 
 const char *preempt_gang_zone(const struct job *j, bool within, GPtrArray *mine, int *now, int *with) {
-    int here[SETTINGS_ZONES] = {0}, could[SETTINGS_ZONES] = {0}, zones = j->spec.together ? cfg->n_zones : 1, best = 0;
+    int here[SETTINGS_ZONES] = {0}, could[SETTINGS_ZONES] = {0}, zones = j->spec.single_zone ? cfg->n_zones : 1,
+        best = 0;
     for (guint i = 0; i < mine->len; i++) {
         const struct machine *m = mine->pdata[i];
         if (!m->open || !m->flavour || !placement_allowed(m, j, NULL, NULL)) continue;
         int z = 0;
-        while (z < zones && j->spec.together && strcmp(cfg->zones[z], m->site) != 0) z++;
+        while (z < zones && j->spec.single_zone && strcmp(cfg->zones[z], m->site) != 0) z++;
         if (z == zones) continue;
         double cpu = m->flavour->vcpus - m->used_cpu, gpu = m->flavour->gpus - m->used_gpu,
                mem = m->flavour->memory_gb - m->used_mem;
@@ -144,13 +147,14 @@
     }
     *now = here[best];
     *with = could[best];
-    return j->spec.together ? cfg->zones[best] : NULL;
+    return j->spec.single_zone ? cfg->zones[best] : NULL;
 }
 
 /* Whether a fetch would make the job miss the wait that its users accept. */
 bool preempt_fetch_too_slow(const struct job *j, const struct machine *m) {
     return !g_hash_table_contains(m->images, j->spec.image) && m->flavour &&
-           j->spec.pull_gb / MAX(m->flavour->fetch_rate, 1e-3) > settings_within(cfg, AIM_WAIT, j->spec.jobclass, 1e9);
+           j->spec.image_gb / MAX(m->flavour->fetch_rate, 1e-3) >
+               settings_within(cfg, AIM_WAIT, j->spec.job_class, 1e9);
 }
 
 void preempt_init(const struct settings *s) { cfg = s; }
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -145,10 +145,10 @@
 
 /* The job has nothing booked, and by its id its team's number of shards puts it into another shard now. */
 static bool waits_elsewhere(const struct job *j, int shard) {
-    if (j->bookings->len > 0 || j->n_touched > 0 || !j->spec_text || j->spec.team < 0) return false;
+    if (j->bookings->len > 0 || j->n_dirty_chunks > 0 || !j->spec_text || j->spec.team < 0) return false;
     const struct quota_team *t = quota_team_at(j->spec.team);
     bool damaged = t && t->damaged;
-    return !damaged && quota_shard_of_new(j->spec.team, j->spec.uid) != shard;
+    return !damaged && quota_shard_of_new(j->spec.team, j->spec.job_id) != shard;
 }
 
 /* Jobs that wait follow the number of their team's shards: they leave one that closes, and part among new ones. Late
@@ -163,9 +163,9 @@
         const struct job *j = jobs->pdata[i];
         if (!waits_elsewhere(j, shard)) continue;
         char key[96];
-        snprintf(key, sizeof key, "job/%s", j->spec.uid);
+        snprintf(key, sizeof key, "job/%s", j->spec.job_id);
         store_txn_compare(&c->txn, key, store_key_revision(key));
-        store_txn_put(&c->txn, key, jobs_moved_value(j, quota_shard_of_new(j->spec.team, j->spec.uid)), 0);
+        store_txn_put(&c->txn, key, jobs_moved_value(j, quota_shard_of_new(j->spec.team, j->spec.job_id)), 0);
         moved++;
     }
     if (moved > 0) require_shard(c, shard);
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -43,24 +43,23 @@
                 struct quota_amount uses = quota_amount_used(&j->spec, bookings_count(j));
                 t->used[i] = quota_amount_sum(t->used[i], uses);
                 t->stopping[i] = quota_amount_sum(t->stopping[i], stopping_of(j));
-                if (j->spec.shape == JOB_STANDING && j->state == JOB_QUEUED)
-                    *lasting = quota_amount_sum(*lasting, uses);
+                if (j->spec.kind == JOB_SERVICE && j->state == JOB_QUEUED) *lasting = quota_amount_sum(*lasting, uses);
             }
     }
 }
 
 /* Jobs for which room was held back in vain, until when none is again. */
 struct given_up {
-    char uid[64];
+    char job_id[64];
     struct timespec until;
 };
 #define GIVEN_UP_MOST 64
 static struct given_up given_up[GIVEN_UP_MOST];
 static unsigned n_given_up;
 
-static bool gave_up_lately(const char *uid) {
+static bool gave_up_lately(const char *job_id) {
     for (unsigned i = 0; i < MIN(n_given_up, GIVEN_UP_MOST); i++)
-        if (strcmp(given_up[i].uid, uid) == 0 && clock_seconds_since(given_up[i].until) < 0) return true;
+        if (strcmp(given_up[i].job_id, job_id) == 0 && clock_seconds_since(given_up[i].until) < 0) return true;
     return false;
 }
 
@@ -74,26 +73,26 @@
         return;
     }
     int booked = bookings_count(j);
-    if (strcmp(t->gatherer, j->spec.uid) != 0 || t->gatherer_booked != booked) {
-        g_strlcpy(t->gatherer, j->spec.uid, sizeof t->gatherer);
+    if (strcmp(t->gatherer, j->spec.job_id) != 0 || t->gatherer_booked != booked) {
+        g_strlcpy(t->gatherer, j->spec.job_id, sizeof t->gatherer);
         t->gathering_since = clock_now();
         t->gatherer_booked = booked;
         return;
     }
     if (clock_seconds_since(t->gathering_since) < most) return;
     struct given_up *g = &given_up[n_given_up++ % GIVEN_UP_MOST];
-    g_strlcpy(g->uid, j->spec.uid, sizeof g->uid);
+    g_strlcpy(g->job_id, j->spec.job_id, sizeof g->job_id);
     g->until = clock_instant_in(clock_from_seconds(PAUSE_TIMES * most));
     t->gatherer[0] = 0;
     log_info("quota: team %s: not enough gets free for %s, it steps back", quota_settings->teams[t->team].name,
-             j->spec.uid);
+             j->spec.job_id);
 }
 
 /* How many more tasks of the job may start now. */
 static int tasks_waiting(const struct job *j) {
     if (clock_seconds_since(j->retry_at) < 0) return 0;
-    if (j->spec.shape == JOB_GROUP && bookings_count(j) > 0) return rounds_gang_open(j) ? rounds_missing(j) : 0;
-    return failures_suspect(j) && j->spec.shape != JOB_GROUP ? MIN(rounds_missing(j), 1) : rounds_missing(j);
+    if (j->spec.kind == JOB_GANG && bookings_count(j) > 0) return rounds_gang_open(j) ? rounds_missing(j) : 0;
+    return failures_suspect(j) && j->spec.kind != JOB_GANG ? MIN(rounds_missing(j), 1) : rounds_missing(j);
 }
 
 void quota_look(struct quota_team *t) {
@@ -112,8 +111,8 @@
         demands[n++] = (struct quota_demand){.shard = jobs_shard(j),
                                              .tasks = waiting,
                                              .each = quota_amount_used(&j->spec, 1),
-                                             .whole = j->spec.shape == JOB_GROUP,
-                                             .may_gather = !gave_up_lately(j->spec.uid)};
+                                             .whole = j->spec.kind == JOB_GANG,
+                                             .may_gather = !gave_up_lately(j->spec.job_id)};
     }
     g_array_free(order, TRUE);
     t->targets = quota_targets(&t->record, t->used, lasting, demands, n);
--- a/src/quota/parts.c
+++ b/src/quota/parts.c
@@ -9,8 +9,8 @@
 
 int quota_shard_at(int home, int size, int i) { return (home + i) % size; }
 
-int quota_shard_for(const char *uid, int home, int size, int shards) {
-    return quota_shard_at(home, size, (int)(g_str_hash(uid) % (guint)MAX(shards, 1)));
+int quota_shard_for(const char *job_id, int home, int size, int shards) {
+    return quota_shard_at(home, size, (int)(g_str_hash(job_id) % (guint)MAX(shards, 1)));
 }
 
 struct quota_part *quota_part_of(struct quota_record *r, int shard) {
--- a/src/quota/parts.h
+++ b/src/quota/parts.h
@@ -29,7 +29,7 @@
 /* The shard that holds the i-th part of a team: the first is the team's home, its only one where it is undivided. */
 int quota_shard_at(int home, int size, int i);
 /* The shard of a new job, by its id. */
-int quota_shard_for(const char *uid, int home, int size, int shards);
+int quota_shard_for(const char *job_id, int home, int size, int shards);
 
 /* NULL, or what contradicts the invariant. */
 const char *quota_record_fault(const struct quota_record *r);
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -30,10 +30,10 @@
 
 bool quota_any_divided(void) { return n_divided > 0; }
 
-int quota_shard_of_new(int team, const char *uid) {
+int quota_shard_of_new(int team, const char *job_id) {
     const struct quota_team *t = quota_team_at(team);
     int home = team % quota_settings->size;
-    return t && t->recorded ? quota_shard_for(uid, home, quota_settings->size, t->record.shards) : home;
+    return t && t->recorded ? quota_shard_for(job_id, home, quota_settings->size, t->record.shards) : home;
 }
 
 void quota_refresh(void) {
@@ -71,7 +71,7 @@
 
 bool quota_gathers(const struct job *j) {
     const struct quota_team *t = divided(j->spec.team);
-    return t && t->gatherer[0] && strcmp(t->gatherer, j->spec.uid) == 0;
+    return t && t->gatherer[0] && strcmp(t->gatherer, j->spec.job_id) == 0;
 }
 
 bool quota_counts_scarce(const struct job *j) {
@@ -98,7 +98,7 @@
     return quota_beyond(&t->record, at, used).of[d] >= MAX(quota_amount_used(&b->job->spec, 1).of[d], 1);
 }
 
-bool quota_may_be_cleared(const struct machine *m, enum job_rank rank) {
+bool quota_may_be_cleared(const struct machine *m, enum job_priority rank) {
     bool may = true;
     guint counted = 0;
     struct quota_amount before[RECORDS_TASKS_MOST] = {{{0}}};
@@ -107,7 +107,7 @@
         const struct booking *b = m->bookings->pdata[counted];
         struct quota_team *t = divided(b->job->spec.team);
         int at = t && !t->damaged ? part_at(t, jobs_shard(b->job)) : -1;
-        may &= !t || b->job->rank < rank || quota_may_be_stopped(b);
+        may &= !t || b->job->priority < rank || quota_may_be_stopped(b);
         if (at < 0) continue;
         before[counted] = t->stopping[at];
         quota_stopped(b);
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -15,7 +15,7 @@
 bool quota_divided(int team);
 bool quota_any_divided(void);
 /* The shard of a job that is accepted now. */
-int quota_shard_of_new(int team, const char *uid);
+int quota_shard_of_new(int team, const char *job_id);
 /* Looks at the divided teams' jobs again: before a round's questions. */
 void quota_refresh(void);
 /* How much the team's tasks in a shard may use in all; INFINITY: no limit. */
@@ -32,7 +32,7 @@
 bool quota_may_be_stopped(const struct booking *b);
 void quota_stopped(const struct booking *b);
 /* The same for all on a machine that does not make way by its rank alone. */
-bool quota_may_be_cleared(const struct machine *m, enum job_rank rank);
+bool quota_may_be_cleared(const struct machine *m, enum job_priority rank);
 /* The shard's part of the team's limit has room for so many more tasks of the job: machines would help it. */
 bool quota_waits_for_machines(const struct job *j, int tasks);
 /* Adds the record of our own settings' view; false if there is nothing to write. */
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -98,7 +98,7 @@
     for (guint i = 0; i < m->bookings->len; i++) {
         struct booking *b = m->bookings->pdata[i];
         b->over = true;
-        jobs_touch(b->job, b->task);
+        jobs_mark_dirty(b->job, b->task);
     }
 }
 
@@ -307,12 +307,12 @@
         const struct job_spec *s = &b->job->spec;
         /* On a dear machine, work that could run on a cheap one is no pressure: it only fills what stands idle, and
          * makes way. Counted, it would rent dear machines for itself and hold them. */
-        if (b->over || (!m->spot && s->reclaimable)) continue;
+        if (b->over || (!m->spot && s->allows_spot)) continue;
         c += s->vcpus;
         g += s->gpus;
         r += s->memory_gb;
     }
-    const struct flavour_info *f = m->flavour ? m->flavour : (m->flavour = cloud_flavour(m->sku));
+    const struct machine_type *f = m->flavour ? m->flavour : (m->flavour = cloud_flavour(m->sku));
     if (!f) return;
     double *row = m->occ[m->rows % RECORDS_WINDOW];
     row[0] = f->vcpus > 0 ? c / f->vcpus : 0;
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -50,7 +50,7 @@
     int64_t placed;                   /* mod revision of the record that says so */
     int64_t fence;                    /* its own token from adoption or a raise; the shard's may be higher */
     char address[64], sku[64], site[64];
-    const struct flavour_info *flavour;
+    const struct machine_type *flavour;
     bool spot, returning;
     double born; /* time of day of the rental */
     GPtrArray *bookings;
--- a/src/renting/renting.c
+++ b/src/renting/renting.c
@@ -20,17 +20,17 @@
 
 static const struct settings *cfg;
 
-bool renting_may_use(const struct job_spec *j, const struct flavour_info *f) {
-    return (!j->flavours || g_strv_contains((const char *const *)j->flavours, f->sku)) && j->vcpus <= f->vcpus + 1e-6 &&
-           j->gpus <= f->gpus + 1e-6 && j->memory_gb <= f->memory_gb + 1e-6;
+bool renting_may_use(const struct job_spec *j, const struct machine_type *f) {
+    return (!j->machine_types || g_strv_contains((const char *const *)j->machine_types, f->sku)) &&
+           j->vcpus <= f->vcpus + 1e-6 && j->gpus <= f->gpus + 1e-6 && j->memory_gb <= f->memory_gb + 1e-6;
 }
 
 bool renting_vm_takes(struct renting_vm *v, const struct job *j, const char *site) {
     const struct job_spec *s = &j->spec;
-    if ((v->o.spot && !s->reclaimable) || (v->foreign && s->reclaimable) || (v->kept && s->shape != JOB_GROUP))
+    if ((v->o.spot && !s->allows_spot) || (v->foreign && s->allows_spot) || (v->kept && s->kind != JOB_GANG))
         return false;
     if ((site && strcmp(site, v->o.site) != 0) || (s->site && strcmp(s->site, v->o.site) != 0)) return false;
-    if (s->flavours && !g_strv_contains((const char *const *)s->flavours, v->o.sku)) return false;
+    if (s->machine_types && !g_strv_contains((const char *const *)s->machine_types, v->o.sku)) return false;
     if (s->vcpus > v->cpu + 1e-6 || s->gpus > v->gpu + 1e-6 || s->memory_gb > v->mem + 1e-6) return false;
     v->cpu -= s->vcpus;
     v->gpu -= s->gpus;
@@ -39,7 +39,7 @@
 }
 
 void renting_vm_add(GArray *vms, const char *sku, const char *site, bool spot) {
-    const struct flavour_info *f = cloud_flavour(sku);
+    const struct machine_type *f = cloud_flavour(sku);
     if (!f) return;
     struct renting_vm v = {{"", "", spot, 0, 0, 0}, f->vcpus, f->gpus, f->memory_gb, false, false};
     g_strlcpy(v.o.sku, sku, sizeof v.o.sku);
@@ -60,13 +60,13 @@
 
 /* The cheapest type that fits, its kind, and a zone that has not just refused. */
 static bool choose(int k, const struct job *j, const char *site, bool dear, struct rent_order *o) {
-    for (int spot = j->spec.reclaimable ? 1 : 0; spot >= (j->spec.reclaimable && !dear ? 1 : 0); spot--) {
+    for (int spot = j->spec.allows_spot ? 1 : 0; spot >= (j->spec.allows_spot && !dear ? 1 : 0); spot--) {
         double best = 0;
         bool found = false;
         for (int i = 0; i < cloud_flavours_count(); i++) {
-            const struct flavour_info *f = &cloud_flavours()[i];
+            const struct machine_type *f = &cloud_flavours()[i];
             if (!renting_may_use(&j->spec, f)) continue;
-            double price = spot ? f->market : f->hourly;
+            double price = spot ? f->spot_price : f->hourly_price;
             for (int z = 0; z < f->n_sites; z++) {
                 const char *s = f->sites[z];
                 if ((site && strcmp(site, s) != 0) || (j->spec.site && strcmp(j->spec.site, s) != 0)) continue;
@@ -120,12 +120,12 @@
     struct job *like = NULL;
     for (guint i = 0; i < order->len && !like; i++) {
         struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        if (j->spec.shape == JOB_GROUP && !j->spec.reclaimable && clock_time_of_day() - j->ready < SPARE_S) like = j;
+        if (j->spec.kind == JOB_GANG && !j->spec.allows_spot && clock_time_of_day() - j->ready < SPARE_S) like = j;
     }
     int whole = 0;
     for (guint y = 0; y < vms->len; y++) {
         const struct renting_vm *v = &g_array_index(vms, struct renting_vm, y);
-        const struct flavour_info *f = cloud_flavour(v->o.sku);
+        const struct machine_type *f = cloud_flavour(v->o.sku);
         whole += f && !v->foreign && !v->o.spot && v->cpu >= f->vcpus - 1e-6 && v->gpu >= f->gpus - 1e-6;
     }
     for (int n = MIN(steady / SPARE_IN - whole, most); like && n > 0; n--) {
@@ -153,11 +153,11 @@
     if (zone_of(m->site)) ++*zone_of(m->site);
     if (records_leaving(m)) return;
     p->have++;
-    const struct flavour_info *f = cloud_flavour(m->sku);
+    const struct machine_type *f = cloud_flavour(m->sku);
     if (f && m->spot) p->slots += f->gpus;
     for (guint b = 0; !m->spot && b < m->bookings->len; b++) {
         const struct job_spec *s = &((struct booking *)m->bookings->pdata[b])->job->spec;
-        if (s->reclaimable) p->slots += s->gpus;
+        if (s->allows_spot) p->slots += s->gpus;
     }
     if (!m->up) {
         if (watch_zone_cut(p->shard, m->site)) return; /* nobody knows when it is heard */
@@ -203,7 +203,7 @@
     double waited = 0;
     for (guint i = 0; i < order->len; i++) {
         const struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        if (j->unplaced && !j->spec.reclaimable) waited = MAX(waited, clock_seconds_since(j->seen));
+        if (j->unplaced && !j->spec.allows_spot) waited = MAX(waited, clock_seconds_since(j->eligible_since));
     }
     for (guint i = 0; i < records_machines()->len && waited < TRANSFER_S; i++) {
         const struct machine *m = records_machines()->pdata[i];
@@ -229,9 +229,9 @@
 /* Whether the job's next task may have an ordinary machine. Work that may use cheap machines gets dear ones only for
  * what the present ones can't work off in a part of the time in which its users want it done. */
 static bool may_be_dear(struct shard_plan *p, const struct job *j, bool within) {
-    if (!j->spec.reclaimable) return true;
+    if (!j->spec.allows_spot) return true;
     p->backlog += MAX(j->spec.runtime_s, 1) * j->spec.gpus;
-    double wanted = settings_within(cfg, AIM_FINISHED, j->spec.jobclass, 120);
+    double wanted = settings_within(cfg, AIM_FINISHED, j->spec.job_class, 120);
     return within || (p->slots > 0 && p->backlog / p->slots > cfg->tuning.dear_backlog * wanted);
 }
 
@@ -245,27 +245,27 @@
     for (; *from < p->vms->len; ++*from) {
         struct renting_vm *vm = &g_array_index(p->vms, struct renting_vm, *from);
         if (!renting_vm_takes(vm, j, want)) continue;
-        if (j->spec.together && !site[0]) g_strlcpy(site, vm->o.site, n);
+        if (j->spec.single_zone && !site[0]) g_strlcpy(site, vm->o.site, n);
         return;
     }
     struct rent_order o;
     memset(&o, 0, sizeof o);
     if (p->have + p->ordered >= (int)cfg->tuning.machines_per_shard || !choose(p->shard, j, want, dear, &o)) return;
-    add_order(p->vms, &o, weights[j->rank]);
+    add_order(p->vms, &o, weights[j->priority]);
     p->ordered++;
-    if (j->spec.reclaimable && cloud_flavour(o.sku)) p->slots += cloud_flavour(o.sku)->gpus;
+    if (j->spec.allows_spot && cloud_flavour(o.sku)) p->slots += cloud_flavour(o.sku)->gpus;
     renting_vm_takes(&g_array_index(p->vms, struct renting_vm, p->vms->len - 1), j, want);
-    if (j->spec.together && !site[0]) g_strlcpy(site, o.site, n);
+    if (j->spec.single_zone && !site[0]) g_strlcpy(site, o.site, n);
 }
 
 #define TASKS_MOST 128 /* of a job that a plan looks at */
 
 static void rent_for_job(struct shard_plan *p, struct job *j, bool within) {
-    int left = j->spec.shape == JOB_GROUP ? j->spec.tasks : (j->unplaced ? rounds_missing(j) : 0) + j->at_risk;
+    int left = j->spec.kind == JOB_GANG ? j->spec.tasks : (j->unplaced ? rounds_missing(j) : 0) + j->replicas_at_risk;
     char site[64] = "";
     if (placement_site(j))
         g_strlcpy(site, placement_site(j), sizeof site);
-    else if (j->spec.together)
+    else if (j->spec.single_zone)
         fullest_zone(p->shard, p->vms, j, site, sizeof site);
     guint from = 0;
     double gpus_max = quota_bound(j->spec.team, jobs_shard(j)).gpus, used = 0;
@@ -274,7 +274,7 @@
         if (used > gpus_max) break;
         rent_for_task(p, j, within, site, sizeof site, &from);
     }
-    int gathered = j->spec.together ? settings_zone(cfg, site) : -1;
+    int gathered = j->spec.single_zone ? settings_zone(cfg, site) : -1;
     j->zone = gathered < 0 ? NULL : cfg->zones[gathered];
 }
 
@@ -286,7 +286,7 @@
     struct job *like = NULL;
     for (guint b = 0; b < p->reception->bookings->len; b++) {
         struct booking *x = p->reception->bookings->pdata[b];
-        if (!x->job->spec.reclaimable) like = x->job;
+        if (!x->job->spec.allows_spot) like = x->job;
     }
     struct rent_order o;
     memset(&o, 0, sizeof o);
@@ -334,7 +334,7 @@
     p.first_new = p.vms->len;
     for (guint i = 0; i < order->len; i++) {
         const struct rounds_ranked *r = &g_array_index(order, struct rounds_ranked, i);
-        if (r->j->unplaced || r->j->at_risk) rent_for_job(&p, r->j, r->within);
+        if (r->j->unplaced || r->j->replicas_at_risk) rent_for_job(&p, r->j, r->within);
     }
     rent_for_pressure(&p);
     rent_spares(k, p.vms, order, p.steady, MAX((int)cfg->tuning.machines_per_shard - p.have - p.ordered, 0));
--- a/src/renting/renting.h
+++ b/src/renting/renting.h
@@ -9,7 +9,7 @@
 void renting_init(const struct settings *s);
 int renting_plan(struct rent_order *out, int most);
 int renting_return_plan(char ids[][64], int most, int *busy); /* busy: how many of them hold tasks */
-bool renting_may_use(const struct job_spec *j, const struct flavour_info *f);
+bool renting_may_use(const struct job_spec *j, const struct machine_type *f);
 
 struct renting_vm { /* a machine that is there or on its way, with the room left on it */
     struct rent_order o;
--- a/src/rounds/plan.c
+++ b/src/rounds/plan.c
@@ -30,8 +30,8 @@
 static bool plan_gang(struct round *r, struct job *j, GPtrArray *mine, const struct placement_rules *rules,
                       struct preempt_usage *u) {
     if (!preempt_quota_left(&u[j->spec.team], j, j->spec.tasks)) return true;
-    for (int z = 0; z < (j->spec.together ? round_settings->n_zones : 1); z++) {
-        const char *zone = j->spec.together ? round_settings->zones[z] : NULL;
+    for (int z = 0; z < (j->spec.single_zone ? round_settings->n_zones : 1); z++) {
+        const char *zone = j->spec.single_zone ? round_settings->zones[z] : NULL;
         guint from = r->plans->len;
         struct preempt_usage before = u[j->spec.team];
         int64_t attempt = next_attempt(r->shard);
@@ -67,9 +67,9 @@
     return attempt;
 }
 
-static bool holds_ended(const struct machine *m, const char *uid, int task, int64_t attempt) {
+static bool holds_ended(const struct machine *m, const char *job_id, int task, int64_t attempt) {
     char name[96];
-    snprintf(name, sizeof name, "%s/%d", uid, task);
+    snprintf(name, sizeof name, "%s/%d", job_id, task);
     for (guint i = 0; i < m->unknown_tasks->len; i++) {
         const struct unknown_task *s = &g_array_index(m->unknown_tasks, struct unknown_task, i);
         if (s->attempt == attempt && strcmp(s->task, name) == 0) return true;
@@ -91,7 +91,7 @@
         if (jobs_bit(booked, t)) continue;
         struct machine *m = placement_pick(mine, j, NULL, rules, r->plans);
         /* A machine that still holds this very attempt would do nothing. */
-        if (m && !holds_ended(m, j->spec.uid, t, attempt)) {
+        if (m && !holds_ended(m, j->spec.job_id, t, attempt)) {
             plan_task(r, m, j, t, attempt, u);
             continue;
         }
@@ -103,7 +103,7 @@
     }
     g_free(booked);
     if (!replaced) return false;
-    log_info("gang %s: %d of its %d tasks replaced under the same attempt", j->spec.uid, missing, j->spec.tasks);
+    log_info("gang %s: %d of its %d tasks replaced under the same attempt", j->spec.job_id, missing, j->spec.tasks);
     return true;
 }
 
@@ -117,8 +117,8 @@
 #define PREEMPT_AGAIN_S 3 /* time for what was stopped to make way */
 
 static bool may_preempt(const struct job *j, bool within) {
-    return (within || j->rank > RANK_IDLE) && !failures_suspect(j) &&
-           clock_seconds_since(j->preempted) > PREEMPT_AGAIN_S;
+    return (within || j->priority > PRIORITY_IDLE) && !failures_suspect(j) &&
+           clock_seconds_since(j->preempted_at) > PREEMPT_AGAIN_S;
 }
 
 /* What found no room in this round. Room only shrinks while a round plans, so that what asks for as much or more finds
@@ -129,13 +129,13 @@
 };
 
 static bool unconstrained(const struct job_spec *s) {
-    return s->shape == JOB_BATCH && !s->flavours && !s->site && !s->together && !s->spread;
+    return s->kind == JOB_ARRAY && !s->machine_types && !s->site && !s->single_zone && !s->spread;
 }
 
 static bool surely_no_room(const struct no_room *none, const struct job_spec *s) {
     for (guint i = 0; unconstrained(s) && i < none->n; i++) {
         const struct job_spec *a = none->asked[i];
-        if (a->reclaimable >= s->reclaimable && a->vcpus <= s->vcpus && a->gpus <= s->gpus &&
+        if (a->allows_spot >= s->allows_spot && a->vcpus <= s->vcpus && a->gpus <= s->gpus &&
             a->memory_gb <= s->memory_gb)
             return true;
     }
@@ -153,7 +153,7 @@
     if (!may_preempt(j, within)) return false;
     int made = 0;
     while (made < MIN(tasks, PREEMPTIONS_MOST) && preempt_for(j, within, mine, NULL, u)) made++;
-    if (made > 0) j->preempted = clock_now();
+    if (made > 0) j->preempted_at = clock_now();
     return made > 0;
 }
 
@@ -171,7 +171,7 @@
     bool unplaced = false;
     struct machine *last = NULL;
     uint8_t *busy = bookings_bits(j);
-    for (int done = 0; done <= j->spec.tasks / 8; done++) busy[done] |= j->pend[done];
+    for (int done = 0; done <= j->spec.tasks / 8; done++) busy[done] |= j->reported_done[done];
     for (int t = 0; t < j->spec.tasks && missing > 0; t++) {
         if (jobs_bit(busy, t)) continue;
         if (!preempt_quota_left(&u[j->spec.team], j, 1)) break;
@@ -207,7 +207,7 @@
                        const struct placement_rules *rules, struct preempt_usage *u) {
     int booked = bookings_count(j);
     if (booked == 0) {
-        if (j->n_pend == j->spec.tasks || plan_gang(r, j, room, rules, u)) return false;
+        if (j->n_reported_done == j->spec.tasks || plan_gang(r, j, room, rules, u)) return false;
         if (failures_suspect(j)) return true;
         int now, with;
         const char *zone = preempt_gang_zone(j, within, mine, &now, &with);
@@ -225,7 +225,7 @@
         if (with >= j->spec.tasks && may_preempt(j, within)) {
             bool any = false;
             for (int t = (int)kept; t < j->spec.tasks; t++) any |= preempt_for(j, within, mine, zone, u);
-            if (any) j->preempted = clock_now();
+            if (any) j->preempted_at = clock_now();
         }
         return true;
     }
@@ -303,7 +303,7 @@
 /* Of a job that fails wherever it runs one task at a time is tried, or the gang that it is. */
 static int tasks_to_place(const struct job *j) {
     int missing = rounds_missing(j);
-    if (!failures_suspect(j) || j->spec.shape == JOB_GROUP) return missing;
+    if (!failures_suspect(j) || j->spec.kind == JOB_GANG) return missing;
     return bookings_count(j) > 0 ? 0 : MIN(missing, 1);
 }
 
@@ -346,8 +346,8 @@
             records_shards[k].fit_nowhere |= j->unplaced;
             continue;
         }
-        j->unplaced = j->spec.shape == JOB_GROUP ? plan_group(r, j, within, mine, room, &rules, u)
-                                                 : plan_tasks(r, j, within, missing[i], mine, room, &rules, u);
+        j->unplaced = j->spec.kind == JOB_GANG ? plan_group(r, j, within, mine, room, &rules, u)
+                                               : plan_tasks(r, j, within, missing[i], mine, room, &rules, u);
         jobs_planned += r->plans->len > before;
         held_back[j->spec.team] |= quota_gathers(j);
         if (j->unplaced) note_no_room(&none, &j->spec);
--- a/src/rounds/rank.c
+++ b/src/rounds/rank.c
@@ -16,7 +16,7 @@
 
 bool rounds_has_aim(const struct job *j) {
     for (int kind = AIM_WAIT; kind <= AIM_DEADLINE; kind++)
-        if (kind != AIM_GUARANTEE && settings_has_aim(round_settings, (enum settings_aim)kind, j->spec.jobclass))
+        if (kind != AIM_GUARANTEE && settings_has_aim(round_settings, (enum settings_aim)kind, j->spec.job_class))
             return true;
     return false;
 }
@@ -37,12 +37,12 @@
     double age = now - j->ready, last = 0;
     /* Late or large work must not step back for ever: what nothing of has begun for this long goes first in its rank.
      */
-    if (age > WAIT_BOUND && j->bookings->len == 0 && j->n_pend == 0) return j->ready;
+    if (age > WAIT_BOUND && j->bookings->len == 0 && j->n_reported_done == 0) return j->ready;
     for (double after = 0;;) {
         double next = -1;
         for (int i = 0; i < round_settings->n_objectives; i++) {
             const struct settings_objective *o = &round_settings->objectives[i];
-            if (o->kind == AIM_FINISHED && strcmp(o->jobclass, j->spec.jobclass) == 0 && o->within_s > after &&
+            if (o->kind == AIM_FINISHED && strcmp(o->job_class, j->spec.job_class) == 0 && o->within_s > after &&
                 (next < 0 || o->within_s < next))
                 next = o->within_s;
         }
@@ -51,7 +51,7 @@
         after = last = next;
     }
     if (last <= 0 && rounds_has_aim(j))
-        return j->ready + settings_within(round_settings, AIM_WAIT, j->spec.jobclass, 0);
+        return j->ready + settings_within(round_settings, AIM_WAIT, j->spec.job_class, 0);
     /* Nobody expects it by a time: it takes turns with what is late for the last of all times. Due at once, a guest's
      * arrays without an aim once kept those with one waiting for 400 s. */
     if (last <= 0) last = longest_aim();
@@ -66,9 +66,9 @@
     bool x_suspect = failures_suspect(x->j), y_suspect = failures_suspect(y->j);
     if (x_suspect != y_suspect) return y_suspect ? -1 : 1;
     if (x->within != y->within) return x->within ? -1 : 1;
-    if (x->j->rank != y->j->rank) return x->j->rank > y->j->rank ? -1 : 1;
+    if (x->j->priority != y->j->priority) return x->j->priority > y->j->priority ? -1 : 1;
     if (x->due != y->due) return x->due < y->due ? -1 : 1;
-    return strcmp(x->j->spec.uid, y->j->spec.uid);
+    return strcmp(x->j->spec.job_id, y->j->spec.job_id);
 }
 
 bool rounds_has_guarantee(const struct settings_team *t) { return t->cpus > 0 || t->gpus > 0; }
@@ -93,7 +93,7 @@
         if (j->spec.team < 0 || chains_waits(j)) continue;
         if (filter->team >= 0 && j->spec.team != filter->team) continue;
         const struct settings_team *t = &round_settings->teams[j->spec.team];
-        int left = failures_suspect(j) ? bookings_count(j) : j->spec.tasks - j->n_pend;
+        int left = failures_suspect(j) ? bookings_count(j) : j->spec.tasks - j->n_reported_done;
         cpu[j->spec.team] += left * j->spec.vcpus;
         gpu[j->spec.team] += left * j->spec.gpus;
         if (!asked_for(filter, j)) continue;
@@ -116,10 +116,10 @@
 GArray *rounds_rank_team(int team) { return rank_jobs(jobs_active(), &(struct rank_filter){-1, team}); }
 
 int rounds_missing(const struct job *j) {
-    int n = j->spec.tasks - j->n_pend;
+    int n = j->spec.tasks - j->n_reported_done;
     for (guint b = 0; b < j->bookings->len; b++) {
         const struct booking *x = j->bookings->pdata[b];
-        n -= !x->over && !jobs_bit(j->pend, x->task);
+        n -= !x->over && !jobs_bit(j->reported_done, x->task);
     }
     return n;
 }
--- a/src/rounds/rounds.c
+++ b/src/rounds/rounds.c
@@ -80,7 +80,7 @@
 
 static int longest_touched(gconstpointer a, gconstpointer b) {
     const struct job *x = *(struct job *const *)a, *y = *(struct job *const *)b;
-    double d = clock_to_seconds(x->touched) - clock_to_seconds(y->touched);
+    double d = clock_to_seconds(x->dirty_since) - clock_to_seconds(y->dirty_since);
     return d < 0 ? -1 : d > 0;
 }
 
@@ -107,7 +107,7 @@
     for (int l = 0; l < 2; l++)
         for (guint i = 0; i < lists[l]->len; i++) {
             struct job *j = lists[l]->pdata[i];
-            if (j->n_touched && !g_hash_table_contains(written, j)) g_ptr_array_add(late, j);
+            if (j->n_dirty_chunks && !g_hash_table_contains(written, j)) g_ptr_array_add(late, j);
         }
     g_hash_table_destroy(written);
     if (r->left > 0) round_plan_jobs(r, k);
@@ -122,7 +122,7 @@
     g_ptr_array_sort(late, longest_touched);
     for (guint i = 0; i < late->len && r->left > 0; i++) {
         const struct job *j = late->pdata[i];
-        if (r->left < AMPLE_CHANGES && clock_seconds_since(j->touched) < GATHER_PROGRESS_S)
+        if (r->left < AMPLE_CHANGES && clock_seconds_since(j->dirty_since) < GATHER_PROGRESS_S)
             break; /* the rest is younger */
         round_write_job(r, late->pdata[i]);
     }
@@ -142,10 +142,10 @@
     return r;
 }
 
-int rounds_planned(const struct round *r, const char *uid) {
+int rounds_planned(const struct round *r, const char *job_id) {
     int n = 0;
     for (guint i = 0; i < r->plans->len; i++)
-        n += !uid || strcmp(g_array_index(r->plans, struct placement_plan, i).j->spec.uid, uid) == 0;
+        n += !job_id || strcmp(g_array_index(r->plans, struct placement_plan, i).j->spec.job_id, job_id) == 0;
     return n;
 }
 int rounds_changes(const struct round *r) {
@@ -173,9 +173,9 @@
     cJSON_ArrayForEach(x, t->operations) {
         const char *set = json_get_string(x, "set");
         if (!set || !g_str_has_prefix(set, "run/")) continue;
-        char uid[64];
-        g_strlcpy(uid, set + 4, MIN(sizeof uid, strcspn(set + 4, "/") + 1));
-        struct job *j = jobs_find(uid);
+        char job_id[64];
+        g_strlcpy(job_id, set + 4, MIN(sizeof job_id, strcspn(set + 4, "/") + 1));
+        struct job *j = jobs_find(job_id);
         for (guint i = 0; j && i < j->bookings->len; i++) {
             struct booking *b = j->bookings->pdata[i];
             if (!b->inherited || b->attempt <= r->first) continue;
--- a/src/rounds/rounds.h
+++ b/src/rounds/rounds.h
@@ -27,7 +27,7 @@
 /* One round's decisions, with no I/O: at most so many changes. */
 struct round;
 struct round *rounds_decide(int k, int left);
-int rounds_planned(const struct round *r, const char *uid); /* tasks it books; uid NULL: of all jobs */
+int rounds_planned(const struct round *r, const char *job_id); /* tasks it books; uid NULL: of all jobs */
 int rounds_changes(const struct round *r);
 int rounds_largest(const struct round *r);                   /* changes of its largest transaction */
 const GPtrArray *rounds_transactions(const struct round *r); /* struct store_txn, in the order in which they are sent */
--- a/src/rounds/write_jobs.c
+++ b/src/rounds/write_jobs.c
@@ -59,7 +59,7 @@
     /* Not if the job was cancelled meanwhile, and not over a newer record: a transaction whose answer was lost, or a
      * second copy of one that the connection's end made the client send again, may be carried out after later ones of
      * ours. */
-    snprintf(key, sizeof key, "job/%s", j->spec.uid);
+    snprintf(key, sizeof key, "job/%s", j->spec.job_id);
     store_txn_compare(t, key, store_key_revision(key));
     bookings_key(j, chunk, key, sizeof key);
     store_txn_compare(t, key, store_key_revision(key));
@@ -86,7 +86,7 @@
 
 /* Whether anything of the job is to be kept on record. */
 static bool keeps_bookings(const struct round *r, const struct job *j) {
-    if (bookings_count(j) > 0 || (j->state == JOB_QUEUED && j->n_pend > 0)) return true;
+    if (bookings_count(j) > 0 || (j->state == JOB_QUEUED && j->n_reported_done > 0)) return true;
     for (guint i = 0; i < r->plans->len; i++)
         if (g_array_index(r->plans, struct placement_plan, i).j == j) return true;
     return false;
@@ -96,10 +96,10 @@
 void round_write_job(struct round *r, struct job *j) {
     bool final = jobs_complete(j);
     char key[128];
-    snprintf(key, sizeof key, "run/%s/0", j->spec.uid);
+    snprintf(key, sizeof key, "run/%s/0", j->spec.job_id);
     if (round_refused_lately(key)) return;
     int stretch = bookings_write_stretch(j);
-    if (j->n_runs == 0) jobs_set_stretch(j, stretch);
+    if (j->n_recorded_chunks == 0) jobs_set_chunk_size(j, stretch);
     if (stretch != bookings_stretch(j) && !final && keeps_bookings(r, j)) {
         write_new_stretch(r, j, stretch);
         return;
@@ -107,12 +107,13 @@
     stretch = bookings_stretch(j);
     int chunks = bookings_chunks(j);
     uint8_t *need = g_malloc0((gsize)chunks + 1);
-    for (int c = 0; j->runs && c < chunks; c++) need[c] = (j->runs[c] & 2) != 0 || (final && (j->runs[c] & 1));
+    for (int c = 0; j->chunk_flags && c < chunks; c++)
+        need[c] = (j->chunk_flags[c] & 2) != 0 || (final && (j->chunk_flags[c] & 1));
     for (guint i = 0; i < r->plans->len; i++) {
         const struct placement_plan *p = &g_array_index(r->plans, struct placement_plan, i);
         if (p->j == j) need[p->task / stretch] = 2;
     }
-    snprintf(key, sizeof key, "job/%s", j->spec.uid);
+    snprintf(key, sizeof key, "job/%s", j->spec.job_id);
     if (final && !round_refused_lately(key)) {
         struct store_txn *t = round_txn(r, 2, 1);
         store_txn_compare(t, key, store_key_revision(key));
@@ -122,10 +123,10 @@
     for (int c = 0; c < chunks && (r->left > 0 || c == 0); c++) {
         if (!need[c]) continue;
         cJSON *v = bookings_value(j, c, stretch, r->plans, final);
-        bool there = j->runs && (j->runs[c] & 1), same = need[c] == 1 && !final && !bookings_differ(j, c);
+        bool there = j->chunk_flags && (j->chunk_flags[c] & 1), same = need[c] == 1 && !final && !bookings_differ(j, c);
         if ((!v && !there) || same) {
             cJSON_Delete(v);
-            jobs_run_record(j, c, there);
+            jobs_set_chunk_recorded(j, c, there);
             continue;
         }
         add_run(round_txn(r, 1, 2), j, c, v);
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -260,19 +260,19 @@
     return -1;
 }
 
-double settings_within(const struct settings *s, enum settings_aim kind, const char *jobclass, double otherwise) {
+double settings_within(const struct settings *s, enum settings_aim kind, const char *job_class, double otherwise) {
     double best = -1;
     for (int i = 0; i < s->n_objectives; i++) {
         const struct settings_objective *o = &s->objectives[i];
-        if (o->kind != kind || (o->jobclass[0] && strcmp(o->jobclass, jobclass ? jobclass : "") != 0)) continue;
+        if (o->kind != kind || (o->job_class[0] && strcmp(o->job_class, job_class ? job_class : "") != 0)) continue;
         if (best < 0 || o->within_s < best) best = o->within_s;
     }
     return best < 0 ? otherwise : best;
 }
 
-bool settings_has_aim(const struct settings *s, enum settings_aim kind, const char *jobclass) {
+bool settings_has_aim(const struct settings *s, enum settings_aim kind, const char *job_class) {
     for (int i = 0; i < s->n_objectives; i++)
-        if (s->objectives[i].kind == kind && strcmp(s->objectives[i].jobclass, jobclass) == 0) return true;
+        if (s->objectives[i].kind == kind && strcmp(s->objectives[i].job_class, job_class) == 0) return true;
     return false;
 }
 
@@ -284,7 +284,7 @@
         g_free(s->seeds[i].area);
         g_free(s->seeds[i].address);
     }
-    for (int i = 0; i < s->n_objectives; i++) g_free(s->objectives[i].jobclass);
+    for (int i = 0; i < s->n_objectives; i++) g_free(s->objectives[i].job_class);
     for (int i = 0; i < s->n_zones; i++) g_free(s->zones[i]);
     for (int i = 0; i < s->n_teams; i++) g_free(s->teams[i].name);
     memset(s, 0, sizeof *s);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -21,7 +21,7 @@
 enum settings_aim { AIM_WAIT, AIM_FINISHED, AIM_GUARANTEE, AIM_DEADLINE };
 struct settings_objective {
     enum settings_aim kind;
-    char *jobclass; /* empty: all */
+    char *job_class; /* empty: all */
     double within_s, fraction;
 };
 
@@ -73,8 +73,8 @@
 bool settings_parse_quota(const char *hcl, const char *name, struct settings *out, char *err, size_t errlen);
 void settings_clear(struct settings *s);
 /* The shortest time that an aim of this kind names for the class; otherwise, where none does. */
-double settings_within(const struct settings *s, enum settings_aim kind, const char *jobclass, double otherwise);
-bool settings_has_aim(const struct settings *s, enum settings_aim kind, const char *jobclass);
+double settings_within(const struct settings *s, enum settings_aim kind, const char *job_class, double otherwise);
+bool settings_has_aim(const struct settings *s, enum settings_aim kind, const char *job_class);
 int settings_zone(const struct settings *s, const char *name); /* -1: unknown */
 int settings_team(const struct settings *s, const char *name);
 #endif
--- a/src/transfer/transfer.c
+++ b/src/transfer/transfer.c
@@ -23,7 +23,7 @@
     if (m->spot || records_leaving(m) || m->warning >= 0 || !m->address[0]) return false;
     for (guint b = 0; b < m->bookings->len; b++) {
         const struct job_spec *s = &((struct booking *)m->bookings->pdata[b])->job->spec;
-        if (!s->reclaimable || s->shape != JOB_BATCH) return false;
+        if (!s->allows_spot || s->kind != JOB_ARRAY) return false;
     }
     return true;
 }
@@ -45,7 +45,7 @@
 
 /* Nothing fits beside what is booked: most machines of a busy shard, not worth a closer look. */
 static bool full(const struct machine *m) {
-    const struct flavour_info *f = cloud_flavour(m->sku);
+    const struct machine_type *f = cloud_flavour(m->sku);
     double cpu = 0, gpu = 0;
     for (guint b = 0; f && b < m->bookings->len; b++) {
         const struct booking *x = m->bookings->pdata[b];
@@ -93,11 +93,12 @@
     GArray *order = rounds_rank(s);
     for (guint i = 0; i < order->len && !found; i++) {
         struct job *j = g_array_index(order, struct rounds_ranked, i).j;
-        if (j->spec.reclaimable != reclaimable || failures_suspect(j) || clock_seconds_since(j->seen) < 0.4) continue;
+        if (j->spec.allows_spot != reclaimable || failures_suspect(j) || clock_seconds_since(j->eligible_since) < 0.4)
+            continue;
         /* A dear machine that nobody needs is given back rather than kept for work that nobody expects by a time. */
         if (reclaimable && !rounds_has_aim(j)) continue;
         const struct settings_team *t = &cfg->teams[j->spec.team];
-        int left = rounds_missing(j), tasks = j->spec.shape == JOB_BATCH ? 1 : left;
+        int left = rounds_missing(j), tasks = j->spec.kind == JOB_ARRAY ? 1 : left;
         if (left <= 0 || !quota_waits_for_machines(j, tasks) ||
             (t->gpus_max > 0 && preempt_beyond(j->spec.team) + t->gpus + tasks * j->spec.gpus > t->gpus_max))
             continue;
@@ -116,7 +117,7 @@
     GPtrArray *jobs = jobs_active_of(k);
     for (guint i = 0; i < jobs->len; i++) {
         const struct job *o = jobs->pdata[i];
-        if (o->unplaced && o->rank >= j->rank) return true;
+        if (o->unplaced && o->priority >= j->priority) return true;
     }
     return false;
 }
@@ -129,7 +130,7 @@
     bool first = false;
     for (guint i = 0; i < order->len && !first; i++) {
         const struct rounds_ranked *o = &g_array_index(order, struct rounds_ranked, i);
-        first = o->within && o->j->unplaced && o->j->rank >= j->rank;
+        first = o->within && o->j->unplaced && o->j->priority >= j->priority;
     }
     g_array_free(order, TRUE);
     return first;
@@ -154,11 +155,11 @@
             continue;
         if (!placement_allowed(m, j, site, NULL)) continue;
         /* For work that could use cheap machines a dear one goes only if it is surplus here. */
-        if (j->spec.reclaimable && !within && !m->spot && !m->draining) continue;
-        if (j->spec.reclaimable && m->bookings->len == 0 && records_shards[k].fit_nowhere && !within) continue;
+        if (j->spec.allows_spot && !within && !m->spot && !m->draining) continue;
+        if (j->spec.allows_spot && m->bookings->len == 0 && records_shards[k].fit_nowhere && !within) continue;
         bool all = true;
         for (guint b = 0; b < m->bookings->len; b++) all &= preempt_evictable(m->bookings->pdata[b], j, within);
-        if (!all || !quota_may_be_cleared(m, j->rank)) continue;
+        if (!all || !quota_may_be_cleared(m, j->priority)) continue;
         double cost = m->bookings->len * 2.0;
         for (guint b = 0; b < m->bookings->len; b++) cost += preempt_fresh_start(m->bookings->pdata[b]);
         cost += (g_hash_table_contains(m->images, j->spec.image) ? 0 : 3);
@@ -189,11 +190,11 @@
         if (!m) continue;
         m->transfer_to = s;
         m->transfer_since = clock_now();
-        log_info("machine %s: transfer from share %d to share %d for %s", m->id, k, s, j->spec.uid);
+        log_info("machine %s: transfer from share %d to share %d for %s", m->id, k, s, j->spec.job_id);
         for (guint b = 0; b < m->bookings->len; b++) {
             struct booking *x = m->bookings->pdata[b];
             if (!x->stop) quota_stopped(x);
-            bookings_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.flush_s + 1 : 0);
+            bookings_stop(x, x->job->spec.checkpoint_s > 0 ? x->job->spec.checkpoint_flush_s + 1 : 0);
         }
     }
 }
--- a/src/users/users.c
+++ b/src/users/users.c
@@ -28,7 +28,7 @@
 struct user_request {
     enum request_kind kind;
     struct http_request *req;
-    char uid[64];
+    char job_id[64];
     char *spec_text;
     int team;
     char **prerequisites;
@@ -84,10 +84,10 @@
     g_free(a);
 }
 
-static void reply_job(struct http_request *r, unsigned status, const char *uid, const char *state, int done,
+static void reply_job(struct http_request *r, unsigned status, const char *job_id, const char *state, int done,
                       int running) {
     char body[200];
-    snprintf(body, sizeof body, "{\"uid\":\"%s\",\"state\":\"%s\",\"done\":%d,\"running\":%d}", uid, state, done,
+    snprintf(body, sizeof body, "{\"uid\":\"%s\",\"state\":\"%s\",\"done\":%d,\"running\":%d}", job_id, state, done,
              running);
     http_reply(r, status, body, 0);
 }
@@ -107,7 +107,7 @@
         return;
     }
     const char *s = jobs_state_name(j, &running);
-    reply_job(a->req, 200, a->uid, s, j->n_done, running);
+    reply_job(a->req, 200, a->job_id, s, j->n_done, running);
 }
 
 static void push(int lane, struct user_request *a) {
@@ -128,7 +128,7 @@
 
 /* 400 if the job's record would be larger than the service takes some day; names the field that takes most of it. */
 static unsigned check_size(const cJSON *spec, const char *spec_text, char *why, size_t n) {
-    if (jobs_record_bytes(spec_text) <= jobs_record_most()) return 0;
+    if (jobs_record_bytes(spec_text) <= jobs_record_bytes_max()) return 0;
     const cJSON *x;
     const char *largest = "body";
     size_t most = 0;
@@ -140,7 +140,7 @@
         most = length;
         largest = x->string;
     }
-    snprintf(why, n, "%.40s: too long, a job's record may take %zu bytes", largest, jobs_record_most());
+    snprintf(why, n, "%.40s: too long, a job's record may take %zu bytes", largest, jobs_record_bytes_max());
     return 400;
 }
 
@@ -153,11 +153,11 @@
         refuse(r, 400, "body: above 64 KiB", 0);
         return;
     }
-    unsigned refusal = (unsigned)jobs_parse(body, len, cfg, &spec, field, sizeof field);
+    unsigned refusal = (unsigned)job_spec_parse(body, len, cfg, &spec, field, sizeof field);
     cJSON *o = cJSON_ParseWithLength(body, len);
-    const char *uid = json_get_string(o, "uid");
+    const char *job_id = json_get_string(o, "uid");
     if (refusal) snprintf(why, sizeof why, "%s: missing or invalid", field);
-    if (refusal && !jobs_uid_ok(uid)) {
+    if (refusal && !job_id_valid(job_id)) {
         refuse(r, refusal, why, 0);
         cJSON_Delete(o);
         return;
@@ -169,19 +169,20 @@
     a->req = r;
     a->came = clock_now();
     a->refusal = refusal;
-    g_strlcpy(a->uid, uid, sizeof a->uid);
+    g_strlcpy(a->job_id, job_id, sizeof a->job_id);
     store_lock();
-    struct job *j = jobs_find(a->uid);
+    struct job *j = jobs_find(a->job_id);
     bool terminal = j && j->known && j->state != JOB_QUEUED, known = j && j->known;
     bool away = store_unreachable(), ready = !away && (known || refusal || cloud_flavours_known());
     if (terminal) answer_known(a, j);
     if (!known && ready && !refusal)
-        a->refusal = (unsigned)jobs_feasible(&spec, cfg, cloud_flavours(), cloud_flavours_count(), why, sizeof why);
+        a->refusal =
+            (unsigned)job_spec_check_feasible(&spec, cfg, cloud_flavours(), cloud_flavours_count(), why, sizeof why);
     store_unlock();
     a->team = refusal ? -1 : spec.team;
     a->prerequisites = spec.prerequisites;
     spec.prerequisites = NULL;
-    jobs_spec_clear(&spec);
+    job_spec_clear(&spec);
     if (terminal) {
         request_free(a);
     } else if (!ready) {
@@ -206,19 +207,19 @@
         return true;
     }
     if (strncmp(p, "/work/", 6) != 0) return false;
-    char uid[64];
+    char job_id[64];
     const char *slash = strchr(p + 6, '/');
     bool cancel = slash && strcmp(slash, "/cancel") == 0;
-    if ((slash && !cancel) || strlen(p + 6) >= sizeof uid + 7) {
+    if ((slash && !cancel) || strlen(p + 6) >= sizeof job_id + 7) {
         refuse(r, 404, "no such path", 0);
         return true;
     }
-    g_strlcpy(uid, p + 6, slash ? MIN(sizeof uid, (size_t)(slash - p - 6) + 1) : sizeof uid);
+    g_strlcpy(job_id, p + 6, slash ? MIN(sizeof job_id, (size_t)(slash - p - 6) + 1) : sizeof job_id);
     if (strcmp(m, cancel ? "POST" : "GET") != 0) {
         refuse(r, 405, "method not allowed", 0);
         return true;
     }
-    if (!jobs_uid_ok(uid)) {
+    if (!job_id_valid(job_id)) {
         refuse(r, 404, "no such job", 0);
         return true;
     }
@@ -226,9 +227,9 @@
     a->kind = cancel ? REQUEST_CANCEL : REQUEST_POLL;
     a->req = r;
     a->came = clock_now();
-    g_strlcpy(a->uid, uid, sizeof a->uid);
+    g_strlcpy(a->job_id, job_id, sizeof a->job_id);
     store_lock();
-    struct job *j = jobs_find(uid);
+    struct job *j = jobs_find(job_id);
     bool terminal = j && j->known && j->state != JOB_QUEUED, ready = !store_unreachable();
     bool to_write = cancel || (j && chains_to_cancel(j));
     if (terminal) answer_known(a, j);
@@ -287,9 +288,9 @@
         return;
     }
     char key[96];
-    snprintf(key, sizeof key, "job/%s", a->uid);
+    snprintf(key, sizeof key, "job/%s", a->job_id);
     store_lock();
-    const struct job *j = jobs_find(a->uid);
+    const struct job *j = jobs_find(a->job_id);
     if (not_read_again(t, answer, key))
         refuse(a->req, 503, "the state service did not answer", 1);
     else if (j && j->known)
@@ -304,7 +305,7 @@
     store_lock();
     for (guint i = 0; i < batch->len; i++) {
         const struct user_request *a = batch->pdata[i];
-        snprintf(key, sizeof key, "job/%s", a->uid);
+        snprintf(key, sizeof key, "job/%s", a->job_id);
         store_txn_compare(t, key, store_key_revision(key));
     }
     store_unlock();
@@ -341,17 +342,19 @@
     return NULL;
 }
 
-static int shard_of_new(const struct user_request *a) { return a->team < 0 ? -1 : quota_shard_of_new(a->team, a->uid); }
+static int shard_of_new(const struct user_request *a) {
+    return a->team < 0 ? -1 : quota_shard_of_new(a->team, a->job_id);
+}
 
 /* Fills the transaction for one round of submissions and cancels; a job known by now needs a compare only. */
 static void accept_fill(GPtrArray *batch, struct store_txn *t) {
     char key[96];
     for (guint i = 0; i < batch->len; i++) {
         struct user_request *a = batch->pdata[i];
-        snprintf(key, sizeof key, "job/%s", a->uid);
-        struct job *j = jobs_find(a->uid);
+        snprintf(key, sizeof key, "job/%s", a->job_id);
+        struct job *j = jobs_find(a->job_id);
         bool twice = false;
-        for (guint k = 0; k < i; k++) twice |= strcmp(((struct user_request *)batch->pdata[k])->uid, a->uid) == 0;
+        for (guint k = 0; k < i; k++) twice |= strcmp(((struct user_request *)batch->pdata[k])->job_id, a->job_id) == 0;
         store_txn_compare(t, key, store_key_revision(key));
         a->was_known = j && j->known;
         if (twice) continue;
@@ -373,7 +376,7 @@
     for (guint i = 0; i < batch->len; i++) {
         struct user_request *a = batch->pdata[i];
         char key[96];
-        snprintf(key, sizeof key, "job/%s", a->uid);
+        snprintf(key, sizeof key, "job/%s", a->job_id);
         if (rc != STORE_OK) {
             store_lock();
             bool away = store_unreachable();
@@ -390,12 +393,12 @@
         const cJSON *x;
         cJSON_ArrayForEach(x, t->operations) wrote |= strcmp(json_get_string(x, "set"), key) == 0;
         store_lock();
-        struct job *j = jobs_find(a->uid);
+        struct job *j = jobs_find(a->job_id);
         if (a->kind == REQUEST_SUBMIT) {
             if (j && j->known && (!wrote || a->was_known))
                 answer_known(a, j);
             else if (j && j->known)
-                reply_job(a->req, 201, a->uid, jobs_state_name(j, &running), 0, 0);
+                reply_job(a->req, 201, a->job_id, jobs_state_name(j, &running), 0, 0);
             else
                 refuse(a->req, a->refusal, a->why, a->refusal == 503 ? 2 : 0);
         } else if (a->kind == REQUEST_POLL) {
@@ -404,7 +407,7 @@
             if (j->state == JOB_QUEUED) {
                 refuse(a->req, 503, "not decided yet", 1);
             } else {
-                j->told_cancelled = j->state == JOB_CANCELLED;
+                j->cancel_acknowledged = j->state == JOB_CANCELLED;
                 answer_known(a, j);
                 chains_wake();
             }
@@ -422,10 +425,10 @@
         struct user_request *a = batch->pdata[i];
         if (a->refusal || !a->prerequisites) continue;
         store_lock();
-        const struct job *j = jobs_find(a->uid);
+        const struct job *j = jobs_find(a->job_id);
         bool known = j && j->known;
         store_unlock();
-        if (!known) a->refusal = chains_check(c, a->uid, a->prerequisites, a->why, sizeof a->why);
+        if (!known) a->refusal = chains_check(c, a->job_id, a->prerequisites, a->why, sizeof a->why);
     }
 }
 
--- a/src/watch/watch.c
+++ b/src/watch/watch.c
@@ -127,7 +127,7 @@
 static void replicas_at_risk(const struct machine *m) {
     for (guint b = 0; b < m->bookings->len; b++) {
         struct booking *x = m->bookings->pdata[b];
-        x->job->at_risk += !x->over && x->job->spec.shape == JOB_STANDING;
+        x->job->replicas_at_risk += !x->over && x->job->spec.kind == JOB_SERVICE;
     }
 }
 
@@ -180,7 +180,8 @@
 }
 
 void watch_machines(int k, const struct watch_hearing *hearing) {
-    for (guint i = 0; i < jobs_active_of(k)->len; i++) ((struct job *)jobs_active_of(k)->pdata[i])->at_risk = 0;
+    for (guint i = 0; i < jobs_active_of(k)->len; i++)
+        ((struct job *)jobs_active_of(k)->pdata[i])->replicas_at_risk = 0;
     struct zone_watch zones[SETTINGS_ZONES];
     look_at_zones(k, zones);
     /* If most are silent it is more likely us than them; not so if one zone is silent and another is heard well. */
@@ -238,12 +239,12 @@
             double left = m->warning - clock_seconds_since(m->warned);
             for (guint b = 0; b < m->bookings->len; b++) {
                 struct booking *x = m->bookings->pdata[b];
-                if (!x->stop && x->job->spec.checkpoint_s > 0 && left < x->job->spec.flush_s + 6) {
+                if (!x->stop && x->job->spec.checkpoint_s > 0 && left < x->job->spec.checkpoint_flush_s + 6) {
                     /* A gang saves only if all its tasks are told at about the same time. */
-                    bool gang = x->job->spec.shape == JOB_GROUP;
+                    bool gang = x->job->spec.kind == JOB_GANG;
                     for (guint n = 0; n < (gang ? x->job->bookings->len : 1); n++) {
                         struct booking *y = gang ? x->job->bookings->pdata[n] : x;
-                        bookings_stop(y, y->job->spec.flush_s + 2);
+                        bookings_stop(y, y->job->spec.checkpoint_flush_s + 2);
                     }
                 }
             }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -125,8 +125,8 @@
     for (guint i = 0; i < m->bookings->len && i < RECORDS_TASKS_MOST; i++) {
         struct booking *b = m->bookings->pdata[i];
         char task[96];
-        if (b->over || !b->job->told_cancelled || b->asked_to_end >= END_TRIES) continue;
-        snprintf(task, sizeof task, "%s/%d", b->job->spec.uid, b->task);
+        if (b->over || !b->job->cancel_acknowledged || b->asked_to_end >= END_TRIES) continue;
+        snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
         if (!orders) orders = cJSON_CreateArray();
         workers_add_order(orders, "stop", task, b->attempt, 0);
         b->asked_to_end++;
--- a/src/workers/orders.c
+++ b/src/workers/orders.c
@@ -42,7 +42,7 @@
         struct booking *b = m->bookings->pdata[i];
         char task[96];
         if (b->over) continue;
-        snprintf(task, sizeof task, "%s/%d", b->job->spec.uid, b->task);
+        snprintf(task, sizeof task, "%s/%d", b->job->spec.job_id, b->task);
         if (b->stop) {
             if (b->seen && (!direct || !b->stop_sent || b->grace_s <= 0))
                 workers_add_order(list, "stop", task, b->attempt, b->grace_s);
--- a/src/workers/reports.c
+++ b/src/workers/reports.c
@@ -33,7 +33,7 @@
 static void ended(struct booking *b, const char *cause) {
     struct job *j = b->job;
     b->over = true;
-    jobs_touch(j, b->task);
+    jobs_mark_dirty(j, b->task);
     if (cause && strcmp(cause, "done") == 0) {
         if (j->state == JOB_QUEUED) {
             jobs_mark_done(j, b->task);
@@ -41,10 +41,10 @@
         }
         return;
     }
-    log_debug("task %s/%d on %s ended: %s", j->spec.uid, b->task, b->m->id, cause ? cause : "?");
+    log_debug("task %s/%d on %s ended: %s", j->spec.job_id, b->task, b->m->id, cause ? cause : "?");
     if (!cause || j->state != JOB_QUEUED) return;
     if (strcmp(cause, "error") == 0) {
-        log_info("task %s/%d failed on machine %s", j->spec.uid, b->task, b->m->id);
+        log_info("task %s/%d failed on machine %s", j->spec.job_id, b->task, b->m->id);
         failures_note(j, b->m);
     } else if (strcmp(cause, "unknown") == 0) {
         j->retry_at = clock_instant_in(clock_from_seconds(3));
@@ -60,8 +60,8 @@
     int index = (int)g_ascii_strtoll(slash + 1, NULL, 10);
     for (guint i = 0; i < m->bookings->len; i++) {
         struct booking *b = m->bookings->pdata[i];
-        if (b->attempt == attempt && b->task == index && strlen(b->job->spec.uid) == n &&
-            strncmp(b->job->spec.uid, task, n) == 0)
+        if (b->attempt == attempt && b->task == index && strlen(b->job->spec.job_id) == n &&
+            strncmp(b->job->spec.job_id, task, n) == 0)
             return b;
     }
     return NULL;
@@ -76,10 +76,10 @@
     cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(report, "tasks")) {
         const char *task = json_get_string(x, "task"), *slash = task ? strrchr(task, '/') : NULL;
         struct unknown_task st = {"", 0, false};
-        char uid[64];
-        if (!slash || (size_t)(slash - task) >= sizeof uid || !json_get_int64(x, "try", &st.attempt)) continue;
-        g_strlcpy(uid, task, (gsize)(slash - task) + 1);
-        const struct job *j = jobs_find(uid);
+        char job_id[64];
+        if (!slash || (size_t)(slash - task) >= sizeof job_id || !json_get_int64(x, "try", &st.attempt)) continue;
+        g_strlcpy(job_id, task, (gsize)(slash - task) + 1);
+        const struct job *j = jobs_find(job_id);
         if (!j || j->state != JOB_CANCELLED || state_of(json_get_string(x, "state")) == TASK_ENDED) continue;
         g_strlcpy(st.task, task, sizeof st.task);
         g_array_append_val(m->unknown_tasks, st);
@@ -160,7 +160,7 @@
     const struct job_spec *spec = &b->job->spec;
     bool there = spec->image && g_hash_table_contains(b->m->images, spec->image);
     log_info("task %s runs on %s (%s): %.1f s after its job was ready, %.1f s after booking, image was %s", task,
-             b->m->id, spec->jobclass ? spec->jobclass : "?", clock_time_of_day() - b->job->ready,
+             b->m->id, spec->job_class ? spec->job_class : "?", clock_time_of_day() - b->job->ready,
              clock_seconds_since(b->booked), there ? "there" : "fetched");
 }
 
@@ -170,7 +170,7 @@
     if (b->state != state) b->changed = b->m->heard;
     if (state == TASK_RUNNING && b->state != state) log_start(b, task);
     b->state = state;
-    if (state == TASK_RUNNING && b->job->spec.shape == JOB_STANDING && clock_seconds_since(b->changed) > PROVEN_S)
+    if (state == TASK_RUNNING && b->job->spec.kind == JOB_SERVICE && clock_seconds_since(b->changed) > PROVEN_S)
         failures_note_success(b->job);
     if ((state == TASK_RUNNING || state == TASK_GATHERING) && b->job->spec.image)
         g_hash_table_add(b->m->images, g_strdup(b->job->spec.image));
@@ -209,13 +209,13 @@
     for (guint i = 0; i < m->bookings->len && i < BOOKINGS_MOST; i++) {
         struct booking *b = m->bookings->pdata[i];
         if (listed[i] || b->over) continue;
-        bool gang_lost = b->job->spec.shape == JOB_GROUP &&
+        bool gang_lost = b->job->spec.kind == JOB_GANG &&
                          clock_seconds_since(b->booked) > 2 * clock_to_seconds(workers_settings->report);
         if (!b->seen && !b->stop && !b->inherited && !gang_lost) continue;
-        log_info("task %s/%d try %lld is gone from machine %s", b->job->spec.uid, b->task, (long long)b->attempt,
+        log_info("task %s/%d try %lld is gone from machine %s", b->job->spec.job_id, b->task, (long long)b->attempt,
                  m->id);
         b->over = true;
-        jobs_touch(b->job, b->task);
+        jobs_mark_dirty(b->job, b->task);
         change = true;
     }
     return change;
