--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -12,7 +12,9 @@
 #include "logging/logging.h"
 #include "machines/page_assignment.h"
 #include "machines/records.h"
+#include "settings/settings.h"
 #include "site.h"
+#include "store.h"
 #include "store/keys.h"
 
 #define FIRST_REVISION 1000000 /* above all that the store gives in a test */
@@ -40,6 +42,14 @@
     }
 }
 
+bool owned_start_site(struct settings *settings) {
+    char *text = site_json();
+    bool ok = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->state);
+    g_free(text);
+    if (ok) owned_start(settings);
+    return ok;
+}
+
 void owned_put(const char *key, const char *json) {
     cJSON *parsed = json ? cJSON_Parse(json) : NULL;
     assert_true(!json || parsed);
@@ -47,6 +57,13 @@
     cJSON_Delete(parsed);
 }
 
+void owned_put_machine_type(void) {
+    owned_put(
+        "types",
+        "{\"flavours\":[{\"sku\":\"g16\",\"vcpus\":16,\"gpus\":2,\"memory_gb\":64,\"hourly\":7,\"market_price\":2,"
+        "\"startup_s\":25,\"sites\":[\"za\",\"zb\",\"zc\"]}]}");
+}
+
 /* A steady machine that this controller owns, with a free 16 CPUs, 2 GPUs, 64 GB, on page 0 and up. */
 struct machine *owned_machine(const char *id, const char *zone, bool spot) {
     machines_rented(0, id, "g16", zone, spot);
--- a/tests/standin/owned.h
+++ b/tests/standin/owned.h
@@ -13,12 +13,17 @@
 
 /* Wires the packages and waits until shard 0 is owned. Without the lock. */
 void owned_start(const struct settings *settings);
+/* Reads the settings of site.h, starts a stand-in of the store for them, then as owned_start. False: one of both
+ * failed. */
+bool owned_start_site(struct settings *settings);
 
 /* All below with store_lock held. */
 
 /* A mod revision above all before. */
 int64_t owned_next_revision(void);
 void owned_put(const char *key, const char *json); /* as if read from the store; json NULL: the row is removed */
+/* The record of the machine type of all machines below. */
+void owned_put_machine_type(void);
 /* A steady machine of shard 0 with 16 CPUs, 2 GPUs and 64 GB free, on one of its pages and up. */
 struct machine *owned_machine(const char *id, const char *zone, bool spot);
 /* So many of them, in all zones in turn, with their pages written at once. */
--- a/tests/standin/pair.c
+++ b/tests/standin/pair.c
@@ -14,6 +14,8 @@
 #define START_S 15
 #define POLL_S 0.05
 #define LEASE_POLL_S 0.1
+#define CANCEL_RETRY_S 0.02
+#define PATH_BYTES 64
 
 #define TEAMS                                                                  \
     "[{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0,\"gpus\":4,\"gpus_max\":0}," \
@@ -79,6 +81,14 @@
     return pair_submit_after(job_id, team, shape, tasks, "null") / 100 == 2;
 }
 
+void pair_cancel_at(int index, const char *job_id, double within, char *state, size_t n) {
+    char path[PATH_BYTES];
+    struct timespec start = clock_now();
+    g_snprintf(path, sizeof path, "/work/%s/cancel", job_id);
+    while (pair_ask_one(index, "POST", path, "{}", state, n) != HTTP_OK && clock_seconds_since(start) < within)
+        clock_sleep(clock_from_seconds(CANCEL_RETRY_S));
+}
+
 bool pair_task_runs(const char *task, int want, double within) { return cluster_task_runs(task, want, within); }
 bool pair_job_becomes(const char *job_id, const char *state, double within) {
     return cluster_job_becomes(job_id, state, within);
--- a/tests/standin/pair.h
+++ b/tests/standin/pair.h
@@ -28,6 +28,9 @@
 bool pair_submit(const char *job_id, const char *team, const char *shape, int tasks);
 /* The same with `prereqs`, a JSON list; the status that ended it. */
 long pair_submit_after(const char *job_id, const char *team, const char *shape, int tasks, const char *prereqs);
+/* Asks one controller to cancel the job until it answers 200, `within` seconds at most; what it says of the job at
+ * last. */
+void pair_cancel_at(int index, const char *job_id, double within, char *state, size_t n);
 const char *pair_team_of(int owner); /* a team whose shard that controller owns; NULL: none */
 bool pair_leads(int index);
 bool pair_task_runs(const char *task, int want, double within); /* on so many machines */
