--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -45,7 +45,7 @@
 
 /* One that was rented for waiting tasks stays until it has had its first. */
 static bool awaits_first_task(const struct machine *machine) {
-    return !machine->had_task && clock_time_of_day() - machine->created_at < provisioning_give_up_s(machine);
+    return !machine->had_task && clock_time_of_day() - machine->created_at < provisioning_boot_timeout_s(machine);
 }
 
 static void count_machine(struct occupancy_summary *summary, struct machine *machine,
--- a/src/clock/clock.c
+++ b/src/clock/clock.c
@@ -31,7 +31,7 @@
     return clock_seconds_since(since) >= clock_to_seconds(duration);
 }
 
-struct timespec clock_instant_in(struct timespec duration) {
+struct timespec clock_now_plus(struct timespec duration) {
     return clock_from_seconds(clock_to_seconds(clock_now()) + clock_to_seconds(duration));
 }
 
--- a/src/cloud/capacity.c
+++ b/src/cloud/capacity.c
@@ -66,7 +66,7 @@
 void capacity_note_refused(const struct rental_request *request) {
     struct backoff *backoff = find_or_add(request);
     backoff->pause_s = backoff->pause_s > 0 ? fmin(backoff->pause_s * 2, PAUSE_MAX_S) : PAUSE_FIRST_S;
-    backoff->until = clock_instant_in(clock_from_seconds(backoff->pause_s));
+    backoff->until = clock_now_plus(clock_from_seconds(backoff->pause_s));
     log_info("cloud: no capacity for %s in %s (%s), retrying in %.0f s", request->type_name, request->zone,
              request->spot ? "spot" : "on-demand", backoff->pause_s);
 }
--- a/src/cloud/client.c
+++ b/src/cloud/client.c
@@ -67,7 +67,7 @@
 
 void cloud_client_end_pause(void) { client.paused_until = clock_now(); }
 
-static void pause_calls(double pause_s) { client.paused_until = clock_instant_in(clock_from_seconds(pause_s)); }
+static void pause_calls(double pause_s) { client.paused_until = clock_now_plus(clock_from_seconds(pause_s)); }
 
 /* A call over the rate cost nothing and is soon made again, at a time of its own: controllers that started together
  * once asked together ever after, and the last of them got nothing for 40 s. */
--- a/src/events/events.h
+++ b/src/events/events.h
@@ -1,5 +1,5 @@
-/* Wake-ups that go upward through the layers: a lower package publishes that something changed, and the package whose
- * work that is has subscribed to it. */
+/* Events that lower layers send to higher ones: a lower package publishes that something changed, and the package that
+ * handles the change has subscribed to the event. */
 #ifndef FF_EVENTS_H
 #define FF_EVENTS_H
 
@@ -9,9 +9,9 @@
     EVENT_COUNT
 };
 
-/* Handlers must neither block nor take store_lock, since publishers may hold it. One handler an event; called before
- * the threads are started. */
+/* Sets the one handler of an event. Must be called before the threads are started. The handler must neither block nor
+ * take store_lock, since publishers may hold it. */
 void events_subscribe(enum event event, void (*handler)(void));
-/* Calls the handler, if there is one, on the calling thread. */
+/* Calls the event's handler on the calling thread. Does nothing if the event has no handler. */
 void events_publish(enum event event);
 #endif
--- a/src/liveness/return_checks.c
+++ b/src/liveness/return_checks.c
@@ -94,7 +94,7 @@
 }
 
 bool return_checks_never_came_up(const struct machine *machine) {
-    return !machine->liveness.up && clock_time_of_day() - machine->created_at > provisioning_give_up_s(machine) &&
+    return !machine->liveness.up && clock_time_of_day() - machine->created_at > provisioning_boot_timeout_s(machine) &&
            clock_seconds_since(machine->owned_since) > OWNED_S;
 }
 
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -9,34 +9,37 @@
 #include "../clock/clock.h"
 #include "../machine_types/machine_types.h"
 
-#define STARTUP_UNKNOWN_S 60.0 /* for a type that promises no time */
+#define DEFAULT_STARTUP_S 60.0 /* the promised startup time of a machine type whose record names none */
 
-/* Until so many boots of a type were seen, a machine is expected within this multiple of the promised time. */
-#define SAMPLES_MIN 8
-#define PROMISE_FACTOR 1.6
+/* With fewer recorded boots of a type than this, its expected startup time is the promised one times the factor. */
+#define LEARNING_SAMPLES_MIN 8
+#define UNLEARNED_STARTUP_FACTOR 1.6
 
-/* From then on it is expected within the time that this part of the boots took, and a margin. */
-#define EXPECTED_QUANTILE 0.9
-#define EXPECTED_MARGIN 1.25
-/* Bounds of what is learned, in promised times. */
-#define EXPECTED_MIN 0.5
-#define EXPECTED_MAX 3.0
+/* With enough boots recorded, the expected startup time is this quantile of the boot times, times the margin factor. */
+#define LEARNED_QUANTILE 0.9
+#define LEARNED_MARGIN_FACTOR 1.25
+/* Bounds of the learned startup time, as multiples of the promised one. */
+#define LEARNED_MIN_FACTOR 0.5
+#define LEARNED_MAX_FACTOR 3.0
 
-/* After this multiple of the promised time and so many seconds a machine counts as failed. */
-#define GIVE_UP_FACTOR 3.5
-#define GIVE_UP_MARGIN_S 10.0
+/* A machine that is not up after the promised startup time times the factor, plus the margin, counts as failed. */
+#define BOOT_TIMEOUT_FACTOR 3.5
+#define BOOT_TIMEOUT_MARGIN_S 10.0
 
-/* Overdue machines that may be replaced: so many, or one in so many that are up. */
+/* Limit on replacements of overdue machines: one for each UP_MACHINES_PER_REPLACEMENT machines that are up, but at
+ * least REPLACEMENTS_MIN. */
 #define REPLACEMENTS_MIN 2
-#define UP_PER_REPLACEMENT 8
+#define UP_MACHINES_PER_REPLACEMENT 8
 
-/* The latest boots of a type, as a ring. */
+/* The boot times of the latest machines of a type, as a ring buffer: n times are recorded, and the next one is written
+ * at index next. */
 struct boot_times {
     double boot_s[PROVISIONING_SAMPLES_MAX];
     int n, next;
 };
 
-static GHashTable *boots_by_type; /* name of the type -> struct boot_times; made with the first */
+/* Type name -> struct boot_times; created with the first boot. Guarded by store_lock. */
+static GHashTable *boots_by_type;
 
 static struct boot_times *find_boots(const char *type_name) {
     return boots_by_type ? g_hash_table_lookup(boots_by_type, type_name) : NULL;
@@ -64,35 +67,37 @@
     return difference < 0 ? -1 : difference > 0;
 }
 
-double provisioning_expected_of(const double *boot_s, int n, double startup_s) {
-    if (n < SAMPLES_MIN) return startup_s * PROMISE_FACTOR;
+double provisioning_estimate_startup_s(const double *boot_s, int n, double startup_s) {
+    if (n < LEARNING_SAMPLES_MIN) return startup_s * UNLEARNED_STARTUP_FACTOR;
     double sorted[PROVISIONING_SAMPLES_MAX];
     n = MIN(n, PROVISIONING_SAMPLES_MAX);
     memcpy(sorted, boot_s, sizeof *sorted * (size_t)n);
     qsort(sorted, (size_t)n, sizeof *sorted, compare_times);
-    double quantile = sorted[(int)((n - 1) * EXPECTED_QUANTILE)];
-    double expected_s = fmax(quantile * EXPECTED_MARGIN, startup_s * EXPECTED_MIN);
-    return fmin(expected_s, startup_s * EXPECTED_MAX);
+    double quantile = sorted[(int)((n - 1) * LEARNED_QUANTILE)];
+    double expected_s = fmax(quantile * LEARNED_MARGIN_FACTOR, startup_s * LEARNED_MIN_FACTOR);
+    return fmin(expected_s, startup_s * LEARNED_MAX_FACTOR);
 }
 
 static double promised_startup_s(const struct machine_type *type) {
-    return type && type->startup_s > 0 ? type->startup_s : STARTUP_UNKNOWN_S;
+    return type && type->startup_s > 0 ? type->startup_s : DEFAULT_STARTUP_S;
 }
 
-double provisioning_expected_s(const struct machine_type *type) {
+double provisioning_expected_startup_s(const struct machine_type *type) {
     const struct boot_times *boots = type ? find_boots(type->type_name) : NULL;
-    if (!boots) return promised_startup_s(type) * PROMISE_FACTOR;
-    return provisioning_expected_of(boots->boot_s, boots->n, promised_startup_s(type));
+    if (!boots) return promised_startup_s(type) * UNLEARNED_STARTUP_FACTOR;
+    return provisioning_estimate_startup_s(boots->boot_s, boots->n, promised_startup_s(type));
 }
 
 bool provisioning_overdue(const struct machine *machine) {
     if (machine->liveness.up) return false;
     double booting_s = clock_time_of_day() - machine->created_at;
-    return booting_s > provisioning_expected_s(machine_types_find(machine->type_name));
+    return booting_s > provisioning_expected_startup_s(machine_types_find(machine->type_name));
 }
 
-double provisioning_give_up_s(const struct machine *machine) {
-    return GIVE_UP_FACTOR * promised_startup_s(machine_types_find(machine->type_name)) + GIVE_UP_MARGIN_S;
+double provisioning_boot_timeout_s(const struct machine *machine) {
+    return BOOT_TIMEOUT_FACTOR * promised_startup_s(machine_types_find(machine->type_name)) + BOOT_TIMEOUT_MARGIN_S;
 }
 
-int provisioning_replacements_max(int machines_up) { return MAX(REPLACEMENTS_MIN, machines_up / UP_PER_REPLACEMENT); }
+int provisioning_replacements_max(int machines_up) {
+    return MAX(REPLACEMENTS_MIN, machines_up / UP_MACHINES_PER_REPLACEMENT);
+}
--- a/src/provisioning/provisioning.h
+++ b/src/provisioning/provisioning.h
@@ -1,8 +1,8 @@
-/* How long machines take to boot, learned from those that did, and which of them are overdue.
+/* Learns how long machines take to boot, and tells which booting machines are overdue.
  *
- * A machine that is overdue is no supply any more: what was to run on it is planned elsewhere and, within bounds,
- * another one is rented. If it comes up after all it is used or returned like any other. What is overdue follows from
- * the time of its rental, which is on record, so that a new owner sees the same.
+ * An overdue machine no longer counts as capacity: its tasks are planned elsewhere and, within a limit, a replacement
+ * is rented. If it comes up after all, it is used or returned like any other machine. Whether a machine is overdue
+ * depends on its rental time, which is recorded, so a new owner computes it from the same time.
  *
  * Called by workers for each boot, and by the autoscaler and liveness. */
 #ifndef FF_PROVISIONING_H
@@ -11,23 +11,24 @@
 
 #include "../machines/machines.h"
 
-#define PROVISIONING_SAMPLES_MAX 32 /* boots remembered of each type */
+#define PROVISIONING_SAMPLES_MAX 32 /* boot times kept for each machine type */
 
-/* With store_lock held. */
+/* The following functions must be called with store_lock held. */
 
-/* A machine of the type has just been heard for the first time, so many seconds after its rental. */
+/* Records that a machine of the type sent its first message boot_s seconds after its rental. */
 void provisioning_record_boot(const char *type_name, double boot_s);
-/* Seconds after which a machine of the type is overdue. NULL: the type is not known. */
-double provisioning_expected_s(const struct machine_type *type);
+/* Returns the seconds after its rental at which a machine of the type is overdue. type may be NULL: not known. */
+double provisioning_expected_startup_s(const struct machine_type *type);
+/* Tells whether the machine is not up although its expected startup time has passed. */
 bool provisioning_overdue(const struct machine *machine);
-/* Seconds after which a machine is taken for one that never comes up. */
-double provisioning_give_up_s(const struct machine *machine);
+/* Returns the seconds after its rental at which a machine that is not up counts as failed. */
+double provisioning_boot_timeout_s(const struct machine *machine);
 
-/* Without the lock. */
+/* The following functions are pure and need no lock. */
 
-/* The seconds that all but a few of n boots took, with a margin; where too few were seen, what the type promises
- * (startup_s), with another. Pure. */
-double provisioning_expected_of(const double *boot_s, int n, double startup_s);
-/* How many machines that are overdue may be replaced at a time. Pure. */
+/* Returns the expected startup time in seconds: a high quantile of the n boot times, with a margin and within bounds
+ * set by the promised time startup_s; or, if n is too small, startup_s with another margin. */
+double provisioning_estimate_startup_s(const double *boot_s, int n, double startup_s);
+/* Returns how many overdue machines may be replaced at a time. */
 int provisioning_replacements_max(int machines_up);
 #endif
--- a/src/quarantine/quarantine.c
+++ b/src/quarantine/quarantine.c
@@ -51,7 +51,7 @@
 
 /* ---- retries ---- */
 
-static void retry_in(struct job *job, double pause_s) { job->retry_at = clock_instant_in(clock_from_seconds(pause_s)); }
+static void retry_in(struct job *job, double pause_s) { job->retry_at = clock_now_plus(clock_from_seconds(pause_s)); }
 
 /* A try may be one task or a whole gang, and a job's first failures come by the dozen: those that come while the job
  * waits already are of the same try. */
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -104,7 +104,7 @@
     int planned_full = owned_planned_tasks(full, jobs[0]->spec.job_id);
     bool unplaced = jobs[0]->unplaced;
     scheduling_round_free(full);
-    jobs[1]->retry_at = jobs[2]->retry_at = clock_instant_in(clock_from_seconds(60));
+    jobs[1]->retry_at = jobs[2]->retry_at = clock_now_plus(clock_from_seconds(60));
     struct scheduling_round *tried = scheduling_round_decide(0, 20);
     int planned_tried = owned_planned_tasks(tried, jobs[0]->spec.job_id);
     scheduling_round_free(tried);
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -80,7 +80,7 @@
     if (clock_seconds_since(team_quota->reservation_since) < most) return;
     struct timed_out *entry = &timed_out[n_timed_out++ % TIMED_OUT_MAX];
     g_strlcpy(entry->job_id, job->spec.job_id, sizeof entry->job_id);
-    entry->until = clock_instant_in(clock_from_seconds(PAUSE_TIMES * most));
+    entry->until = clock_now_plus(clock_from_seconds(PAUSE_TIMES * most));
     team_quota->reservation_holder[0] = 0;
     log_info("quota: team %s: reservation for job %s timed out", quota_settings->teams[team_quota->team].name,
              job->spec.job_id);
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -62,7 +62,7 @@
  * out for a while. */
 static void handle_invalid(const struct scheduling_round *round, const struct store_txn *transaction) {
     if (round->isolated || transaction->writes == 1) rejected_keys_add(transaction);
-    shard_states[round->shard].isolated_until = clock_instant_in(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
+    shard_states[round->shard].isolated_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
 }
 
 /* Sends one transaction. False if what comes after it must not be sent. */
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -201,7 +201,7 @@
 }
 
 static void last_heard_before(struct machine *machine, double s) {
-    machine->liveness.last_heard = machine->liveness.last_heartbeat = clock_instant_in(clock_from_seconds(0));
+    machine->liveness.last_heard = machine->liveness.last_heartbeat = clock_now_plus(clock_from_seconds(0));
     machine->liveness.last_heard.tv_sec -= (time_t)s;
     machine->liveness.last_heartbeat.tv_sec -= (time_t)s;
 }
@@ -381,9 +381,9 @@
             machines_find(id)->round.schedulable = false;
             machines_find(id)->liveness.preemption_notice_s = 100;
         }
-        if (!rows[row].up) full->retry_at = clock_instant_in(clock_from_seconds(60));
+        if (!rows[row].up) full->retry_at = clock_now_plus(clock_from_seconds(60));
         owned_job(job_id, "batch", "high", rows[row].booting, 16, 2, false, false, 10);
-        full->retry_at = clock_instant_in(clock_from_seconds(60));
+        full->retry_at = clock_now_plus(clock_from_seconds(60));
         scheduling_round_free(scheduling_round_decide(0, 20));
         int n = scale_out_plan(out, 16), machines = 0;
         for (int i = 0; i < n; i++) machines += out[i].count;
--- a/src/scheduler/transactions.c
+++ b/src/scheduler/transactions.c
@@ -50,7 +50,7 @@
     if (!rejected_until) rejected_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cJSON_ArrayForEach(operation, transaction->operations) {
         struct timespec *until = g_new0(struct timespec, 1);
-        *until = clock_instant_in(clock_from_seconds(REJECTED_KEY_PAUSE_S));
+        *until = clock_now_plus(clock_from_seconds(REJECTED_KEY_PAUSE_S));
         g_hash_table_replace(rejected_until, g_strdup(store_change_read(operation).key), until);
     }
 }
--- a/src/store/rate_budget.c
+++ b/src/store/rate_budget.c
@@ -133,7 +133,7 @@
  * left hundreds of machines idle for minutes, while the rate of changes was half used. */
 void store_budget_refused(enum store_rate rate) {
     pthread_mutex_lock(&budget.lock);
-    budget.blocked_until = clock_instant_in(clock_from_seconds(pause_after_refusal_s));
+    budget.blocked_until = clock_now_plus(clock_from_seconds(pause_after_refusal_s));
     slow_down(&budget.requests);
     if (rate == STORE_RATE_CHANGES) slow_down(&budget.changes);
     pthread_mutex_unlock(&budget.lock);
--- a/src/sync/sync.c
+++ b/src/sync/sync.c
@@ -6,7 +6,8 @@
 
 #include "../clock/clock.h"
 
-/* Small stacks: the platform's memory limit counts what is held, and no thread recurses deeply. */
+/* Thread stacks are small because the platform's memory limit counts the memory that the process holds. No thread
+ * recurses deeply. */
 #define THREAD_STACK_BYTES ((size_t)256 * 1024)
 
 void sync_cond_init(pthread_cond_t *cond) {
@@ -17,8 +18,8 @@
     pthread_condattr_destroy(&attributes);
 }
 
-bool sync_cond_wait(pthread_cond_t *cond, pthread_mutex_t *mutex, struct timespec duration) {
-    struct timespec deadline = clock_instant_in(duration);
+bool sync_cond_wait(pthread_cond_t *cond, pthread_mutex_t *mutex, struct timespec timeout) {
+    struct timespec deadline = clock_now_plus(timeout);
     return pthread_cond_timedwait(cond, mutex, &deadline) == 0;
 }
 
@@ -35,20 +36,20 @@
     pthread_mutex_unlock(&wakeup->lock);
 }
 
-void sync_wakeup_wait(struct sync_wakeup *wakeup, struct timespec at_most) {
+void sync_wakeup_wait(struct sync_wakeup *wakeup, struct timespec timeout) {
     pthread_mutex_lock(&wakeup->lock);
-    if (!wakeup->signalled) sync_cond_wait(&wakeup->cond, &wakeup->lock, at_most);
+    if (!wakeup->signalled) sync_cond_wait(&wakeup->cond, &wakeup->lock, timeout);
     wakeup->signalled = false;
     pthread_mutex_unlock(&wakeup->lock);
 }
 
-int sync_start_thread(void *(*main)(void *), void *arg) {
+int sync_start_thread(void *(*thread_main)(void *), void *arg) {
     pthread_attr_t attributes;
     pthread_t thread;
     pthread_attr_init(&attributes);
     pthread_attr_setstacksize(&attributes, THREAD_STACK_BYTES);
     pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
-    int error = pthread_create(&thread, &attributes, main, arg);
+    int error = pthread_create(&thread, &attributes, thread_main, arg);
     pthread_attr_destroy(&attributes);
     return error;
 }
--- a/src/workers/codec.c
+++ b/src/workers/codec.c
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <string.h>
 
-/* Members of messages that are read and written. */
+/* Names of message members that are used more than once. */
 #define KEY_INCARNATION "tenure"
 #define KEY_FENCING_TOKEN "fence"
 #define KEY_DIRECTIVES "orders"
--- a/src/workers/codec.h
+++ b/src/workers/codec.h
@@ -1,5 +1,5 @@
-/* The JSON of the worker protocol: heartbeats and workers' answers in, directives and responses out. The protocol's
- * member names stand in codec.c only. Pure: any thread, no lock. */
+/* The JSON of the worker protocol: reads heartbeats and workers' answers, and writes commands and responses that carry
+ * directives. Only codec.c knows the member names of these messages. Pure: any thread, no lock. */
 #ifndef FF_WORKERS_CODEC_H
 #define FF_WORKERS_CODEC_H
 #include <stdbool.h>
@@ -8,19 +8,19 @@
 #include "../json/json.h"
 #include "../model/allocation.h"
 
-/* A heartbeat, or a worker's answer to a command or an inspection, which has the same members. Read once; the texts
- * and the list of tasks belong to the JSON that it was read from. */
+/* A heartbeat, or a worker's answer to a command or an inspection, which has the same members. The strings and the
+ * list of tasks belong to the JSON message that the heartbeat was read from. */
 struct heartbeat {
     const char *machine_id, *address, *type_name, *zone; /* NULL: absent */
     bool spot;
-    int64_t incarnation, sequence; /* -1: absent, or no whole number */
-    int64_t fencing_token;         /* the newest that the worker has been shown; 0: absent, or no whole number */
+    int64_t incarnation, sequence; /* -1: absent, or not an integer */
+    int64_t fencing_token;         /* the highest that the worker has received; 0: absent, or not an integer */
     bool has_preemption_notice;
     double preemption_notice_s; /* seconds until the cloud reclaims the machine */
-    const cJSON *tasks;         /* of any type; NULL: absent */
+    const cJSON *tasks;         /* a JSON value of any type; NULL: absent */
 };
 
-/* message NULL: nothing is there. */
+/* Reads a heartbeat. With message NULL every member is absent. */
 struct heartbeat codec_read_heartbeat(const cJSON *message);
 
 /* An item of a heartbeat's list of tasks. */
@@ -29,29 +29,31 @@
     int64_t attempt;
 };
 
-/* False where the name or the attempt is absent or of another type. */
+/* Reads the task's name and attempt. Returns false if one of them is absent or has the wrong type. */
 bool codec_read_task(const cJSON *item, struct listed_task *task);
-/* A state that this version does not know is that of a task that may run. */
+/* Returns the task's state; TASK_RUNNING if the state is absent or unknown to this version, since the task may run. */
 enum task_state codec_read_task_state(const cJSON *item);
-/* Why the task has ended; NULL: not said. */
+/* Returns the cause of the task's end; NULL: absent. */
 const char *codec_read_task_cause(const cJSON *item);
 
+/* DIRECTIVE_FORGET removes an attempt that has ended from the worker's list of tasks. */
 enum directive_kind { DIRECTIVE_RUN, DIRECTIVE_STOP, DIRECTIVE_FORGET };
 
+/* What a worker is to do with an attempt of a task. */
 struct directive {
     enum directive_kind kind;
     const char *task; /* JOB/INDEX */
     int64_t attempt;
-    double grace_s; /* of a stop: for so long the task may save its state */
+    double grace_s; /* DIRECTIVE_STOP: seconds that the task has to save its state */
 };
 
-/* Appends a directive to a list of them, in the worker's form. */
+/* Appends the directive's JSON to the list. */
 void codec_add_directive(cJSON *directives, const struct directive *directive);
-/* A list of directives starts a task. */
+/* Tells whether the list contains a directive that starts a task. */
 bool codec_has_start(const cJSON *directives);
 
-/* The body of a command; the list stays the caller's, who frees the text. */
+/* Returns the body of a command, which the caller frees. The caller keeps ownership of the list of directives. */
 char *codec_write_command(int64_t fencing_token, int64_t incarnation, cJSON *directives);
-/* The body of a response to a heartbeat; takes the list over. The caller frees it. */
+/* Returns the body of a response to a heartbeat, which the caller frees. Takes ownership of the list of directives. */
 cJSON *codec_write_response(int64_t fencing_token, cJSON *directives);
 #endif
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -8,18 +8,18 @@
 #include "../machines/machines.h"
 #include "../sync/sync.h"
 
-#define POP_WAIT_S 30 /* a waiting sender checks its queue at least that often */
+#define POP_WAIT_S 30 /* longest time between a waiting sender's checks of its queue */
 
 static struct {
     pthread_mutex_t lock;
-    pthread_cond_t filled;
+    pthread_cond_t not_empty;
     GQueue *commands;
 } queues[QUEUE_COUNT];
 
 void commands_init(void) {
     for (int i = 0; i < QUEUE_COUNT; i++) {
         pthread_mutex_init(&queues[i].lock, NULL);
-        sync_cond_init(&queues[i].filled);
+        sync_cond_init(&queues[i].not_empty);
         queues[i].commands = g_queue_new();
     }
 }
@@ -48,14 +48,14 @@
 void commands_push(enum command_queue queue, struct command *command) {
     pthread_mutex_lock(&queues[queue].lock);
     g_queue_push_tail(queues[queue].commands, command);
-    pthread_cond_signal(&queues[queue].filled);
+    pthread_cond_signal(&queues[queue].not_empty);
     pthread_mutex_unlock(&queues[queue].lock);
 }
 
 struct command *commands_pop(enum command_queue queue) {
     pthread_mutex_lock(&queues[queue].lock);
     while (queues[queue].commands->length == 0)
-        sync_cond_wait(&queues[queue].filled, &queues[queue].lock, clock_from_seconds(POP_WAIT_S));
+        sync_cond_wait(&queues[queue].not_empty, &queues[queue].lock, clock_from_seconds(POP_WAIT_S));
     struct command *command = g_queue_pop_head(queues[queue].commands);
     pthread_mutex_unlock(&queues[queue].lock);
     return command;
--- a/src/workers/commands.h
+++ b/src/workers/commands.h
@@ -1,4 +1,4 @@
-/* Commands to workers on their way from the dispatcher to the senders. */
+/* Queues of commands to workers, from the dispatcher to the senders. */
 #ifndef FF_WORKERS_COMMANDS_H
 #define FF_WORKERS_COMMANDS_H
 #include <stdbool.h>
@@ -10,35 +10,37 @@
 
 enum command_kind {
     COMMAND_DIRECTIVES,     /* directives to an owned machine */
-    COMMAND_TOKEN_PROBE,    /* shows an owned machine our fencing token, and asks for its tasks */
-    COMMAND_STOP_CANCELLED, /* stops of cancelled tasks on another controller's machine */
-    COMMAND_INSPECT         /* asks an unregistered machine what it is */
+    COMMAND_TOKEN_PROBE,    /* tells an owned machine its current fencing token, and asks for its tasks */
+    COMMAND_STOP_CANCELLED, /* stops cancelled tasks on another controller's machine */
+    COMMAND_INSPECT         /* asks an unregistered machine for its id, type and zone */
 };
 
+/* A request to a worker that one of the senders makes. */
 struct command {
     enum command_kind kind;
     char machine_id[MACHINE_ID_SIZE], address[MACHINE_ADDRESS_SIZE];
-    char *body;        /* of directives and token probes */
-    cJSON *directives; /* of COMMAND_STOP_CANCELLED */
+    char *body;        /* COMMAND_DIRECTIVES and COMMAND_TOKEN_PROBE: the request body; else NULL */
+    cJSON *directives; /* COMMAND_STOP_CANCELLED: the stops; else NULL */
     bool has_start;    /* the directives start a task */
     int64_t fencing_token, incarnation;
-    int64_t owned_token; /* the shard's under which the machine was owned at the decision */
-    struct timespec decided_at;
+    int64_t owned_token; /* the shard's fencing token under which this controller owned the machine at decided_at */
+    struct timespec decided_at; /* when the dispatcher created the command */
 };
 
-/* Inspections and token probes have a queue of their own: machines that don't answer must not hold up the others'
- * directives. */
+/* Inspections and token probes have their own queue, so that machines that do not answer do not delay the directives
+ * to other machines. */
 enum command_queue { QUEUE_DIRECTIVES, QUEUE_PROBES, QUEUE_COUNT };
 
-/* Called before the threads are started. */
+/* Must be called before the threads are started. */
 void commands_init(void);
-/* A command to the machine; the caller fills in the rest. */
+/* Creates a command to the machine; the caller sets the remaining members. */
 struct command *command_new(enum command_kind kind, const char *machine_id, const char *address);
-/* The same under the machine's present fencing token and incarnation. With store_lock held. */
+/* Creates a command with the machine's current fencing token and incarnation (1 if it is not known). With store_lock
+ * held. */
 struct command *command_new_fenced(enum command_kind kind, const struct machine *machine);
 void command_free(struct command *command);
-/* Takes the command over. From any thread, with or without store_lock. */
+/* Adds a command to the queue and takes ownership of it. From any thread, with or without store_lock. */
 void commands_push(enum command_queue queue, struct command *command);
-/* Waits for a command, which becomes the caller's. Without the lock. */
+/* Waits until the queue has a command, removes it and passes its ownership to the caller. Without store_lock. */
 struct command *commands_pop(enum command_queue queue);
 #endif
--- a/src/workers/directives.c
+++ b/src/workers/directives.c
@@ -16,8 +16,8 @@
            !machine->retirement.returning && !machine->retirement.return_wanted;
 }
 
-/* One that is only a probe does not count: a machine whose last start is in doubt is probed all the same, else those
- * that hang with a start in doubt were found 5 s later than the others. */
+/* A probe in flight does not count, because it carries no starts. Machines are also probed while the outcome of their
+ * last start is unknown: without that, hanging machines in this state were detected 5 s later than others. */
 bool directives_start_in_flight(const struct machine *machine) {
     return machine->commands.in_flight && !machine->commands.probe_in_flight;
 }
@@ -26,16 +26,17 @@
     snprintf(name, n, "%s/%d", allocation->job->spec.job_id, allocation->task);
 }
 
-void directives_stop_unknown(const struct machine *machine, cJSON *directives) {
+void directives_add_unknown_stops(const struct machine *machine, cJSON *directives) {
     for (guint i = 0; i < machine->agent.unknown_tasks->len; i++) {
         const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
         codec_add_directive(directives, &(struct directive){DIRECTIVE_STOP, unknown->task, unknown->attempt, 0});
     }
 }
 
-/* Tasks without an allocation. As long as the worker lists an attempt that has ended, a start of it that still comes
- * does nothing: it is forgotten only when no start can come any more. */
-static void add_for_unknown(const struct machine *machine, bool shows_token, cJSON *directives) {
+/* Adds directives for tasks without an allocation: a stop, or a forget if the attempt has ended. While the worker lists
+ * an ended attempt, a delayed start of that attempt has no effect. The attempt is therefore forgotten only when no such
+ * start can arrive any more. */
+static void add_for_unknown_tasks(const struct machine *machine, bool shows_token, cJSON *directives) {
     bool may_forget = shows_token && !machine->commands.outcome_unknown && !directives_start_in_flight(machine);
     for (guint i = 0; i < machine->agent.unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
         const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
@@ -45,7 +46,8 @@
     }
 }
 
-/* Each response to a heartbeat repeats a stop; a command repeats only one that leaves no time to save. */
+/* Tells whether the allocation's stop is sent over the channel. Each response to a heartbeat repeats the stop; a
+ * command repeats it only if its grace period is zero. */
 static bool stop_due(const struct allocation *allocation, enum worker_channel channel) {
     return allocation->seen && (channel == CHANNEL_HEARTBEAT || !allocation->stop_sent || allocation->grace_s <= 0);
 }
@@ -68,13 +70,13 @@
     }
 }
 
-/* A worker that does not show our fencing token yet gets that first, and directives afterwards, but for stops that
- * can't wait. */
-cJSON *directives_for(struct machine *machine, enum worker_channel channel) {
+/* A worker that has not shown the machine's current fencing token gets only the stops of unknown tasks, which include
+ * tasks of cancelled jobs; it gets all other directives once it shows the token. */
+cJSON *directives_build(struct machine *machine, enum worker_channel channel) {
     cJSON *directives = cJSON_CreateArray();
     bool shows_token = machine->agent.seen_token >= machines_fencing_token(machine);
     bool may_start = membership_may_start_tasks();
-    add_for_unknown(machine, shows_token, directives);
+    add_for_unknown_tasks(machine, shows_token, directives);
     for (guint i = 0; shows_token && i < machine->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         if (!allocation->released) add_for_allocation(allocation, may_start, channel, directives);
--- a/src/workers/directives.h
+++ b/src/workers/directives.h
@@ -1,4 +1,4 @@
-/* Which directives a machine gets. With store_lock held. */
+/* Decides which directives a machine gets. All functions must be called with store_lock held. */
 #ifndef FF_WORKERS_DIRECTIVES_H
 #define FF_WORKERS_DIRECTIVES_H
 #include <stdbool.h>
@@ -6,20 +6,22 @@
 #include "../json/json.h"
 #include "../model/machine.h"
 
-/* How a worker and its controller exchange a message. */
+/* The exchange between a worker and its controller that a message belongs to. */
 enum worker_channel {
-    CHANNEL_HEARTBEAT, /* the worker's heartbeat, and the response to it */
-    CHANNEL_COMMAND    /* a command sent straight to the worker, and its answer */
+    CHANNEL_HEARTBEAT, /* the worker's heartbeat and the controller's response to it */
+    CHANNEL_COMMAND    /* the controller's command and the worker's answer to it */
 };
 
-/* Allocated by us, and not yet shown by the worker: its start may be sent. */
+/* Tells whether a start of the allocation's task may be sent: this owner allocated it, the worker has not listed it
+ * yet, and neither its job nor its machine rules a start out. */
 bool directives_awaits_start(const struct allocation *allocation);
-/* What the machine, which is owned, is to do now; remembers what of it is sent. The caller frees the list. */
-cJSON *directives_for(struct machine *machine, enum worker_channel channel);
-/* Adds a stop of each task that the machine lists and that has no allocation. */
-void directives_stop_unknown(const struct machine *machine, cJSON *directives);
-/* A command that may carry starts is on its way to the machine. */
+/* Builds the list of directives for an owned machine, to be sent over the channel, and updates the machine's and its
+ * allocations' state of sent starts and stops. The caller frees the list. */
+cJSON *directives_build(struct machine *machine, enum worker_channel channel);
+/* Adds a stop for each of the machine's unknown tasks (struct unknown_task). */
+void directives_add_unknown_stops(const struct machine *machine, cJSON *directives);
+/* Tells whether a command that may start tasks is in flight to the machine. */
 bool directives_start_in_flight(const struct machine *machine);
-/* JOB/INDEX, the name of the allocation's task. */
+/* Writes the name of the allocation's task, JOB/INDEX, to a buffer of n bytes. */
 void directives_task_name(const struct allocation *allocation, char *name, size_t n);
 #endif
--- a/src/workers/directives_test.c
+++ b/src/workers/directives_test.c
@@ -1,4 +1,4 @@
-/* Which directives the response to a heartbeat carries. */
+/* Tests which directives the response to a heartbeat contains. */
 #include "workers/directives.h"
 
 #include <glib.h>
@@ -15,7 +15,7 @@
 #include "membership/membership.h"
 #include "workers/codec.h"
 
-static struct settings cfg;
+static struct settings settings;
 
 static void stops_tasks_of_a_cancelled_job(void **state) {
     (void)state;
@@ -29,7 +29,7 @@
     worker_cancel_job("req-10002", WORKER_JOB("req-10002", "batch", "2"));
     assert_int_equal(worker_directives(machine, "run"), 0);
     assert_int_equal(worker_directives(machine, "stop"), 1);
-    /* Completed after the cancellation: it stays cancelled. */
+    /* Task 0 completes after the cancellation: the job stays cancelled. */
     worker_message(machine, 1, 2, fencing_token,
                    "{\"task\":\"req-10002/0\",\"try\":5,\"state\":\"ended\",\"cause\":\"done\"}", CHANNEL_HEARTBEAT);
     assert_int_equal(jobs_find("req-10002")->state, JOB_CANCELLED);
@@ -38,8 +38,8 @@
     store_unlock();
 }
 
-/* Controllers that end every few seconds: each answers the worker's heartbeat for the first time, and renews its lease.
- * The stop of a cancelled task goes with that first response. */
+/* When the owner changes every few seconds, each new owner's first response renews the worker's lease, so a cancelled
+ * task would run on. The stop must therefore be in that first response, before the worker shows the new token. */
 static void stops_cancelled_tasks_under_an_older_token(void **state) {
     (void)state;
     int64_t fencing_token = membership_shard(0)->fencing_token;
@@ -60,7 +60,8 @@
     store_unlock();
 }
 
-/* Allocated and not yet started when the store goes out of reach: workers are still answered, but nothing starts. */
+/* A task is allocated but not started when the store becomes unreachable. While the last read of the store is recent
+ * enough, heartbeats are still answered, but the task is started only once the store can be read again. */
 static void starts_need_a_recent_read(void **state) {
     (void)state;
     store_lock();
@@ -70,27 +71,27 @@
     assert_int_equal(worker_directives(machine, "run"), 1);
     store_unlock();
     standin_store_inject(STANDIN_OUTAGE);
-    struct timespec start = clock_now();
-    bool may = true, verified = true;
-    while (may && clock_seconds_since(start) < 8) {
+    struct timespec wait_start = clock_now();
+    bool may_start = true, may_answer = true;
+    while (may_start && clock_seconds_since(wait_start) < 8) {
         clock_sleep(clock_from_seconds(0.05));
         store_lock();
-        may = membership_may_start_tasks();
-        verified = membership_may_answer();
+        may_start = membership_may_start_tasks();
+        may_answer = membership_may_answer();
         store_unlock();
     }
-    assert_false(may);
-    assert_true(verified);
-    assert_true(clock_seconds_since(start) < 4);
+    assert_false(may_start);
+    assert_true(may_answer);
+    assert_true(clock_seconds_since(wait_start) < 4);
     store_lock();
     assert_int_equal(worker_directives(machine, "run"), 0);
     store_unlock();
     standin_store_inject(STANDIN_NO_FAULT);
-    start = clock_now();
-    while (!may && clock_seconds_since(start) < 8) {
+    wait_start = clock_now();
+    while (!may_start && clock_seconds_since(wait_start) < 8) {
         clock_sleep(clock_from_seconds(0.05));
         store_lock();
-        may = membership_may_start_tasks();
+        may_start = membership_may_start_tasks();
         store_unlock();
     }
     store_lock();
@@ -100,7 +101,7 @@
 }
 
 int main(void) {
-    if (!owned_start_site(&cfg)) return 1;
+    if (!owned_start_site(&settings)) return 1;
     store_lock();
     owned_put("job/req-10001", WORKER_JOB("req-10001", "batch", "2"));
     store_unlock();
--- a/src/workers/dispatcher.c
+++ b/src/workers/dispatcher.c
@@ -13,23 +13,24 @@
 #include "commands.h"
 #include "directives.h"
 
-#define DISPATCH_INTERVAL_S 1 /* at least that often */
-#define DISPATCH_PAUSE_S 0.02 /* between two passes: what comes meanwhile is sent together */
-#define STOP_REPEAT_S 2.0     /* between stops of cancelled tasks on another's machine */
-#define STOP_REQUESTS_MAX 5   /* of each task */
+#define DISPATCH_INTERVAL_S 1     /* longest wait for a wakeup between two passes over the machines */
+#define DISPATCH_PAUSE_S 0.02     /* pause after each pass, so that directives due in the meantime are sent together */
+#define STOP_RETRY_INTERVAL_S 2.0 /* shortest time between two COMMAND_STOP_CANCELLED to the same machine */
+#define STOP_REQUESTS_PER_TASK_MAX 5 /* how many of these commands may name the same task */
 
 static struct sync_wakeup wakeup;
 
 void dispatcher_wake(void) { sync_wakeup_signal(&wakeup); }
 
-/* Stops of the machine's tasks whose cancellation was acknowledged to a user; NULL: none is due. */
-static cJSON *due_stops(struct machine *machine) {
+/* Returns stops for the machine's tasks whose cancellation this controller has acknowledged to a user, and counts them
+ * as requested. NULL: none is due. */
+static cJSON *build_cancellation_stops(struct machine *machine) {
     cJSON *directives = NULL;
     for (guint i = 0; i < machine->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         char task[TASK_NAME_SIZE];
         if (allocation->released || !allocation->job->cancel_acknowledged ||
-            allocation->stop_requests >= STOP_REQUESTS_MAX)
+            allocation->stop_requests >= STOP_REQUESTS_PER_TASK_MAX)
             continue;
         directives_task_name(allocation, task, sizeof task);
         if (!directives) directives = cJSON_CreateArray();
@@ -39,15 +40,15 @@
     return directives;
 }
 
-/* The owner of a cancelled job's machines may be the one that can't reach the store, and then may not learn of the
- * cancellation for as long as the store is away: a task that still fetches would begin by itself. Whoever acknowledged
- * the cancellation to the user directs the stop, under the owner's fencing token, as soon as the store is away. It is
- * only quicker: the owner's own bound holds without it. */
-static void stop_cancelled_elsewhere(struct machine *machine) {
+/* Called while the store is unreachable. The owner of the machine may then not learn of a cancellation until the store
+ * is back, and a task that is still fetching its image would start running. The controller that acknowledged the
+ * cancellation to the user therefore sends the stop itself, under the owner's fencing token. This only shortens the
+ * delay: the owner keeps the cancellation deadline without it. */
+static void stop_cancelled_on_unowned_machine(struct machine *machine) {
     if (!machine->address[0] || machine->allocations->len == 0 ||
-        clock_seconds_since(machine->commands.stops_requested_at) < STOP_REPEAT_S)
+        clock_seconds_since(machine->commands.stops_requested_at) < STOP_RETRY_INTERVAL_S)
         return;
-    cJSON *directives = due_stops(machine);
+    cJSON *directives = build_cancellation_stops(machine);
     if (!directives) return;
     machine->commands.stops_requested_at = clock_now();
     struct command *command = command_new_fenced(COMMAND_STOP_CANCELLED, machine);
@@ -55,28 +56,28 @@
     commands_push(QUEUE_DIRECTIVES, command);
 }
 
-/* Whether the machine, which is owned and was woken, can be sent anything now. */
-static bool can_be_sent(const struct machine *machine) {
+/* Tells whether a command can be sent now to an owned machine for which one may be due. */
+static bool can_send_to(const struct machine *machine) {
     const struct machine_commands *commands = &machine->commands;
     if (!machine->address[0] || commands->in_flight || machine->retirement.released) return false;
     if (!commands->needs_token_probe && (commands->outcome_unknown || !machine->liveness.up)) return false;
     return membership_may_answer();
 }
 
-/* One that has just failed to answer is probed before it is directed anything: directives to a hundred that hang at
- * once would hold up everybody's. */
+/* Tells whether the machine must be probed before it is sent directives. A machine with an unanswered command must be:
+ * directives to a hundred machines that hang at the same time would delay those to all others. */
 static bool needs_probe(const struct machine *machine) {
     return machine->commands.needs_token_probe || machine->liveness.unanswered_probes > 0 ||
            machine->agent.seen_token < machines_fencing_token(machine);
 }
 
-static bool awaits_start(const struct machine *machine) {
+static bool has_start_due(const struct machine *machine) {
     for (guint i = 0; i < machine->allocations->len; i++)
         if (directives_awaits_start(machine->allocations->pdata[i])) return true;
     return false;
 }
 
-static void note_in_flight(struct machine_commands *commands, const struct command *command) {
+static void mark_in_flight(struct machine_commands *commands, const struct command *command) {
     commands->in_flight = true;
     commands->probe_in_flight = command->kind == COMMAND_TOKEN_PROBE;
     if (!command->has_start) return;
@@ -85,7 +86,7 @@
     commands->unknown_incarnation = command->incarnation;
 }
 
-/* Takes the directives over. */
+/* Queues a command of the kind to the machine. Takes ownership of the directives. */
 static void send_command(struct machine *machine, enum command_kind kind, cJSON *directives) {
     struct command *command = command_new_fenced(kind, machine);
     command->has_start = codec_has_start(directives);
@@ -93,16 +94,16 @@
     command->decided_at = clock_now();
     command->body = codec_write_command(command->fencing_token, command->incarnation, directives);
     cJSON_Delete(directives);
-    note_in_flight(&machine->commands, command);
+    mark_in_flight(&machine->commands, command);
     commands_push(kind == COMMAND_TOKEN_PROBE ? QUEUE_PROBES : QUEUE_DIRECTIVES, command);
 }
 
-static void send_what_is_due(struct machine *machine, bool may_start) {
+static void send_due_command(struct machine *machine, bool may_start) {
     bool probe = needs_probe(machine);
     machine->commands.needs_token_probe = machine->commands.wake = false;
-    cJSON *directives = probe ? cJSON_CreateArray() : directives_for(machine, CHANNEL_COMMAND);
-    /* What must wait for a read of the store is sent as soon as there is one. */
-    if (!may_start) machine->commands.wake = awaits_start(machine);
+    cJSON *directives = probe ? cJSON_CreateArray() : directives_build(machine, CHANNEL_COMMAND);
+    /* Starts that wait for a recent read of the store are checked again in every pass. */
+    if (!may_start) machine->commands.wake = has_start_due(machine);
     if (probe || cJSON_GetArraySize(directives) > 0) {
         send_command(machine, probe ? COMMAND_TOKEN_PROBE : COMMAND_DIRECTIVES, directives);
     } else {
@@ -116,9 +117,10 @@
     bool may_start = membership_may_start_tasks();
     for (guint i = 0; i < machines->len; i++) {
         struct machine *machine = machines->pdata[i];
-        if (store_unreachable() && machine->known && !machines_owned(machine)) stop_cancelled_elsewhere(machine);
-        bool woken = machine->commands.wake || machine->commands.needs_token_probe;
-        if (woken && machines_owned(machine) && can_be_sent(machine)) send_what_is_due(machine, may_start);
+        if (store_unreachable() && machine->known && !machines_owned(machine))
+            stop_cancelled_on_unowned_machine(machine);
+        bool may_be_due = machine->commands.wake || machine->commands.needs_token_probe;
+        if (may_be_due && machines_owned(machine) && can_send_to(machine)) send_due_command(machine, may_start);
     }
     store_unlock();
 }
--- a/src/workers/dispatcher.h
+++ b/src/workers/dispatcher.h
@@ -1,10 +1,11 @@
-/* Decides which machines are sent a command now, on a thread of its own. */
+/* A thread that decides which machines are sent a command. */
 #ifndef FF_WORKERS_DISPATCHER_H
 #define FF_WORKERS_DISPATCHER_H
 
-/* Subscribes to EVENT_DISPATCH; called before the threads are started. */
+/* Subscribes to EVENT_DISPATCH. Must be called before the threads are started. */
 void dispatcher_init(void);
+/* Starts the thread. */
 void dispatcher_start(void);
-/* Has the dispatcher go through the machines soon. From any thread, with or without the lock. */
+/* Makes the dispatcher check all machines soon. From any thread, with or without store_lock. */
 void dispatcher_wake(void);
 #endif
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -20,28 +20,28 @@
 #include "unregistered.h"
 
 #define RETRY_AFTER_S 1
-#define MACHINE_ID_MAX 60
-#define REDIRECT_MAX 128 /* bytes of a body that names a controller */
+#define MACHINE_ID_LENGTH_MAX 60
+#define REDIRECT_BODY_SIZE 128 /* bytes of a body that names the owner's node, with the terminating zero */
 
 static const struct settings *settings;
 
-void heartbeat_init(const struct settings *chosen) { settings = chosen; }
+void heartbeat_init(const struct settings *new_settings) { settings = new_settings; }
 
-/* How a heartbeat is answered. */
+/* Kinds of responses to a heartbeat. */
 enum response_kind {
-    RESPONSE_DIRECTIVES,      /* with a fencing token and directives, which renews the lease */
-    RESPONSE_RETRY,           /* not now: the worker is to come again soon */
-    RESPONSE_OTHER_CONTROLLER /* another controller owns the machine */
+    RESPONSE_DIRECTIVES,      /* renews the worker's lease, with a fencing token and directives */
+    RESPONSE_RETRY,           /* asks the worker to retry after RETRY_AFTER_S */
+    RESPONSE_OTHER_CONTROLLER /* refers the worker to another controller, which owns the machine */
 };
 struct response {
     enum response_kind kind;
-    cJSON *body;       /* of RESPONSE_DIRECTIVES */
-    const char *owner; /* of RESPONSE_OTHER_CONTROLLER: its node; NULL or empty: not known. Valid under store_lock */
+    cJSON *body;       /* RESPONSE_DIRECTIVES: the body */
+    const char *owner; /* RESPONSE_OTHER_CONTROLLER: the owner's node, valid under store_lock; NULL or empty: unknown */
 };
 
-static struct response retry(void) { return (struct response){.kind = RESPONSE_RETRY}; }
+static struct response retry_response(void) { return (struct response){.kind = RESPONSE_RETRY}; }
 
-static struct response other_controller(const char *owner) {
+static struct response other_controller_response(const char *owner) {
     return (struct response){.kind = RESPONSE_OTHER_CONTROLLER, .owner = owner};
 }
 
@@ -50,7 +50,7 @@
 }
 
 static void reply_other_controller(struct http_request *request, const char *owner) {
-    char body[REDIRECT_MAX];
+    char body[REDIRECT_BODY_SIZE];
     if (owner && *owner && strcmp(owner, settings->node) != 0) {
         snprintf(body, sizeof body, "{\"master\":\"%s\"}", owner);
     } else {
@@ -73,78 +73,82 @@
     }
 }
 
-/* A machine that no record names: the owner of the shard that it would be in inspects it, and adopts it. */
-static struct response decide_unrecorded(const struct heartbeat *heartbeat) {
+/* Responds to a machine that no record names. The owner of the shard that the machine would belong to has it inspected,
+ * after which the machine is adopted. */
+static struct response respond_unrecorded(const struct heartbeat *heartbeat) {
     int shard = machines_shard_of(heartbeat->machine_id);
-    if (!membership_owns(shard)) return other_controller(membership_shard(shard)->owner);
+    if (!membership_owns(shard)) return other_controller_response(membership_shard(shard)->owner);
     if (!machines_known(heartbeat->machine_id) && heartbeat->address && *heartbeat->address)
         unregistered_inspect(heartbeat->machine_id, heartbeat->address);
-    return retry();
+    return retry_response();
 }
 
-/* A machine of another's shard, or of one that we do not know to be owned yet. */
-static struct response decide_not_owned(struct machine *machine, const struct heartbeat *heartbeat) {
+/* Responds to a machine whose shard this controller does not own, or was assigned but does not manage yet. If proxy.h
+ * allows it, the response is given on the owner's behalf. */
+static struct response respond_not_owned(struct machine *machine, const struct heartbeat *heartbeat) {
     const char *owner = membership_shard(machine->shard)->owner;
-    if (heartbeat->fencing_token <= machines_fencing_token(machine) && proxy_allowed(machine) &&
-        !proxy_start_in_doubt(machine, heartbeat->tasks))
+    if (heartbeat->fencing_token <= machines_fencing_token(machine) && proxy_may_answer(machine) &&
+        !proxy_start_may_be_in_flight(machine, heartbeat->tasks))
         return directives_response(proxy_response(machine, heartbeat->tasks));
-    return strcmp(owner, settings->node) == 0 ? retry() : other_controller(owner);
+    return strcmp(owner, settings->node) == 0 ? retry_response() : other_controller_response(owner);
 }
 
-static void learn_address(struct machine *machine, const char *address) {
+static void update_address(struct machine *machine, const char *address) {
     if (!address || !*address || strcmp(address, machine->address) == 0) return;
     g_strlcpy(machine->address, address, sizeof machine->address);
     machine->address_unrecorded = true;
 }
 
-/* A command may still be on its way: this machine's lease is renewed under a higher fencing token only. */
+/* Tells whether a start with unknown outcome may still be carried out under the machine's current fencing token. The
+ * machine's lease is then renewed only under a higher token, which rules that start out. */
 static bool needs_token_raise(const struct machine *machine) {
     return machine->commands.outcome_unknown && !directives_start_in_flight(machine) &&
            machines_fencing_token(machine) <= machine->commands.unknown_token;
 }
 
-static struct response take_owned(struct machine *machine, const struct heartbeat *heartbeat) {
-    bool newest = reconciliation_take(machine, heartbeat, CHANNEL_HEARTBEAT);
-    if (newest && heartbeat->fencing_token >= machines_fencing_token(machine)) machines_add_occupancy_sample(machine);
+/* Applies the heartbeat of an owned machine and responds to it. */
+static struct response apply_and_respond(struct machine *machine, const struct heartbeat *heartbeat) {
+    bool applied = reconciliation_apply(machine, heartbeat, CHANNEL_HEARTBEAT);
+    if (applied && heartbeat->fencing_token >= machines_fencing_token(machine)) machines_add_occupancy_sample(machine);
     if (needs_token_raise(machine)) {
         machine->commands.needs_token_raise = true;
         events_publish(EVENT_SCHEDULE);
-        return retry();
+        return retry_response();
     }
-    cJSON *directives = newest ? directives_for(machine, CHANNEL_HEARTBEAT) : cJSON_CreateArray();
+    cJSON *directives = applied ? directives_build(machine, CHANNEL_HEARTBEAT) : cJSON_CreateArray();
     machine->liveness.heartbeat_acknowledged = true;
     return directives_response(codec_write_response(machines_fencing_token(machine), directives));
 }
 
-static struct response decide_owned(struct machine *machine, const struct heartbeat *heartbeat) {
-    learn_address(machine, heartbeat->address);
-    /* A later owner commands it already. */
-    if (heartbeat->fencing_token > machines_fencing_token(machine)) return other_controller(NULL);
-    return membership_may_answer() ? take_owned(machine, heartbeat) : retry();
+static struct response respond_owned(struct machine *machine, const struct heartbeat *heartbeat) {
+    update_address(machine, heartbeat->address);
+    /* The machine has already received a later owner's fencing token. */
+    if (heartbeat->fencing_token > machines_fencing_token(machine)) return other_controller_response(NULL);
+    return membership_may_answer() ? apply_and_respond(machine, heartbeat) : retry_response();
 }
 
-/* With store_lock held. */
-static struct response decide(const struct heartbeat *heartbeat) {
+/* Decides the response to the heartbeat. With store_lock held. */
+static struct response respond(const struct heartbeat *heartbeat) {
     struct machine *machine = machines_find(heartbeat->machine_id);
-    if (!store_synced()) return retry();
-    if (!machine) return decide_unrecorded(heartbeat);
-    if (!machines_owned(machine)) return decide_not_owned(machine, heartbeat);
-    return decide_owned(machine, heartbeat);
+    if (!store_synced()) return retry_response();
+    if (!machine) return respond_unrecorded(heartbeat);
+    if (!machines_owned(machine)) return respond_not_owned(machine, heartbeat);
+    return respond_owned(machine, heartbeat);
 }
 
-static bool complete(const struct heartbeat *heartbeat) {
+static bool has_required_members(const struct heartbeat *heartbeat) {
     return heartbeat->machine_id && heartbeat->type_name && heartbeat->zone &&
-           strlen(heartbeat->machine_id) <= MACHINE_ID_MAX;
+           strlen(heartbeat->machine_id) <= MACHINE_ID_LENGTH_MAX;
 }
 
-static void take_heartbeat(struct http_request *request) {
+static void handle_post(struct http_request *request) {
     size_t length;
     const char *body = http_body(request, &length);
     cJSON *message = cJSON_ParseWithLength(body, length);
     struct heartbeat heartbeat = codec_read_heartbeat(message);
-    if (complete(&heartbeat)) {
+    if (has_required_members(&heartbeat)) {
         store_lock();
-        struct response response = decide(&heartbeat);
+        struct response response = respond(&heartbeat);
         reply(request, &response);
         store_unlock();
     } else {
@@ -156,7 +160,7 @@
 void heartbeat_handle(struct http_request *request) {
     http_close_when_crowded(request);
     if (strcmp(http_method(request), "POST") == 0) {
-        take_heartbeat(request);
+        handle_post(request);
     } else {
         http_reply(request, HTTP_METHOD_NOT_ALLOWED, NULL, 0);
     }
--- a/src/workers/heartbeat.h
+++ b/src/workers/heartbeat.h
@@ -1,11 +1,12 @@
-/* Workers' heartbeats over HTTP. */
+/* Handles the HTTP requests that carry workers' heartbeats. */
 #ifndef FF_WORKERS_HEARTBEAT_H
 #define FF_WORKERS_HEARTBEAT_H
 #include "../http/server.h"
 #include "../settings/settings.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Must be called once, before the threads are started. The settings remain the caller's and must outlive the
+ * threads. */
 void heartbeat_init(const struct settings *settings);
-/* Answers a request to the heartbeats' path: parses, decides, replies. On the server's thread, without the lock. */
+/* Replies to a request to the path for heartbeats. On the server's thread, without store_lock. */
 void heartbeat_handle(struct http_request *request);
 #endif
--- a/src/workers/listed_tasks.c
+++ b/src/workers/listed_tasks.c
@@ -11,15 +11,15 @@
 #include "../quarantine/quarantine.h"
 #include "directives.h"
 
-#define PROVEN_S 30.0       /* a replica that has run for so long shows that its job is sound */
-#define UNKNOWN_RETRY_S 3.0 /* after a task ended for a reason that its worker does not know */
-#define NO_ROOM_RETRY_S 1.0 /* after a worker had no room for a task */
+#define SERVICE_SUCCESS_S 30.0 /* a service replica that runs longer than this counts as a success of its job */
+#define UNKNOWN_CAUSE_RETRY_DELAY_S 3.0 /* job's retry delay after a task ended for a cause unknown to its worker */
+#define NO_ROOM_RETRY_DELAY_S 1.0       /* job's retry delay after a worker had no room for a task */
 
-/* The separator of a listed name; NULL: there is none. */
-static const char *name_end(const struct listed_task *task) { return strrchr(task->name, '/'); }
+/* Returns the separator before the index in the task's name JOB/INDEX; NULL: the name has none. */
+static const char *find_separator(const struct listed_task *task) { return strrchr(task->name, '/'); }
 
 struct allocation *listed_tasks_find(const struct machine *machine, const struct listed_task *task) {
-    const char *separator = name_end(task);
+    const char *separator = find_separator(task);
     if (!separator) return NULL;
     size_t length = (size_t)(separator - task->name);
     int index = (int)g_ascii_strtoll(separator + 1, NULL, 10);
@@ -33,7 +33,7 @@
     return NULL;
 }
 
-bool listed_tasks_readable(const cJSON *tasks) {
+bool listed_tasks_valid(const cJSON *tasks) {
     if (!cJSON_IsArray(tasks)) return false;
     const cJSON *item;
     struct listed_task task;
@@ -48,7 +48,7 @@
 }
 
 static bool job_cancelled(const struct listed_task *task) {
-    const char *separator = name_end(task);
+    const char *separator = find_separator(task);
     char job_id[JOB_ID_SIZE];
     if (!separator || (size_t)(separator - task->name) >= sizeof job_id) return false;
     g_strlcpy(job_id, task->name, (gsize)(separator - task->name) + 1);
@@ -56,10 +56,10 @@
     return job && job->state == JOB_CANCELLED;
 }
 
-/* A stop harms nobody, whoever's fencing token the task was started under, and it must not wait until the worker has
- * shown ours: controllers that end every few seconds renewed its lease again and again, each for the first time, and a
- * cancelled task ran on beyond cancel_s. */
-void listed_tasks_take_cancelled(struct machine *machine, const cJSON *tasks) {
+/* Needs no fencing token from the worker: a stop is safe under any token that the task was started under, and must not
+ * wait until the worker shows the owner's token. When the owner changed every few seconds, each new owner's first
+ * response renewed the worker's lease, and a cancelled task ran on beyond cancel_s. */
+void listed_tasks_collect_cancelled(struct machine *machine, const cJSON *tasks) {
     const cJSON *item;
     struct listed_task task;
     g_array_set_size(machine->agent.unknown_tasks, 0);
@@ -84,15 +84,15 @@
     chunks_mark_dirty(allocation->job, allocation->task);
 }
 
-static void take_success(const struct allocation *allocation) {
+static void handle_success(const struct allocation *allocation) {
     struct job *job = allocation->job;
     if (job->state != JOB_QUEUED) return;
     jobs_mark_done(job, allocation->task);
     quarantine_record_success(job);
 }
 
-/* cause NULL: not said. */
-static void take_failure(const struct allocation *allocation, const char *cause) {
+/* cause may be NULL: the worker gave none. */
+static void handle_failure(const struct allocation *allocation, const char *cause) {
     struct job *job = allocation->job;
     log_debug("task %s/%d on %s ended: %s", job->spec.job_id, allocation->task, allocation->machine->id,
               cause ? cause : "?");
@@ -101,36 +101,37 @@
         log_info("task %s/%d failed on machine %s", job->spec.job_id, allocation->task, allocation->machine->id);
         quarantine_record_failure(job, allocation->machine);
     } else if (strcmp(cause, "unknown") == 0) {
-        job->retry_at = clock_instant_in(clock_from_seconds(UNKNOWN_RETRY_S));
+        job->retry_at = clock_now_plus(clock_from_seconds(UNKNOWN_CAUSE_RETRY_DELAY_S));
     } else if (strcmp(cause, "no_room") == 0 || strcmp(cause, "busy") == 0) {
-        job->retry_at = clock_instant_in(clock_from_seconds(NO_ROOM_RETRY_S));
+        job->retry_at = clock_now_plus(clock_from_seconds(NO_ROOM_RETRY_DELAY_S));
     }
 }
 
-/* True if that ended the allocation. */
-static bool take_state(struct allocation *allocation, enum task_state state, const char *cause) {
+/* Applies the task's listed state to its allocation. Returns true if that released the allocation. */
+static bool apply_state(struct allocation *allocation, enum task_state state, const char *cause) {
     const struct job_spec *spec = &allocation->job->spec;
     struct machine *machine = allocation->machine;
-    bool new_state = allocation->state != state;
+    bool state_changed = allocation->state != state;
     allocation->seen = true;
-    if (new_state) allocation->state_since = machine->liveness.last_heard;
-    if (state == TASK_RUNNING && new_state) log_start(allocation);
+    if (state_changed) allocation->state_since = machine->liveness.last_heard;
+    if (state == TASK_RUNNING && state_changed) log_start(allocation);
     allocation->state = state;
-    if (state == TASK_RUNNING && spec->kind == JOB_SERVICE && clock_seconds_since(allocation->state_since) > PROVEN_S)
+    if (state == TASK_RUNNING && spec->kind == JOB_SERVICE &&
+        clock_seconds_since(allocation->state_since) > SERVICE_SUCCESS_S)
         quarantine_record_success(allocation->job);
     if ((state == TASK_RUNNING || state == TASK_GATHERING) && spec->image)
         g_hash_table_add(machine->images, g_strdup(spec->image));
     if (state != TASK_ENDED || allocation->released) return false;
     release(allocation);
     if (cause && strcmp(cause, "done") == 0) {
-        take_success(allocation);
+        handle_success(allocation);
     } else {
-        take_failure(allocation, cause);
+        handle_failure(allocation, cause);
     }
     return true;
 }
 
-bool listed_tasks_take(struct machine *machine, const cJSON *tasks, bool *listed) {
+bool listed_tasks_apply(struct machine *machine, const cJSON *tasks, bool *listed) {
     bool any_ended = false;
     const cJSON *item;
     g_array_set_size(machine->agent.unknown_tasks, 0);
@@ -144,13 +145,14 @@
             continue;
         }
         if (allocation->index_in_machine < LISTED_TASKS_ALLOCATIONS_MAX) listed[allocation->index_in_machine] = true;
-        any_ended |= take_state(allocation, state, codec_read_task_cause(item));
+        any_ended |= apply_state(allocation, state, codec_read_task_cause(item));
     }
     return any_ended;
 }
 
-/* One that was never listed, was started by us and is not to be stopped is started again instead. A gang's is not: its
- * other tasks wait for it. */
+/* Tells whether an allocation that is not listed is absent for good. An allocation of this owner that was never listed
+ * and need not stop is not: its start is sent again. A gang's allocation becomes absent after gang_start_s, since the
+ * gang's other tasks wait for it. */
 static bool proven_absent(const struct allocation *allocation, double gang_start_s) {
     bool gang_lost =
         allocation->job->spec.kind == JOB_GANG && clock_seconds_since(allocation->allocated_at) > gang_start_s;
--- a/src/workers/proxy.c
+++ b/src/workers/proxy.c
@@ -13,23 +13,23 @@
 
 static const struct settings *settings;
 
-void proxy_init(const struct settings *chosen) { settings = chosen; }
+void proxy_init(const struct settings *new_settings) { settings = new_settings; }
 
-bool proxy_allowed(const struct machine *machine) {
+bool proxy_may_answer(const struct machine *machine) {
     const char *owner = machine->shard < 0 ? "" : membership_shard(machine->shard)->owner;
     return store_unreachable() && membership_may_answer() && strcmp(machine->zone, settings->area) == 0 &&
            strcmp(owner, settings->node) != 0 && !peers_reach(owner);
 }
 
-static int cancelled_on_record(const struct machine *machine) {
+static int count_cancelled_allocations(const struct machine *machine) {
     int n = 0;
     for (guint i = 0; i < machine->allocations->len; i++)
         n += ((const struct allocation *)machine->allocations->pdata[i])->job->state == JOB_CANCELLED;
     return n;
 }
 
-/* A heartbeat may list a task twice: each allocation counts once. */
-static int cancelled_and_listed(const struct machine *machine, const cJSON *tasks) {
+/* Counts each allocation once, even if the heartbeat lists its task twice. */
+static int count_listed_cancelled_allocations(const struct machine *machine, const cJSON *tasks) {
     int n = 0;
     const cJSON *item;
     GHashTable *counted = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -42,13 +42,13 @@
     return n;
 }
 
-bool proxy_start_in_doubt(const struct machine *machine, const cJSON *tasks) {
-    return cancelled_and_listed(machine, tasks) < cancelled_on_record(machine);
+bool proxy_start_may_be_in_flight(const struct machine *machine, const cJSON *tasks) {
+    return count_listed_cancelled_allocations(machine, tasks) < count_cancelled_allocations(machine);
 }
 
 cJSON *proxy_response(struct machine *machine, const cJSON *tasks) {
     cJSON *directives = cJSON_CreateArray();
-    listed_tasks_take_cancelled(machine, tasks);
-    directives_stop_unknown(machine, directives);
+    listed_tasks_collect_cancelled(machine, tasks);
+    directives_add_unknown_stops(machine, directives);
     return codec_write_response(machines_fencing_token(machine), directives);
 }
--- a/src/workers/proxy.h
+++ b/src/workers/proxy.h
@@ -1,7 +1,11 @@
-/* Answers heartbeats for an owner that the zone has lost. In a zone that is cut off, the owner of a machine may be
- * outside. Then a controller inside answers for it with the fencing token that the machine has, so that its lease goes
- * on, and directs nothing but the stop of cancelled tasks. Nobody else relies on the lease's expiry: a start elsewhere
- * needs a heartbeat's or the cloud's proof. With store_lock held. */
+/* Answers heartbeats on behalf of an owner that the zone cannot reach.
+ *
+ * When a zone is partitioned from the others, the owner of a machine in it may be outside. A controller inside the zone
+ * then answers the machine's heartbeats with the machine's fencing token, so that the worker's lease is renewed, and
+ * directs nothing but stops of cancelled tasks. This is safe because no controller relies on the lease's expiry: before
+ * a task is started elsewhere, a heartbeat or the cloud must prove that it no longer runs here.
+ *
+ * All functions except proxy_init must be called with store_lock held. */
 #ifndef FF_WORKERS_PROXY_H
 #define FF_WORKERS_PROXY_H
 #include <stdbool.h>
@@ -9,13 +13,18 @@
 #include "../json/json.h"
 #include "../machines/machines.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Must be called once, before the threads are started. The settings remain the caller's and must outlive the
+ * threads. */
 void proxy_init(const struct settings *settings);
-/* Bound like an owner's responses to the last read of the store, and over as soon as store or owner is in reach. */
-bool proxy_allowed(const struct machine *machine);
-/* A start that the owner sent before it learned of the cancellation may be held up on its way into the zone. Our own
- * read may be later than the cancellation: kept alive, the incarnation would take that start after cancel_s. */
-bool proxy_start_in_doubt(const struct machine *machine, const cJSON *tasks);
-/* The body of the response; the caller frees it. */
+/* Tells whether this controller may answer the machine's heartbeats for its owner: the machine is in this controller's
+ * zone, the store and the owner are both unreachable, and the last read of the store is recent enough for an owner to
+ * answer. */
+bool proxy_may_answer(const struct machine *machine);
+/* Tells whether the start of a cancelled task may still be on its way to the machine: an allocation of a cancelled job
+ * is not in the list of tasks, and the owner may have sent its start before it learned of the cancellation. The limit
+ * on the age of this controller's last read does not cover this, since that read may be later than the cancellation.
+ * If the lease were renewed, the worker would still accept the start after the cancellation deadline cancel_s. */
+bool proxy_start_may_be_in_flight(const struct machine *machine, const cJSON *tasks);
+/* Returns the body of the response, which the caller frees. */
 cJSON *proxy_response(struct machine *machine, const cJSON *tasks);
 #endif
--- a/src/workers/reconciliation.h
+++ b/src/workers/reconciliation.h
@@ -1,5 +1,5 @@
-/* What a worker's message proves: whether it is newer than what is known, that the machine lives, and which allocations
- * run, have ended or are absent. With store_lock held. */
+/* Updates the state of a machine and its allocations from a worker's message: whether the message is newer than the
+ * last one, that the machine is alive, and which allocations run, have ended or are absent. */
 #ifndef FF_WORKERS_RECONCILIATION_H
 #define FF_WORKERS_RECONCILIATION_H
 #include <stdbool.h>
@@ -8,9 +8,10 @@
 #include "codec.h"
 #include "directives.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Must be called once, before the threads are started. The settings remain the caller's and must outlive the
+ * threads. */
 void reconciliation_init(const struct settings *settings);
-/* Takes in a heartbeat of an owned machine, or its answer to a command. False: it can't be read, or is no newer than
- * what is known; nothing has changed. */
-bool reconciliation_take(struct machine *machine, const struct heartbeat *heartbeat, enum worker_channel channel);
+/* Applies a heartbeat of an owned machine, or its answer to a command. Returns false if the message is malformed or no
+ * newer than the last one applied; nothing has changed then. With store_lock held. */
+bool reconciliation_apply(struct machine *machine, const struct heartbeat *heartbeat, enum worker_channel channel);
 #endif
--- a/src/workers/senders.c
+++ b/src/workers/senders.c
@@ -21,24 +21,24 @@
 #include "reconciliation.h"
 #include "unregistered.h"
 
-#define DIRECTIVE_SENDERS 12
-#define PROBE_SENDERS 32  /* an address that hangs costs one its time limit, and many hang at once */
-#define START_VALID_S 3.0 /* how old a decision to start a task may be when it is sent */
+#define DIRECTIVE_SENDER_THREADS 12
+#define PROBE_SENDER_THREADS 32 /* each hanging address occupies a thread until the timeout, and many hang at once */
+#define START_VALID_S 3.0       /* age up to which a command that starts a task may be sent */
 #define ANSWER_TIMEOUT_MS 1500
-#define LATE_ANSWER_S 0.3 /* beyond the time limit: we were paused, or are short of processor time */
-#define URL_MAX 160
+#define LATE_ANSWER_MARGIN_S 0.3 /* a call that exceeds its timeout by more shows that this controller was delayed */
+#define URL_SIZE 160
 
-/* What came of a command. */
+/* The outcome of a command. */
 struct outcome {
-    enum http_outcome http; /* HTTP_NOT_SENT also where the command was no longer valid */
-    long status;
-    cJSON *answer; /* NULL: none that can be read */
-    bool valid;    /* when it was to be sent */
-    bool in_time;
+    enum http_outcome http; /* HTTP_NOT_SENT also if the command was no longer valid */
+    long status;            /* HTTP status; 0: not answered */
+    cJSON *answer;          /* NULL: no answer, or not JSON */
+    bool valid;             /* the command was still valid when its turn to be sent came */
+    bool in_time;           /* the call returned within its timeout and LATE_ANSWER_MARGIN_S */
 };
 
-/* A controller that was paused between decision and sending, or whose queue is long, does not send what it decided
- * then: a start may have been dropped meanwhile, or its job cancelled. */
+/* A start is not sent late, after the controller was paused or the command waited in a long queue: by then the start
+ * may have been dropped, or its job cancelled. */
 bool senders_command_still_valid(bool has_start, double age_s, bool owned, bool may_start) {
     return !has_start || (age_s < START_VALID_S && owned && may_start);
 }
@@ -48,7 +48,7 @@
 }
 
 static bool still_valid(const struct command *command) {
-    if (!command->has_start) return true; /* most commands are probes: no lock for them */
+    if (!command->has_start) return true; /* most commands are probes, and are sent without taking the lock */
     store_lock();
     struct machine *machine = machines_find(command->machine_id);
     bool valid = senders_command_still_valid(true, clock_seconds_since(command->decided_at),
@@ -57,22 +57,26 @@
     return valid;
 }
 
-/* A conflict: the worker shows another incarnation or fencing token. */
-static bool answered(const struct outcome *outcome) {
+/* Tells whether the worker has answered with its state. HTTP_CONFLICT means that it has another incarnation or fencing
+ * token than the command. */
+static bool worker_answered(const struct outcome *outcome) {
     return outcome->http == HTTP_ANSWERED && (outcome->status == HTTP_OK || outcome->status == HTTP_CONFLICT);
 }
 
-/* A controller that was paused or is short of processor time learns nothing from a late answer. */
-static void note_silence(struct machine *machine, const struct outcome *outcome) {
+/* Counts an unanswered command. If the call took too long, this controller may have been paused or short of processor
+ * time, and the missing answer does not count against the machine. */
+static void count_unanswered(struct machine *machine, const struct outcome *outcome) {
     if (!outcome->valid || outcome->http == HTTP_ANSWERED || !outcome->in_time) return;
     if (machine->liveness.unanswered_probes++ == 0) shard_states[machine->shard].suspicion_at = clock_now();
 }
 
-/* Only a start's outcome matters: a late stop or forget harms nobody, attempts are unique. */
-static void settle_start(struct machine *machine, const struct command *command, const struct outcome *outcome) {
+/* Clears the machine's unknown outcome if the command's start has a known one. The outcomes of other commands do not
+ * matter: attempts are unique, so a late stop or forget is harmless. */
+static void resolve_start_outcome(struct machine *machine, const struct command *command,
+                                  const struct outcome *outcome) {
     struct machine_commands *commands = &machine->commands;
     if (!command->has_start) return;
-    if (!answered(outcome) && outcome->http != HTTP_NOT_SENT) {
+    if (!worker_answered(outcome) && outcome->http != HTTP_NOT_SENT) {
         log_info("machine %s: outcome of a command unknown, raising its fencing token", machine->id);
     } else if (commands->unknown_token == command->fencing_token &&
                commands->unknown_incarnation == command->incarnation) {
@@ -80,44 +84,48 @@
     }
 }
 
-/* What the answer to a command, or none, shows of the machine. With store_lock held. */
-static void take_outcome(const struct command *command, const struct outcome *outcome) {
+/* Updates the machine's state from the outcome of a command. With store_lock held. */
+static void apply_outcome(const struct command *command, const struct outcome *outcome) {
     struct machine *machine = machines_find(command->machine_id);
     if (!machine || !machine->commands.in_flight) return;
     machine->commands.in_flight = false;
     if (!same_owner(machine, command)) return;
-    note_silence(machine, outcome);
-    settle_start(machine, command, outcome);
-    if (answered(outcome) && outcome->answer) {
-        struct heartbeat shown = codec_read_heartbeat(outcome->answer);
-        reconciliation_take(machine, &shown, CHANNEL_COMMAND);
+    count_unanswered(machine, outcome);
+    resolve_start_outcome(machine, command, outcome);
+    if (worker_answered(outcome) && outcome->answer) {
+        struct heartbeat worker_state = codec_read_heartbeat(outcome->answer);
+        reconciliation_apply(machine, &worker_state, CHANNEL_COMMAND);
     }
-    /* It has the fencing token now: what waited for that need not wait for its next heartbeat. */
-    if (!outcome->valid || (answered(outcome) && !command->has_start)) machine->commands.wake = true;
+    /* A command that was no longer valid is decided anew. After an answer to a command without starts, the worker has
+     * the fencing token, and directives that waited for that are sent now rather than at its next heartbeat. */
+    if (!outcome->valid || (worker_answered(outcome) && !command->has_start)) machine->commands.wake = true;
 }
 
 static void send_directives(struct http_client *client, const struct command *command) {
-    char url[URL_MAX];
+    char url[URL_SIZE];
     struct outcome outcome = {.http = HTTP_NOT_SENT};
     snprintf(url, sizeof url, "http://%s/commands", command->address);
     struct timespec sent_at = clock_now();
     outcome.valid = still_valid(command);
     if (outcome.valid) {
-        /* A start whose first copy is still on its way must not be taken for known because its second was answered. */
-        enum http_outcome (*call)(struct http_client *, const char *, const char *, const char *, long, long *,
-                                  cJSON **) = command->has_start ? http_call_once : http_call;
-        outcome.http = call(client, "POST", url, command->body, ANSWER_TIMEOUT_MS, &outcome.status, &outcome.answer);
+        /* http_call may send a request twice. For a start, the answer to the second copy would not tell the outcome of
+         * the first, which may still be in flight. */
+        enum http_outcome (*send_request)(struct http_client *, const char *, const char *, const char *, long, long *,
+                                          cJSON **) = command->has_start ? http_call_once : http_call;
+        outcome.http =
+            send_request(client, "POST", url, command->body, ANSWER_TIMEOUT_MS, &outcome.status, &outcome.answer);
     }
-    outcome.in_time = clock_seconds_since(sent_at) < ANSWER_TIMEOUT_MS / 1000.0 + LATE_ANSWER_S;
+    outcome.in_time = clock_seconds_since(sent_at) < ANSWER_TIMEOUT_MS / 1000.0 + LATE_ANSWER_MARGIN_S;
     store_lock();
-    take_outcome(command, &outcome);
+    apply_outcome(command, &outcome);
     store_unlock();
     cJSON_Delete(outcome.answer);
 }
 
-/* Sends the stops under that incarnation. True if the worker shows another one, which *incarnation then is. */
+/* Sends the stops of cancelled tasks for the incarnation. Returns true if the worker answers that it has another
+ * incarnation, which is then stored in *incarnation. */
 static bool send_stops_once(struct http_client *client, const struct command *command, int64_t *incarnation) {
-    char url[URL_MAX];
+    char url[URL_SIZE];
     long status = 0;
     cJSON *answer = NULL;
     snprintf(url, sizeof url, "http://%s/commands", command->address);
@@ -125,28 +133,29 @@
     enum http_outcome http = http_call(client, "POST", url, body, ANSWER_TIMEOUT_MS, &status, &answer);
     free(body);
     log_debug("machine %s: asked to stop cancelled tasks, status %ld", command->machine_id, status);
-    struct heartbeat shown = codec_read_heartbeat(answer);
-    bool other_incarnation = http == HTTP_ANSWERED && status == HTTP_CONFLICT && shown.machine_id &&
-                             strcmp(shown.machine_id, command->machine_id) == 0 && shown.incarnation >= 0 &&
-                             shown.incarnation != *incarnation;
-    *incarnation = shown.incarnation;
+    struct heartbeat worker_state = codec_read_heartbeat(answer);
+    bool other_incarnation = http == HTTP_ANSWERED && status == HTTP_CONFLICT && worker_state.machine_id &&
+                             strcmp(worker_state.machine_id, command->machine_id) == 0 &&
+                             worker_state.incarnation >= 0 && worker_state.incarnation != *incarnation;
+    *incarnation = worker_state.incarnation;
     cJSON_Delete(answer);
     return other_incarnation;
 }
 
-/* On another controller's machine: a second time if it is in another incarnation than we know. */
+/* Sends the stops to another controller's machine. This controller may know an old incarnation of the machine: if the
+ * worker answers with another one, the stops are sent once more for that one. */
 static void send_stops(struct http_client *client, const struct command *command) {
     int64_t incarnation = command->incarnation;
     if (send_stops_once(client, command, &incarnation)) send_stops_once(client, command, &incarnation);
 }
 
 static void send_inspection(struct http_client *client, const struct command *command) {
-    char url[URL_MAX];
+    char url[URL_SIZE];
     long status = 0;
     cJSON *answer = NULL;
     snprintf(url, sizeof url, "http://%s/inspect", command->address);
     if (http_call(client, "GET", url, NULL, ANSWER_TIMEOUT_MS, &status, &answer) == HTTP_ANSWERED && status == HTTP_OK)
-        unregistered_take_answer(command->machine_id, command->address, answer);
+        unregistered_handle_answer(command->machine_id, command->address, answer);
     cJSON_Delete(answer);
 }
 
@@ -180,6 +189,6 @@
 
 void senders_start(void) {
     static enum command_queue directives = QUEUE_DIRECTIVES, probes = QUEUE_PROBES;
-    for (int i = 0; i < PROBE_SENDERS; i++) sync_start_thread(sender_main, &probes);
-    for (int i = 0; i < DIRECTIVE_SENDERS; i++) sync_start_thread(sender_main, &directives);
+    for (int i = 0; i < PROBE_SENDER_THREADS; i++) sync_start_thread(sender_main, &probes);
+    for (int i = 0; i < DIRECTIVE_SENDER_THREADS; i++) sync_start_thread(sender_main, &directives);
 }
--- a/src/workers/senders_test.c
+++ b/src/workers/senders_test.c
@@ -1,4 +1,4 @@
-/* Which commands are still sent, however late. */
+/* Tests which commands are still sent after a delay. */
 #include "workers/senders.h"
 
 #include <glib.h>
@@ -6,7 +6,7 @@
 
 #include "../../tests/standin/site.h"
 
-/* Commands of a controller that was paused. */
+/* After a pause, a controller does not send the starts that it decided on before. */
 static void old_start_is_not_sent(void **state) {
     (void)state;
     static const struct {
@@ -15,7 +15,7 @@
         bool owned, may_start, valid;
     } rows[] = {
         {true, 0.1, true, true, true},   {true, 40, true, true, false},   {true, 0.1, false, true, false},
-        {true, 0.1, true, false, false}, {false, 40, false, false, true}, /* a stop or a probe harms nobody */
+        {true, 0.1, true, false, false}, {false, 40, false, false, true}, /* late stops and probes are harmless */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
         assert_int_equal(
--- a/src/workers/unregistered.c
+++ b/src/workers/unregistered.c
@@ -10,16 +10,16 @@
 #include "codec.h"
 #include "commands.h"
 
-#define ADOPTION_DELAY_S 8.0    /* for so long a machine that nobody has recorded is left to who rented it */
-#define INSPECTION_INTERVAL_S 2 /* between inspections of a machine */
+#define ADOPTION_DELAY_S 8.0    /* time for the controller that rented a machine to record it */
+#define INSPECTION_INTERVAL_S 2 /* shortest time between two inspections of the same machine */
 
 struct inspection {
     struct timespec first_heartbeat, last_inspection;
 };
 
-static GHashTable *inspections; /* machine's id -> struct inspection; under store_lock */
+static GHashTable *inspections; /* machine id -> struct inspection; guarded by store_lock */
 
-static struct inspection *find_or_add(const char *machine_id) {
+static struct inspection *find_or_add_inspection(const char *machine_id) {
     if (!inspections) inspections = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     struct inspection *inspection = g_hash_table_lookup(inspections, machine_id);
     if (!inspection) {
@@ -30,10 +30,11 @@
     return inspection;
 }
 
-/* The heartbeat may be a late copy from a machine that was returned long ago: only one that answers is adopted. Nor at
- * once: who rented it may be about to record it. */
+/* A machine is adopted only after it has answered an inspection, since the heartbeat may be a late copy from a machine
+ * that was returned long ago. It is not inspected before ADOPTION_DELAY_S, since the controller that rented it may be
+ * about to record it. */
 void unregistered_inspect(const char *machine_id, const char *address) {
-    struct inspection *inspection = find_or_add(machine_id);
+    struct inspection *inspection = find_or_add_inspection(machine_id);
     if (clock_seconds_since(inspection->first_heartbeat) < ADOPTION_DELAY_S ||
         (inspection->last_inspection.tv_sec &&
          clock_seconds_since(inspection->last_inspection) < INSPECTION_INTERVAL_S))
@@ -42,10 +43,12 @@
     commands_push(QUEUE_PROBES, command_new(COMMAND_INSPECT, machine_id, address));
 }
 
-void unregistered_take_answer(const char *machine_id, const char *address, const cJSON *answer) {
-    struct heartbeat shown = codec_read_heartbeat(answer);
-    if (!shown.machine_id || strcmp(shown.machine_id, machine_id) != 0 || !shown.type_name || !shown.zone) return;
+void unregistered_handle_answer(const char *machine_id, const char *address, const cJSON *answer) {
+    struct heartbeat worker_state = codec_read_heartbeat(answer);
+    if (!worker_state.machine_id || strcmp(worker_state.machine_id, machine_id) != 0 || !worker_state.type_name ||
+        !worker_state.zone)
+        return;
     store_lock();
-    machines_adopt(machine_id, address, shown.type_name, shown.zone, shown.spot);
+    machines_adopt(machine_id, address, worker_state.type_name, worker_state.zone, worker_state.spot);
     store_unlock();
 }
--- a/tests/standin/store.c
+++ b/tests/standin/store.c
@@ -58,7 +58,7 @@
 static void delay(const cJSON *transaction) {
     struct delayed_transaction *delayed = g_new0(struct delayed_transaction, 1);
     delayed->transaction = cJSON_Duplicate(transaction, true);
-    delayed->due = clock_instant_in(clock_from_seconds(store.transaction_delay_s));
+    delayed->due = clock_now_plus(clock_from_seconds(store.transaction_delay_s));
     g_queue_push_tail(store.delayed, delayed);
 }
 
--- a/tests/standin/worker_messages.c
+++ b/tests/standin/worker_messages.c
@@ -54,13 +54,13 @@
     cJSON *message = cJSON_Parse(text);
     assert_non_null(message);
     struct heartbeat heartbeat = codec_read_heartbeat(message);
-    bool newest = reconciliation_take(machine, &heartbeat, channel);
+    bool newest = reconciliation_apply(machine, &heartbeat, channel);
     cJSON_Delete(message);
     return newest;
 }
 
 int worker_directives(struct machine *machine, const char *verb) {
-    cJSON *directives = directives_for(machine, CHANNEL_HEARTBEAT);
+    cJSON *directives = directives_build(machine, CHANNEL_HEARTBEAT);
     const cJSON *item;
     int n = 0;
     cJSON_ArrayForEach(item, directives) n += strcmp(json_get_string(item, "verb"), verb) == 0;
--- a/tests/standin/worker_messages.h
+++ b/tests/standin/worker_messages.h
@@ -27,7 +27,7 @@
 void worker_machine_gone(const char *job_id);
 /* The job's record says cancelled from now on. */
 void worker_cancel_job(const char *job_id, const char *record);
-/* Takes in a message of the worker; what reconciliation_take says to it. */
+/* Takes in a message of the worker; what reconciliation_apply says to it. */
 bool worker_message(struct machine *machine, int incarnation, int sequence, int64_t fencing_token, const char *tasks,
                     enum worker_channel channel);
 /* How many such directives the response to a heartbeat would carry. */
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -200,7 +200,7 @@
     struct heartbeat_copy *copy = g_new0(struct heartbeat_copy, 1);
     copy->text = g_strdup(text);
     copy->original_to = original_to;
-    copy->due = clock_instant_in(clock_from_seconds(workers.copy_after_s));
+    copy->due = clock_now_plus(clock_from_seconds(workers.copy_after_s));
     g_queue_push_tail(workers.copies, copy);
 }
 
