--- a/src/priority/due.c
+++ b/src/priority/due.c
@@ -3,27 +3,27 @@
 #include <glib.h>
 #include <string.h>
 
-#define WAIT_BOUND_S 75            /* nobody is to wait 90 s beside room that fits */
-#define WITHOUT_OBJECTIVES_S 300.0 /* the longest time by which anything is expected, where no class has one */
+#define FIRST_TASK_WAIT_MAX_S 75  /* no job may wait 90 s while a machine has room for it */
+#define DEFAULT_OBJECTIVE_S 300.0 /* longest objective if no class has one */
 
 bool due_has_objective(const struct settings *settings, const struct job *job) {
-    static const enum settings_objective_kind times[] = {OBJECTIVE_WAIT, OBJECTIVE_FINISHED, OBJECTIVE_DEADLINE};
-    for (size_t i = 0; i < G_N_ELEMENTS(times); i++)
-        if (settings_has_objective(settings, times[i], job->spec.job_class)) return true;
+    static const enum settings_objective_kind timed_kinds[] = {OBJECTIVE_WAIT, OBJECTIVE_FINISHED, OBJECTIVE_DEADLINE};
+    for (size_t i = 0; i < G_N_ELEMENTS(timed_kinds); i++)
+        if (settings_has_objective(settings, timed_kinds[i], job->spec.job_class)) return true;
     return false;
 }
 
-/* The longest time by which anything is expected to be done. */
+/* Longest completion objective of all classes. */
 static double longest_objective_s(const struct settings *settings) {
     double longest = 0;
     for (int i = 0; i < settings->n_objectives; i++) {
         const struct settings_objective *objective = &settings->objectives[i];
         if (objective->kind == OBJECTIVE_FINISHED) longest = MAX(longest, objective->within_s);
     }
-    return longest > 0 ? longest : WITHOUT_OBJECTIVES_S;
+    return longest > 0 ? longest : DEFAULT_OBJECTIVE_S;
 }
 
-/* The shortest time above `after` by which jobs of the class are to be done; -1: none. */
+/* The class's shortest completion objective that is longer than `after`; -1 if there is none. */
 static double next_objective_s(const struct settings *settings, const char *job_class, double after) {
     double next = -1;
     for (int i = 0; i < settings->n_objectives; i++) {
@@ -34,20 +34,20 @@
     return next;
 }
 
-static bool has_begun(const struct job *job) { return job->allocations->len > 0 || job->n_reported_done > 0; }
+static bool has_started_tasks(const struct job *job) { return job->allocations->len > 0 || job->n_reported_done > 0; }
 
-/* The first multiple of the missed time, by doubling, that the job can still keep. */
+/* Doubles the missed objective until the job can still meet it. */
 static double next_after_missed_s(double missed_s, double earliest_end_s) {
     double next = missed_s * 2;
     while (earliest_end_s > next) next *= 2;
     return next;
 }
 
-double due_time(const struct settings *settings, const struct job *job, double now) {
+double job_due_time(const struct settings *settings, const struct job *job, double now) {
     double age_s = now - job->ready;
-    /* Late or large work must not step back for ever: a job that waits for its first task for this long goes first
-     * among those of its priority. */
-    if (age_s > WAIT_BOUND_S && !has_begun(job)) return job->ready;
+    /* A job that has waited this long for its first task goes before the other jobs of its priority, so that late and
+     * large jobs don't wait forever. */
+    if (age_s > FIRST_TASK_WAIT_MAX_S && !has_started_tasks(job)) return job->ready;
 
     double earliest_end_s = age_s + job->spec.runtime_s, missed_s = 0;
     for (;;) {
@@ -59,7 +59,7 @@
     if (missed_s > 0) return job->ready + next_after_missed_s(missed_s, earliest_end_s);
     if (due_has_objective(settings, job))
         return job->ready + settings_objective_within(settings, OBJECTIVE_WAIT, job->spec.job_class, 0);
-    /* Nobody expects it by a time: it takes turns with what is late for the last of all times. Due at once, a guest's
-     * arrays without an objective once kept those with one waiting for 400 s. */
+    /* A job without an objective ranks like a job that has missed the longest objective. Treated as due at once, a
+     * guest team's arrays without an objective kept arrays with an objective waiting for 400 s. */
     return job->ready + next_after_missed_s(longest_objective_s(settings), earliest_end_s);
 }
--- a/src/priority/due.h
+++ b/src/priority/due.h
@@ -1,4 +1,4 @@
-/* When a job is due, by the objectives of its class. Internal to the package; with store_lock held. */
+/* Derives a job's due time from the objectives of its class. Internal to the package; called with store_lock held. */
 #ifndef FF_PRIORITY_DUE_H
 #define FF_PRIORITY_DUE_H
 #include <stdbool.h>
@@ -6,13 +6,13 @@
 #include "../model/job.h"
 #include "../settings/settings.h"
 
-/* The time of day at which the job is due; both times count from when its prerequisites were done.
+/* Returns the time of day at which the job is due. Objectives are measured from the completion of its prerequisites.
  *
- * It is the first of the times named by its class's objectives that it can still keep; past the last, twice that, and
- * so on. In an overload work that can't be in time any more steps back behind work that can, instead of making all late
- * one after the other; it comes first again when its next time draws near. */
-double due_time(const struct settings *settings, const struct job *job, double now);
+ * The job is due at the first objective of its class that it can still meet; if it has missed the last one, at twice
+ * that time, four times, and so on. Under overload, a late job thus yields to jobs that can still be on time, instead
+ * of making them late as well, and moves forward again as its next due time approaches. */
+double job_due_time(const struct settings *settings, const struct job *job, double now);
 
-/* Whether jobs of its class are expected to start or end by a time. */
+/* Returns whether an objective sets a time by which jobs of this class start or end. */
 bool due_has_objective(const struct settings *settings, const struct job *job);
 #endif
--- a/src/priority/priority.h
+++ b/src/priority/priority.h
@@ -1,5 +1,6 @@
-/* The order in which waiting jobs are served: within a team's guarantee first, then by priority, then by when they are
- * due. Called by scheduling rounds, the autoscaler, rebalancing and quota, with store_lock held. */
+/* The order in which unfinished jobs are served: jobs within their team's guarantee first, then by priority, then by
+ * due time; suspect jobs last. Called by scheduling rounds, the autoscaler, rebalancing and quota, with store_lock
+ * held. */
 #ifndef FF_PRIORITY_H
 #define FF_PRIORITY_H
 #include <glib.h>
@@ -8,26 +9,26 @@
 #include "../model/job.h"
 #include "../settings/settings.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Called once, before the threads start. The caller keeps ownership of the settings. */
 void priority_init(const struct settings *settings);
 
-/* Sums of the same amounts of a team in another order may differ by less than this. */
+/* Bound on the rounding difference between sums of the same amounts added in a different order. */
 #define PRIORITY_SUM_TOLERANCE 1e-6
 
 struct priority_entry {
     struct job *job;
-    bool within_guarantee; /* with all that comes before it, its team stays within its guarantee */
-    double due;            /* time of day */
+    bool within_guarantee; /* its team's demand, counted from the oldest job to this one, is within the guarantee */
+    double due_at;         /* time of day, in seconds since 1970 */
 };
 
-/* The unfinished jobs of a shard, or of a team in whatever shards they are, in order: an array of struct priority_entry
- * that the caller frees. Jobs with unmet dependencies are left out. */
+/* Return the unfinished jobs of a shard, or of a team in all shards, in the order in which they are served: an array of
+ * struct priority_entry that the caller frees. Jobs with unmet dependencies are left out. */
 GArray *priority_order_shard(int shard);
 GArray *priority_order_team(int team);
 
-/* Whether a team is divided over several shards: then what is within a guarantee is decided over all of them. */
-void priority_set_teams_divided(bool any);
+/* Sets whether any team is divided over several shards; within_guarantee then counts the jobs of all shards. */
+void priority_set_teams_divided(bool divided);
 
-/* Whether jobs of its class are expected to start or end by a time. */
+/* Returns whether an objective sets a time by which jobs of this job's class start or end. */
 bool priority_has_objective(const struct job *job);
 #endif
--- a/src/priority/priority_test.c
+++ b/src/priority/priority_test.c
@@ -1,4 +1,4 @@
-/* The order of a shard's jobs. */
+/* Tests of the order of a shard's jobs. */
 #include "priority/priority.h"
 
 #include <glib.h>
@@ -16,65 +16,68 @@
 static void higher_priority_then_earlier_due_time_goes_first(void **state) {
     (void)state;
     static const struct {
-        const char *what, *first_priority, *second_priority;
-        double first_age, second_age;
+        const char *description, *first_priority, *second_priority;
+        double first_age_s, second_age_s;
     } rows[] = {
-        {"higher priority, though younger", "high", "normal", 1, 20},
-        {"production before all others", "production", "high", 1, 20},
-        {"idle last", "normal", "idle", 1, 20},
-        {"of one priority the one that is due first", "normal", "normal", 20, 1},
+        {"higher priority goes first, although younger", "high", "normal", 1, 20},
+        {"production goes before high", "production", "high", 1, 20},
+        {"idle goes last", "normal", "idle", 1, 20},
+        {"same priority: the earlier due time goes first", "normal", "normal", 20, 1},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char first_id[32], second_id[32];
-        g_snprintf(first_id, sizeof first_id, "req-84%zu01", i); /* where all else is equal the lower id goes first */
+        g_snprintf(first_id, sizeof first_id, "req-84%zu01", i); /* jobs equal in all else are ordered by id */
         g_snprintf(second_id, sizeof second_id, "req-84%zu00", i);
         store_lock();
         struct job *first =
-            owned_job(first_id, "batch", rows[i].first_priority, 1, 1, 0, false, false, rows[i].first_age);
+            owned_job(first_id, "batch", rows[i].first_priority, 1, 1, 0, false, false, rows[i].first_age_s);
         struct job *second =
-            owned_job(second_id, "batch", rows[i].second_priority, 1, 1, 0, false, false, rows[i].second_age);
+            owned_job(second_id, "batch", rows[i].second_priority, 1, 1, 0, false, false, rows[i].second_age_s);
         GArray *order = priority_order_shard(0);
-        guint n = order->len;
-        bool in_order = n == 2 && g_array_index(order, struct priority_entry, 0).job == first &&
+        guint n_entries = order->len;
+        bool in_order = n_entries == 2 && g_array_index(order, struct priority_entry, 0).job == first &&
                         g_array_index(order, struct priority_entry, 1).job == second;
         g_array_free(order, TRUE);
         owned_clear();
         store_unlock();
-        if (!in_order) fail_msg("%s: not in this order, %u jobs", rows[i].what, n);
+        if (!in_order) fail_msg("%s: wrong order of %u jobs", rows[i].description, n_entries);
     }
 }
 
-/* Work that somebody expects by a time goes before work of its priority that nobody does, however old that is. */
+/* A job with an objective goes before a job of the same priority without one, even if that one is older, except shortly
+ * before the other's default due time. */
 static void job_with_objective_goes_first(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        double age, expected_age; /* of the job without an objective, and of the one that is to be done within 400 s */
-        bool expected_first;
+        const char *description;
+        double other_age_s, objective_age_s; /* of the jobs without and with an objective */
+        bool objective_job_first;
     } rows[] = {
-        {"came together", 10, 10, true},
-        {"the one without an objective is older", 200, 10, true},
-        {"so old that its turn has come", 590, 10, false},
-        {"it has missed that and steps back, like all late work", 900, 10, true},
+        {"both jobs are equally old", 10, 10, true},
+        {"the job without an objective is older", 200, 10, true},
+        {"the job without an objective is due first", 590, 10, false},
+        {"the job without an objective has missed its due time", 900, 10, true},
     };
     cfg.objectives[0] = (struct settings_objective){OBJECTIVE_FINISHED, (char *)"expected", 400, 0.9};
     cfg.n_objectives = 1;
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        char plain_id[32], expected_id[32];
-        g_snprintf(plain_id, sizeof plain_id, "req-83%zu00", i);
-        g_snprintf(expected_id, sizeof expected_id, "req-83%zu01", i);
+        char other_id[32], objective_id[32];
+        g_snprintf(other_id, sizeof other_id, "req-83%zu00", i);
+        g_snprintf(objective_id, sizeof objective_id, "req-83%zu01", i);
         store_lock();
-        struct job *plain = owned_job(plain_id, "batch", "idle", 2, 16, 2, false, false, rows[i].age);
-        struct job *expected = owned_job(expected_id, "batch", "idle", 1, 16, 2, false, false, rows[i].expected_age);
-        g_free(expected->spec.job_class);
-        expected->spec.job_class = g_strdup("expected");
-        plain->n_reported_done = 1; /* it has begun */
+        struct job *other_job = owned_job(other_id, "batch", "idle", 2, 16, 2, false, false, rows[i].other_age_s);
+        struct job *objective_job =
+            owned_job(objective_id, "batch", "idle", 1, 16, 2, false, false, rows[i].objective_age_s);
+        g_free(objective_job->spec.job_class);
+        objective_job->spec.job_class = g_strdup("expected");
+        other_job->n_reported_done = 1; /* has started, so its wait for the first task does not count */
         GArray *order = priority_order_shard(0);
-        bool first = g_array_index(order, struct priority_entry, 0).job == expected;
+        bool ranked_first = g_array_index(order, struct priority_entry, 0).job == objective_job;
         g_array_free(order, TRUE);
         owned_clear();
         store_unlock();
-        if (first != rows[i].expected_first) fail_msg("%s: %d", rows[i].what, first);
+        if (ranked_first != rows[i].objective_job_first)
+            fail_msg("%s: job with an objective goes first: %d", rows[i].description, ranked_first);
     }
     cfg.n_objectives = 0;
 }
--- a/src/scheduler/barrier.c
+++ b/src/scheduler/barrier.c
@@ -9,18 +9,18 @@
 
 static bool send_barrier(struct http_client *client, struct store_txn *transaction) {
     struct store_response response;
-    bool carried_out = store_commit(client, STORE_PRIORITY_ALLOCATE, transaction, &response) == STORE_OK;
-    if (carried_out) {
+    bool committed = store_commit(client, STORE_PRIORITY_ALLOCATE, transaction, &response) == STORE_OK;
+    if (committed) {
         store_lock();
         store_apply_committed(transaction, response.revision);
         store_unlock();
         store_wake_watch();
     }
     store_response_clear(&response);
-    return carried_out;
+    return committed;
 }
 
-void barrier_try(struct http_client *client, int shard) {
+void barrier_write(struct http_client *client, int shard) {
     struct store_key key = store_key_shard(shard);
     struct store_txn transaction;
     store_refresh(client, key.text);
@@ -29,8 +29,8 @@
     bool owned = membership_owns(shard);
     const struct shard *record = membership_shard(shard);
     store_txn_compare(&transaction, key.text, record->mod_revision);
-    cJSON *unchanged = membership_shard_value(record->owner, record->incarnation, record->fencing_token);
-    store_txn_put(&transaction, key.text, unchanged, 0);
+    cJSON *same_value = membership_shard_value(record->owner, record->incarnation, record->fencing_token);
+    store_txn_put(&transaction, key.text, same_value, 0);
     store_unlock();
     if (owned && send_barrier(client, &transaction)) shard_states[shard].barrier_pending = false;
     store_txn_free(&transaction);
--- a/src/scheduler/barrier.h
+++ b/src/scheduler/barrier.h
@@ -1,10 +1,10 @@
-/* What follows a transaction of unknown outcome. */
+/* Makes sure that a transaction of unknown outcome can no longer be carried out. */
 #ifndef FF_SCHEDULER_BARRIER_H
 #define FF_SCHEDULER_BARRIER_H
 #include "../http/client.h"
 
-/* Without the lock, from the scheduler's thread. Moves the mod revision of the shard's record, which all of its owner's
- * transactions compare, so that one that is still on its way fails. Once that is written the barrier is no longer
- * pending; otherwise it is tried again with the next scheduling round. */
-void barrier_try(struct http_client *client, int shard);
+/* Called without the lock, from the scheduler's thread. Rewrites the shard's record, unchanged, to raise its mod
+ * revision. Every transaction of the shard's owner compares that revision, so a transaction that is still in flight
+ * fails. Clears shard_state.barrier_pending on success; otherwise the next scheduling round tries again. */
+void barrier_write(struct http_client *client, int shard);
 #endif
--- a/src/scheduler/isolation.c
+++ b/src/scheduler/isolation.c
@@ -7,21 +7,22 @@
 #include "../store/store.h"
 #include "round.h"
 
-#define STORE_SEEN_S 4.0 /* cut from the store as well, this controller no longer knows which machines it owns */
-#define LEAST_MACHINES 4 /* of fewer nothing can be said */
-#define HEARD_PERCENT 30 /* of the machines that are up: where so many send heartbeats, the network is there */
+#define STORE_READ_MAX_AGE_S 4.0 /* with an older read, the controller may no longer know which machines it owns */
+#define MACHINES_UP_MIN 4        /* with fewer machines up, isolation can't be detected */
+#define HEARD_PERCENT_MIN 30     /* if this percentage of the machines up sends heartbeats, the network works */
 
-static bool enough_heard(const struct liveness_summary *summary) {
-    return summary->up < LEAST_MACHINES || summary->heartbeats_heard * 100 >= summary->up * HEARD_PERCENT;
+static bool enough_workers_heard(const struct liveness_summary *summary) {
+    return summary->up < MACHINES_UP_MIN || summary->heartbeats_heard * 100 >= summary->up * HEARD_PERCENT_MIN;
 }
 
-void isolation_watch_start(struct isolation_watch *watch) { watch->workers_heard = clock_now(); }
+void isolation_watch_start(struct isolation_watch *watch) { watch->workers_last_heard = clock_now(); }
 
 void isolation_watch_check(struct isolation_watch *watch, const struct liveness_summary *summary) {
-    bool store_seen = clock_seconds_since(store_last_read()) <= STORE_SEEN_S;
+    bool store_read_recently = clock_seconds_since(store_last_read()) <= STORE_READ_MAX_AGE_S;
     double heartbeat_s = clock_to_seconds(scheduler_settings->heartbeat_interval);
-    if (enough_heard(summary) || !store_seen) watch->workers_heard = clock_now();
-    bool isolated = (store_seen && liveness_controller_isolated(summary->up, summary->newest_s, heartbeat_s)) ||
-                    clock_seconds_since(watch->workers_heard) > heartbeat_s;
+    if (enough_workers_heard(summary) || !store_read_recently) watch->workers_last_heard = clock_now();
+    bool isolated =
+        (store_read_recently && liveness_controller_isolated(summary->up, summary->newest_s, heartbeat_s)) ||
+        clock_seconds_since(watch->workers_last_heard) > heartbeat_s;
     if (isolated && !membership_workers_unreachable()) membership_set_workers_unreachable(true);
 }
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -1,4 +1,4 @@
-/* The thread of the control loop. */
+/* The control loop's thread: scheduling rounds, and periodic checks of machines. */
 #include <stdbool.h>
 #include <time.h>
 
@@ -15,9 +15,9 @@
 #include "round.h"
 #include "scheduler.h"
 
-#define IDLE_WAIT_S 0.5    /* at most, without a wakeup */
-#define ROUND_PAUSE_S 0.03 /* what arrives meanwhile goes into one round */
-#define WATCH_INTERVAL_S 0.5
+#define IDLE_WAIT_MAX_S 0.5 /* longest wait for a wakeup */
+#define ROUND_PAUSE_S 0.03  /* changes that arrive during the pause share one round */
+#define MACHINE_CHECK_INTERVAL_S 0.5
 #define STATUS_INTERVAL_S 10
 
 const struct settings *scheduler_settings;
@@ -26,21 +26,21 @@
 
 static void wake(void) { sync_wakeup_signal(&wakeup); }
 
-/* What is done at intervals. The scheduler's thread's own. */
-struct periodic_work {
-    struct timespec machines_watched, status_logged;
+/* When the periodic checks last ran. Used by the scheduler's thread only. */
+struct periodic_checks {
+    struct timespec machines_checked_at, status_logged_at;
     struct isolation_watch isolation;
 };
 
-/* True if more is to be done at once. */
+/* Runs a round for each shard. Returns true if another round should follow at once. */
 static bool run_rounds(struct http_client *client) {
     bool again = false;
     for (int shard = 0; shard < scheduler_settings->size; shard++) again |= scheduling_round_run(client, shard);
     return again;
 }
 
-/* With store_lock held. */
-static void check_machines(const struct liveness_summary *summary) {
+/* Called with store_lock held. */
+static void check_owned_machines(const struct liveness_summary *summary) {
     for (int shard = 0; shard < scheduler_settings->size; shard++) {
         if (!membership_owns(shard) || !membership_may_answer()) continue;
         liveness_check_machines(shard, summary);
@@ -48,21 +48,21 @@
     }
 }
 
-/* With store_lock held. */
+/* Called with store_lock held. */
 static void log_status(void) {
     for (int shard = 0; shard < scheduler_settings->size; shard++)
         if (membership_owns(shard)) scale_in_log_status(shard);
 }
 
-static void watch_machines(struct periodic_work *periodic) {
-    if (clock_seconds_since(periodic->machines_watched) <= WATCH_INTERVAL_S) return;
-    periodic->machines_watched = clock_now();
+static void run_periodic_checks(struct periodic_checks *checks) {
+    if (clock_seconds_since(checks->machines_checked_at) <= MACHINE_CHECK_INTERVAL_S) return;
+    checks->machines_checked_at = clock_now();
     store_lock();
     struct liveness_summary summary = liveness_summary();
-    isolation_watch_check(&periodic->isolation, &summary);
-    check_machines(&summary);
-    if (clock_seconds_since(periodic->status_logged) > STATUS_INTERVAL_S) {
-        periodic->status_logged = clock_now();
+    isolation_watch_check(&checks->isolation, &summary);
+    check_owned_machines(&summary);
+    if (clock_seconds_since(checks->status_logged_at) > STATUS_INTERVAL_S) {
+        checks->status_logged_at = clock_now();
         log_status();
     }
     store_unlock();
@@ -72,13 +72,13 @@
 static void *scheduler_main(void *arg) {
     (void)arg;
     struct http_client *client = http_client_new();
-    struct periodic_work periodic = {0};
-    isolation_watch_start(&periodic.isolation);
+    struct periodic_checks checks = {0};
+    isolation_watch_start(&checks.isolation);
     for (;;) {
-        sync_wakeup_wait(&wakeup, clock_from_seconds(IDLE_WAIT_S));
+        sync_wakeup_wait(&wakeup, clock_from_seconds(IDLE_WAIT_MAX_S));
         bool again = run_rounds(client);
         quota_commit_changes(client);
-        watch_machines(&periodic);
+        run_periodic_checks(&checks);
         clock_sleep(clock_from_seconds(ROUND_PAUSE_S));
         if (again) wake();
     }
--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -1,4 +1,4 @@
-/* What a scheduling round decides, in which order, and what its transactions change once they are written. */
+/* Decides a scheduling round, and applies its transactions once they are committed. */
 #include "round.h"
 
 #include <glib.h>
@@ -14,45 +14,45 @@
 #include "planning.h"
 #include "transactions.h"
 
-/* With less budget than this, what a job's record lacks waits a while: the ends of more of its tasks go with the same
- * write. Written one by one they once took the writes that starts needed. */
-#define AMPLE_WRITES 4
-#define GATHER_PROGRESS_S 3.0
+/* With a smaller write budget, a job's progress is delayed so that one write records the ends of several tasks. When
+ * each end was written separately, no writes were left for starts. */
+#define AMPLE_WRITES_MIN 4
+#define PROGRESS_DELAY_S 3.0
 
-enum completions { COMPLETIONS_OF_PREREQUISITES, COMPLETIONS_OF_OTHERS };
+enum completion_kind { COMPLETIONS_OF_PREREQUISITES, COMPLETIONS_OF_OTHERS };
 
-/* Writes completions of one sort, and adds their jobs to a set. */
-static void write_completions(struct scheduling_round *round, enum completions sort, GHashTable *written) {
+/* Stages the completions of one kind, and adds their jobs to `staged`. */
+static void stage_completions(struct scheduling_round *round, enum completion_kind kind, GHashTable *staged) {
     GPtrArray *jobs = jobs_active_of(round->shard);
     for (guint i = 0; i < jobs->len && round->writes_left > 1; i++) {
         struct job *job = jobs->pdata[i];
         bool is_prerequisite = job->dependents != NULL;
-        if (!jobs_complete(job) || is_prerequisite != (sort == COMPLETIONS_OF_PREREQUISITES)) continue;
-        scheduling_round_commit_job(round, job);
-        g_hash_table_add(written, job);
+        if (!jobs_complete(job) || is_prerequisite != (kind == COMPLETIONS_OF_PREREQUISITES)) continue;
+        scheduling_round_stage_job(round, job);
+        g_hash_table_add(staged, job);
     }
 }
 
-/* The shard's jobs of which more is known than recorded, without those already written. The caller frees the array. */
-static GPtrArray *jobs_with_progress(int shard, GHashTable *written) {
-    GPtrArray *found = g_ptr_array_new(), *lists[] = {jobs_active_of(shard), jobs_ended_of(shard)};
+/* Returns the shard's jobs with unrecorded changes, except those in `staged`. The caller frees the array. */
+static GPtrArray *jobs_with_progress(int shard, GHashTable *staged) {
+    GPtrArray *jobs = g_ptr_array_new(), *lists[] = {jobs_active_of(shard), jobs_ended_of(shard)};
     for (size_t i = 0; i < G_N_ELEMENTS(lists); i++) {
         for (guint k = 0; k < lists[i]->len; k++) {
             struct job *job = lists[i]->pdata[k];
-            if (job->n_dirty_chunks && !g_hash_table_contains(written, job)) g_ptr_array_add(found, job);
+            if (job->n_dirty_chunks && !g_hash_table_contains(staged, job)) g_ptr_array_add(jobs, job);
         }
     }
-    return found;
+    return jobs;
 }
 
-/* Writes the jobs that the round has planned tasks of, and takes them from those that wait with progress. */
-static void write_planned_jobs(struct scheduling_round *round, GPtrArray *progress) {
+/* Stages the jobs with planned tasks, and removes them from `progress`. */
+static void stage_planned_jobs(struct scheduling_round *round, GPtrArray *progress) {
     const struct job *previous = NULL;
-    for (guint i = 0; i < round->plans->len; i++) {
-        struct job *job = g_array_index(round->plans, struct planned_task, i).job;
+    for (guint i = 0; i < round->planned_tasks->len; i++) {
+        struct job *job = g_array_index(round->planned_tasks, struct planned_task, i).job;
         if (job == previous) continue;
         previous = job;
-        scheduling_round_commit_job(round, job);
+        scheduling_round_stage_job(round, job);
         g_ptr_array_remove(progress, job);
     }
 }
@@ -63,53 +63,54 @@
     return difference < 0 ? -1 : difference > 0;
 }
 
-/* Writes progress, what has waited longest first, as far as the budget allows. */
-static void write_progress(struct scheduling_round *round, GPtrArray *progress) {
+/* Stages the jobs with progress as far as the budget allows, in the order in which they became dirty. */
+static void stage_progress(struct scheduling_round *round, GPtrArray *progress) {
     g_ptr_array_sort(progress, compare_dirty_since);
     for (guint i = 0; i < progress->len && round->writes_left > 0; i++) {
         struct job *job = progress->pdata[i];
-        if (round->writes_left < AMPLE_WRITES && clock_seconds_since(job->dirty_since) < GATHER_PROGRESS_S)
-            break; /* the rest is younger */
-        scheduling_round_commit_job(round, job);
+        if (round->writes_left < AMPLE_WRITES_MIN && clock_seconds_since(job->dirty_since) < PROGRESS_DELAY_S)
+            break; /* the remaining jobs became dirty later */
+        scheduling_round_stage_job(round, job);
     }
-    round->more_waits |= progress->len > 0 && round->writes_left <= 0;
+    round->has_deferred_work |= progress->len > 0 && round->writes_left <= 0;
 }
 
-/* Completions are what users wait for, those first that other jobs wait for; then starts; then other progress. */
+/* Stages changes in the order of urgency: completions of prerequisites, other completions (users wait for them),
+ * machines, starts, other progress. */
 static void decide(struct scheduling_round *round) {
     placement_prepare_machines(round->shard);
     round->last_attempt = planning_last_attempt(round->shard);
-    GHashTable *written = g_hash_table_new(g_direct_hash, g_direct_equal);
-    write_completions(round, COMPLETIONS_OF_PREREQUISITES, written);
-    write_completions(round, COMPLETIONS_OF_OTHERS, written);
-    GPtrArray *progress = jobs_with_progress(round->shard, written);
-    g_hash_table_destroy(written);
+    GHashTable *staged = g_hash_table_new(g_direct_hash, g_direct_equal);
+    stage_completions(round, COMPLETIONS_OF_PREREQUISITES, staged);
+    stage_completions(round, COMPLETIONS_OF_OTHERS, staged);
+    GPtrArray *progress = jobs_with_progress(round->shard, staged);
+    g_hash_table_destroy(staged);
     if (round->writes_left > 0) scheduling_round_plan_jobs(round);
     rebalancing_plan(round->shard);
-    if (round->writes_left > 0) scheduling_round_commit_pages(round);
-    write_planned_jobs(round, progress);
-    write_progress(round, progress);
+    if (round->writes_left > 0) scheduling_round_stage_pages(round);
+    stage_planned_jobs(round, progress);
+    stage_progress(round, progress);
     g_ptr_array_free(progress, TRUE);
 }
 
 struct scheduling_round *scheduling_round_decide(int shard, int writes) {
     struct scheduling_round *round = g_new0(struct scheduling_round, 1);
     round->shard = shard;
-    round->plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
-    round->transactions = g_ptr_array_new_with_free_func(transactions_free_one);
+    round->planned_tasks = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
+    round->transactions = g_ptr_array_new_with_free_func(transaction_free);
     round->writes_left = writes;
-    round->isolated = clock_seconds_since(shard_states[shard].isolated_until) < 0;
-    if (writes >= LEAST_WRITES) {
+    round->one_record_per_transaction = clock_seconds_since(shard_states[shard].isolated_until) < 0;
+    if (writes >= ROUND_WRITES_MIN) {
         decide(round);
     } else {
-        round->more_waits = true;
+        round->has_deferred_work = true;
     }
     return round;
 }
 
-/* A chunk of the job's allocations was written: those of this round are no longer taken for inherited ones, and their
- * machines are sent directives. */
-static void release_starts(const struct scheduling_round *round, const struct job *job) {
+/* Called once a chunk of the job's allocations is committed: the round's allocations no longer count as inherited, and
+ * their machines are sent directives. */
+static void allow_starts(const struct scheduling_round *round, const struct job *job) {
     for (guint i = 0; i < job->allocations->len; i++) {
         struct allocation *allocation = job->allocations->pdata[i];
         if (!allocation->inherited || allocation->attempt <= round->last_attempt) continue;
@@ -118,12 +119,12 @@
     }
 }
 
-/* The job whose chunk a key names; NULL: it names none, or a job that is not known. */
+/* Returns the job whose chunk has this key; NULL if it is not a chunk's key or the job is not known. */
 static struct job *job_of_chunk_key(const char *key) {
     if (!g_str_has_prefix(key, STORE_PREFIX_ALLOCATIONS)) return NULL;
-    const char *rest = key + strlen(STORE_PREFIX_ALLOCATIONS);
+    const char *job_and_chunk = key + strlen(STORE_PREFIX_ALLOCATIONS);
     char job_id[G_SIZEOF_MEMBER(struct job_spec, job_id)];
-    g_strlcpy(job_id, rest, MIN(sizeof job_id, strcspn(rest, "/") + 1));
+    g_strlcpy(job_id, job_and_chunk, MIN(sizeof job_id, strcspn(job_and_chunk, "/") + 1));
     return jobs_find(job_id);
 }
 
@@ -134,7 +135,7 @@
     cJSON_ArrayForEach(operation, transaction->operations) {
         struct store_change change = store_change_read(operation);
         const struct job *job = change.data ? job_of_chunk_key(change.key) : NULL;
-        if (job) release_starts(round, job);
+        if (job) allow_starts(round, job);
     }
     const GPtrArray *machines = machines_of_shard(round->shard);
     for (guint i = 0; i < machines->len; i++) {
@@ -146,7 +147,7 @@
 }
 
 void scheduling_round_free(struct scheduling_round *round) {
-    g_array_free(round->plans, TRUE);
+    g_array_free(round->planned_tasks, TRUE);
     g_ptr_array_free(round->transactions, TRUE);
     g_free(round);
 }
--- a/src/scheduler/round.h
+++ b/src/scheduler/round.h
@@ -1,6 +1,6 @@
-/* A scheduling round of a shard's owner: decided with store_lock held and without I/O, sent without the lock, and each
- * transaction applied with the lock held once the store has written it. Internal to the package and its tests; the
- * program calls all of this from the scheduler's thread. */
+/* A scheduling round of a shard's owner. The round is decided with store_lock held and without I/O. Its transactions
+ * are sent without the lock, and each is applied to the mirror, with the lock held, once the store has committed it.
+ * Internal to the package and its tests; the program calls these functions from the scheduler's thread. */
 #ifndef FF_SCHEDULER_ROUND_H
 #define FF_SCHEDULER_ROUND_H
 #include <glib.h>
@@ -12,41 +12,41 @@
 #include "../settings/settings.h"
 #include "../store/store.h"
 
-/* Those given to scheduler_init. Read only. */
+/* The settings passed to scheduler_init. Read only. */
 extern const struct settings *scheduler_settings;
 
-/* With less budget than this a round decides nothing: the more has gathered, the more the next one carries. */
-#define LEAST_WRITES 2
+/* With a smaller write budget a round decides nothing, so that the next one puts more changes into each write. */
+#define ROUND_WRITES_MIN 2
 
 struct scheduling_round {
     int shard;
-    GArray *plans;           /* struct planned_task; those of a job follow one another */
-    GPtrArray *transactions; /* struct store_txn, in the order in which they are sent */
-    int writes_left;         /* writes that the store's budget still allows */
-    int64_t last_attempt;    /* given out before this round: its own attempts are above */
-    bool more_waits;         /* what was left out goes into the next round, which follows at once */
-    bool isolated;           /* one record a transaction: the store has rejected one of them as malformed lately */
+    GArray *planned_tasks;           /* struct planned_task; a job's tasks are adjacent */
+    GPtrArray *transactions;         /* struct store_txn, in the order of sending */
+    int writes_left;                 /* writes that the store's budget still allows */
+    int64_t last_attempt;            /* the highest attempt number issued before this round */
+    bool has_deferred_work;          /* another round is to follow at once and do the rest */
+    bool one_record_per_transaction; /* since the store recently rejected a transaction as invalid */
 };
 
-/* Without the lock. A round of the shard, sent and applied; nothing if the shard is not owned. True if another should
- * follow at once. */
+/* Decides, sends and applies a round of the shard, if this controller owns it. Returns true if another round should
+ * follow at once. Called without the lock. */
 bool scheduling_round_run(struct http_client *client, int shard);
 
-/* All of the following with store_lock held. */
+/* The following functions are called with store_lock held. */
 
-/* Decides a round of at most so many writes. The caller frees it with scheduling_round_free. */
+/* Decides a round of at most `writes` writes. The caller frees it with scheduling_round_free. */
 struct scheduling_round *scheduling_round_decide(int shard, int writes);
-/* Takes a transaction of the round into the mirror: the store has written it at this revision. */
+/* Applies a transaction of the round, which the store has committed at this revision, to the mirror. */
 void scheduling_round_apply(const struct scheduling_round *round, const struct store_txn *transaction,
                             int64_t revision);
-/* Also without the lock: the round is its thread's own. */
+/* May be called without the lock as well: only the scheduler's thread uses the round. */
 void scheduling_round_free(struct scheduling_round *round);
 
-/* Plans tasks of what waits and has room, in the order of priority, and preempts work for it. */
+/* Plans missing tasks on machines with room, in the order of priority, and preempts tasks where there is no room. */
 void scheduling_round_plan_jobs(struct scheduling_round *round);
 
-/* Writes what is known of a job: completions, allocations that came and went, tasks that are done. */
-void scheduling_round_commit_job(struct scheduling_round *round, struct job *job);
-/* Writes the pages of the shard's machines. */
-void scheduling_round_commit_pages(struct scheduling_round *round);
+/* Adds the job's unrecorded changes to the transactions: its completion, allocations, completed tasks. */
+void scheduling_round_stage_job(struct scheduling_round *round, struct job *job);
+/* Adds the changed pages of the shard's machines to the transactions. */
+void scheduling_round_stage_pages(struct scheduling_round *round);
 #endif
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -1,4 +1,4 @@
-/* The owner's decisions, with no cloud or worker and only the stand-in of the store that assigns it a shard. */
+/* Tests of the owner's decisions for a shard, without cloud and workers. A stand-in for the store assigns the shard. */
 #include <glib.h>
 #include <stdbool.h>
 #include <string.h>
@@ -31,56 +31,57 @@
     return largest;
 }
 
-/* Gangs: all in one zone or nothing, whole machines kept together for them, and room made only where it is enough. */
+/* A gang is placed in one zone or not at all, whole machines are reserved for it, and tasks are preempted only if that
+ * makes enough room. */
 static void gang_is_placed_whole_or_not_at_all(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        int free[3], filled[3]; /* whole machines by zone, and machines with an array's task that is preempted */
+        const char *description;
+        int empty[3], occupied[3]; /* machines by zone: empty, and with one preemptible task of an array */
         int tasks;
         bool single_zone;
-        int allocated, stopped;
+        int planned, stopped;
     } rows[] = {
         {"room in one zone", {1, 3, 0}, {0, 0, 0}, 3, true, 3, 0},
-        {"room in all zones together is none", {1, 1, 1}, {0, 0, 0}, 3, true, 0, 0},
-        {"but for one that may be in several", {1, 1, 1}, {0, 0, 0}, 3, false, 3, 0},
-        {"room after a preemption", {0, 2, 0}, {0, 1, 0}, 3, true, 0, 1},
-        {"no preemption that is not enough", {0, 1, 0}, {1, 1, 0}, 3, true, 0, 0},
+        {"room only across zones", {1, 1, 1}, {0, 0, 0}, 3, true, 0, 0},
+        {"room across zones, for a gang not bound to one", {1, 1, 1}, {0, 0, 0}, 3, false, 3, 0},
+        {"room after one preemption", {0, 2, 0}, {0, 1, 0}, 3, true, 0, 1},
+        {"preemption would not make enough room", {0, 1, 0}, {1, 1, 0}, 3, true, 0, 0},
     };
     store_lock();
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
-        struct machine *filled[9];
-        int n = 0, id = 0;
-        char name[32], job_id[32];
-        for (int z = 0; z < 3; z++) {
-            for (int i = 0; i < rows[row].free[z] + rows[row].filled[z]; i++) {
-                g_snprintf(name, sizeof name, "i-%zu%02d", row + 1, id++);
-                struct machine *machine = owned_machine(name, zones[z], false);
-                if (i >= rows[row].free[z]) filled[n++] = machine;
+        struct machine *occupied[9];
+        int n_occupied = 0, n_machines = 0;
+        char machine_id[32], job_id[32];
+        for (int zone = 0; zone < 3; zone++) {
+            for (int i = 0; i < rows[row].empty[zone] + rows[row].occupied[zone]; i++) {
+                g_snprintf(machine_id, sizeof machine_id, "i-%zu%02d", row + 1, n_machines++);
+                struct machine *machine = owned_machine(machine_id, zones[zone], false);
+                if (i >= rows[row].empty[zone]) occupied[n_occupied++] = machine;
             }
         }
         g_snprintf(job_id, sizeof job_id, "req-3%zu01", row);
         struct job *array = owned_job(job_id, "batch", "normal", 9, 6, 1, false, true, 200);
-        if (n) owned_allocate(array, filled, n);
+        if (n_occupied) owned_allocate(array, occupied, n_occupied);
         g_snprintf(job_id, sizeof job_id, "req-3%zu02", row);
         struct job *gang = owned_job(job_id, "group", "high", rows[row].tasks, 14, 2, rows[row].single_zone, false, 5);
         struct scheduling_round *round = scheduling_round_decide(0, 20);
-        if (owned_planned_tasks(round, job_id) != rows[row].allocated)
-            fail_msg("%s: %d allocated", rows[row].what, owned_planned_tasks(round, job_id));
+        if (owned_planned_tasks(round, job_id) != rows[row].planned)
+            fail_msg("%s: %d gang tasks planned", rows[row].description, owned_planned_tasks(round, job_id));
         int stopped = 0;
         for (guint i = 0; i < array->allocations->len; i++)
             stopped += ((struct allocation *)array->allocations->pdata[i])->stop_requested;
-        if (stopped != rows[row].stopped) fail_msg("%s: %d stopped", rows[row].what, stopped);
-        /* What gathers for the gang is not given to the array that comes after it. */
-        if (rows[row].allocated == 0) {
+        if (stopped != rows[row].stopped) fail_msg("%s: %d tasks asked to stop", rows[row].description, stopped);
+        /* Room reserved for the gang is not given to the array, which comes later in the order. */
+        if (rows[row].planned == 0) {
             g_snprintf(job_id, sizeof job_id, "req-3%zu01", row);
-            int others = 0, most = 0;
-            for (int z = 0; z < 3; z++) {
-                others += rows[row].free[z];
-                most = MAX(most, rows[row].free[z]);
+            int empty_in_all = 0, most_in_a_zone = 0;
+            for (int zone = 0; zone < 3; zone++) {
+                empty_in_all += rows[row].empty[zone];
+                most_in_a_zone = MAX(most_in_a_zone, rows[row].empty[zone]);
             }
-            if (owned_planned_tasks(round, job_id) > (others - most) * 2 + n)
-                fail_msg("%s: %d of the array on the gang's machines", rows[row].what,
+            if (owned_planned_tasks(round, job_id) > (empty_in_all - most_in_a_zone) * 2 + n_occupied)
+                fail_msg("%s: %d array tasks planned, some on the gang's machines", rows[row].description,
                          owned_planned_tasks(round, job_id));
             assert_true(gang->unplaced);
         }
@@ -90,15 +91,15 @@
     store_unlock();
 }
 
-/* Large or late work does not step back for ever: what has waited beyond the bound goes first among those of its
- * priority. */
-static void job_beyond_the_wait_bound_goes_first(void **state) {
+/* A large or late job must not wait forever: once it has waited too long for its first task, it precedes the other jobs
+ * of its priority. */
+static void job_past_its_wait_limit_goes_first(void **state) {
     (void)state;
     store_lock();
     owned_machine("i-800", "za", false);
     struct job *late = owned_job("req-40001", "batch", "normal", 1, 16, 2, false, false, 120);
     owned_job("req-40002", "batch", "normal", 1, 16, 2, false, false, 1);
-    late->spec.runtime_s = 5000; /* reaches none of its times */
+    late->spec.runtime_s = 5000; /* too long to meet any objective */
     struct scheduling_round *round = scheduling_round_decide(0, 20);
     assert_int_equal(owned_planned_tasks(round, "req-40001"), 1);
     assert_int_equal(owned_planned_tasks(round, "req-40002"), 0);
@@ -107,8 +108,8 @@
     store_unlock();
 }
 
-/* What the budget keeps out of a round waits for the next, and is known to be unplaced already. */
-static void round_keeps_to_its_budget(void **state) {
+/* A round stays within its write budget, and marks jobs that it could not plan as unplaced. */
+static void round_stays_within_write_budget(void **state) {
     (void)state;
     char job_id[32];
     store_lock();
@@ -117,10 +118,10 @@
         g_snprintf(job_id, sizeof job_id, "req-5%04d", i);
         owned_job(job_id, "batch", "normal", 1, 8, 1, false, false, 10 - i);
     }
-    static const struct { int left, most; } rows[] = {{0, 0}, {1, 0}, {2, 2}, {20, 20}};
+    static const struct { int budget, writes_max; } rows[] = {{0, 0}, {1, 0}, {2, 2}, {20, 20}};
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
-        struct scheduling_round *round = scheduling_round_decide(0, rows[row].left);
-        if (round_writes(round) > rows[row].most) fail_msg("%d writes", round_writes(round));
+        struct scheduling_round *round = scheduling_round_decide(0, rows[row].budget);
+        if (round_writes(round) > rows[row].writes_max) fail_msg("%d writes", round_writes(round));
         assert_true(owned_planned_tasks(round, NULL) <= 2);
         assert_true(largest_transaction(round) <= cfg.txn_ops);
         scheduling_round_free(round);
@@ -130,240 +131,242 @@
     store_unlock();
 }
 
-/* What is requested: whole requests for what waits, at most a call's worth each, less what boots already. */
-static void scale_out_orders_what_unplaced_tasks_need(void **state) {
+/* Scale-out requests machines for unplaced tasks, at most 50 in a request, and none while enough are booting. */
+static void scale_out_requests_machines_for_unplaced_tasks(void **state) {
     (void)state;
-    struct rental_request out[16];
+    struct rental_request requests[16];
     store_lock();
     shard_states[0].owned_since = (struct timespec){0, 0};
     struct job *job = owned_job("req-60001", "batch", "normal", 300, 8, 1, false, false, 10);
     scheduling_round_free(scheduling_round_decide(0, 20));
     assert_true(job->unplaced);
-    int n = scale_out_plan(out, 16), machines = 0;
-    for (int i = 0; i < n; i++) {
-        assert_in_range(out[i].count, 1, 50);
-        assert_false(out[i].spot);
-        machines += out[i].count;
-        if (i) assert_true(out[i - 1].weight >= out[i].weight);
+    int n_requests = scale_out_plan(requests, 16), n_requested = 0;
+    for (int i = 0; i < n_requests; i++) {
+        assert_in_range(requests[i].count, 1, 50);
+        assert_false(requests[i].spot);
+        n_requested += requests[i].count;
+        if (i) assert_true(requests[i - 1].weight >= requests[i].weight);
     }
-    assert_in_range(machines, 50, 64); /* 128 tasks of a job are counted, two a machine */
+    assert_in_range(n_requested, 50, 64); /* at most 128 tasks of a job are counted, two per machine */
     char id[32];
     for (int i = 0; i < 64; i++) {
         g_snprintf(id, sizeof id, "i-9%03d", i);
         machines_rented(0, id, "g16", "za", false);
     }
-    assert_int_equal(scale_out_plan(out, 16), 0);
+    assert_int_equal(scale_out_plan(requests, 16), 0);
     g_hash_table_remove_all(machines_unregistered());
     owned_clear();
     store_unlock();
 }
 
-/* A shard to which gangs come keeps one whole machine in seven beyond what waits. */
+/* A shard with recent gangs keeps one in seven of its machines empty, beyond what waiting tasks need. */
 static void shard_with_gangs_keeps_spare_machines(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        int busy, empty, gang_age, want;
+        const char *description;
+        int busy, empty, gang_age_s, requested;
     } rows[] = {
-        {"all are taken", 14, 0, 30, 2},
-        {"two are whole", 14, 2, 30, 0},
-        {"one is", 20, 1, 30, 2},
-        {"no gang came lately", 14, 0, 500, 0},
-        {"too few machines to keep any", 5, 0, 30, 0},
+        {"all machines are busy", 14, 0, 30, 2},
+        {"two machines are empty", 14, 2, 30, 0},
+        {"one machine is empty", 20, 1, 30, 2},
+        {"no recent gang", 14, 0, 500, 0},
+        {"too few machines to keep one empty", 5, 0, 30, 0},
     };
     store_lock();
     shard_states[0].owned_since = (struct timespec){0, 0};
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
-        struct machine *all[32];
-        char id[32], one[32], two[32];
-        g_snprintf(one, sizeof one, "req-6100%zu", row);
-        g_snprintf(two, sizeof two, "req-6200%zu", row);
-        int total = rows[row].busy + rows[row].empty, machines = 0;
+        struct machine *fleet[32];
+        char id[32], gang_id[32], rest_id[32];
+        g_snprintf(gang_id, sizeof gang_id, "req-6100%zu", row);
+        g_snprintf(rest_id, sizeof rest_id, "req-6200%zu", row);
+        int total = rows[row].busy + rows[row].empty, n_requested = 0;
         for (int n = 0; n < total; n++) {
             g_snprintf(id, sizeof id, "i-8%03d", n);
-            all[n] = owned_machine(id, zones[n % 3], false);
+            fleet[n] = owned_machine(id, zones[n % 3], false);
         }
-        struct job *gang = owned_job(one, "group", "high", 1, 14, 2, true, false, rows[row].gang_age);
-        struct job *rest = owned_job(two, "standing", "high", rows[row].busy - 1, 14, 2, false, false, 600);
-        owned_allocate(gang, all, 1);
-        owned_allocate(rest, all + 1, rows[row].busy - 1);
+        struct job *gang = owned_job(gang_id, "group", "high", 1, 14, 2, true, false, rows[row].gang_age_s);
+        struct job *rest = owned_job(rest_id, "standing", "high", rows[row].busy - 1, 14, 2, false, false, 600);
+        owned_allocate(gang, fleet, 1);
+        owned_allocate(rest, fleet + 1, rows[row].busy - 1);
         scheduling_round_free(scheduling_round_decide(0, 20));
-        struct rental_request out[16];
-        int n = scale_out_plan(out, 16);
-        for (int o = 0; o < n; o++) machines += out[o].spot ? 1000 : out[o].count;
+        struct rental_request requests[16];
+        int n = scale_out_plan(requests, 16);
+        /* 1000 makes any request for spot machines fail the row. */
+        for (int i = 0; i < n; i++) n_requested += requests[i].spot ? 1000 : requests[i].count;
         owned_clear();
-        if (machines != rows[row].want) {
+        if (n_requested != rows[row].requested) {
             store_unlock();
-            fail_msg("%s: %d", rows[row].what, machines);
+            fail_msg("%s: %d machines requested", rows[row].description, n_requested);
         }
     }
     store_unlock();
 }
 
-static void last_heard_before(struct machine *machine, double s) {
+static void set_last_heard(struct machine *machine, double seconds_ago) {
     machine->liveness.last_heard = machine->liveness.last_heartbeat = clock_now_plus(clock_from_seconds(0));
-    machine->liveness.last_heard.tv_sec -= (time_t)s;
-    machine->liveness.last_heartbeat.tv_sec -= (time_t)s;
+    machine->liveness.last_heard.tv_sec -= (time_t)seconds_ago;
+    machine->liveness.last_heartbeat.tv_sec -= (time_t)seconds_ago;
 }
 
-/* Which of the machines that are not heard are returned: one alone, one in a cut zone, one whose zone is just back.
- */
-static void silent_machines_are_returned_unless_their_zone_is_cut(void **state) {
+/* Silent machines are returned, but not while their whole zone is unreachable, nor as soon as it is reachable again. */
+static void silent_machines_are_returned_unless_their_zone_is_unreachable(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        int here, there; /* machines in za and in zb */
-        int silent;      /* of those in za */
-        double s;
-        int unanswered;
-        bool allocated, seen;
-        int want; /* returned */
+        const char *description;
+        int n_za, n_zb; /* machines in zones za and zb */
+        int n_silent;   /* of the machines in za */
+        double silence_s;
+        int unanswered_probes;
+        bool has_tasks, tasks_seen;
+        int returned; /* expected number of machines returned */
     } rows[] = {
         {"two probes unanswered", 30, 30, 1, 6, 2, true, true, 1},
         {"one probe unanswered", 30, 30, 1, 6, 1, true, true, 0},
-        {"not silent for long", 30, 30, 1, 4, 2, true, true, 0},
-        {"a zone of few: its cut would not show before", 4, 30, 1, 6, 2, true, true, 0},
-        {"silent beyond the limit", 4, 30, 1, 9, 0, true, true, 1},
+        {"silent for too short a time", 30, 30, 1, 4, 2, true, true, 0},
+        {"small zone: the whole zone may be unreachable", 4, 30, 1, 6, 2, true, true, 0},
+        {"silent for longer than the limit", 4, 30, 1, 9, 0, true, true, 1},
         {"a third of a zone at once", 30, 30, 10, 6, 2, true, true, 10},
-        {"a whole zone: it is cut, and its tasks run on", 30, 30, 30, 15, 9, true, true, 0},
-        {"a cut zone, and nothing of what was sent there was seen", 30, 30, 30, 15, 9, true, false, 30},
-        {"a cut zone, idle machines", 30, 30, 30, 15, 9, false, false, 0},
-        {"a cut zone, past the time for which its tasks live", 30, 30, 30, 45, 9, true, true, 30},
-        {"all zones: the controller is cut off itself", 30, 0, 30, 15, 9, true, true, 0},
+        {"whole zone unreachable, its tasks keep running", 30, 30, 30, 15, 9, true, true, 0},
+        {"unreachable zone, its tasks were never listed", 30, 30, 30, 15, 9, true, false, 30},
+        {"unreachable zone, idle machines", 30, 30, 30, 15, 9, false, false, 0},
+        {"zone unreachable for longer than its tasks run on", 30, 30, 30, 45, 9, true, true, 30},
+        {"all zones unreachable: the controller is isolated", 30, 0, 30, 15, 9, true, true, 0},
     };
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
-        struct machine *all[64];
+        struct machine *fleet[64];
         char id[32], job_id[32];
-        int total = rows[row].here + rows[row].there, back = 0;
+        int total = rows[row].n_za + rows[row].n_zb, n_returned = 0;
         store_lock();
         for (int n = 0; n < total; n++) {
             g_snprintf(id, sizeof id, "i-7%zu%03d", row, n);
-            all[n] = owned_machine(id, n < rows[row].here ? "za" : "zb", false);
+            fleet[n] = owned_machine(id, n < rows[row].n_za ? "za" : "zb", false);
         }
         g_snprintf(job_id, sizeof job_id, "req-7100%02zu", row);
-        struct job *job = owned_job(job_id, "batch", "high", rows[row].silent, 1, 1, false, false, 100);
-        if (rows[row].allocated) owned_allocate(job, all, rows[row].silent);
-        for (int n = 0; n < rows[row].silent; n++) {
-            last_heard_before(all[n], rows[row].s);
-            all[n]->liveness.unanswered_probes = rows[row].unanswered;
-            for (guint b = 0; b < all[n]->allocations->len; b++)
-                ((struct allocation *)all[n]->allocations->pdata[b])->seen = rows[row].seen;
+        struct job *job = owned_job(job_id, "batch", "high", rows[row].n_silent, 1, 1, false, false, 100);
+        if (rows[row].has_tasks) owned_allocate(job, fleet, rows[row].n_silent);
+        for (int n = 0; n < rows[row].n_silent; n++) {
+            set_last_heard(fleet[n], rows[row].silence_s);
+            fleet[n]->liveness.unanswered_probes = rows[row].unanswered_probes;
+            for (guint k = 0; k < fleet[n]->allocations->len; k++)
+                ((struct allocation *)fleet[n]->allocations->pdata[k])->seen = rows[row].tasks_seen;
         }
         struct liveness_summary summary = liveness_summary();
         liveness_check_machines(0, &summary);
-        for (int n = 0; n < total; n++) back += all[n]->retirement.return_wanted;
-        /* The zone's first machine is heard again: the others get the time to be. */
-        bool grace = true;
-        if (rows[row].silent == rows[row].here && rows[row].there && rows[row].seen && rows[row].want == 0) {
-            all[0]->liveness.last_heard = all[0]->liveness.last_heartbeat = clock_now();
+        for (int n = 0; n < total; n++) n_returned += fleet[n]->retirement.return_wanted;
+        /* One machine of the zone is heard again: the others must get time to send heartbeats as well. */
+        bool grace_kept = true;
+        if (rows[row].n_silent == rows[row].n_za && rows[row].n_zb && rows[row].tasks_seen && rows[row].returned == 0) {
+            fleet[0]->liveness.last_heard = fleet[0]->liveness.last_heartbeat = clock_now();
             liveness_check_machines(0, &summary);
-            for (int n = 0; n < total; n++) grace &= !all[n]->retirement.return_wanted;
+            for (int n = 0; n < total; n++) grace_kept &= !fleet[n]->retirement.return_wanted;
         }
-        for (int n = 0; n < total; n++) all[n]->retirement.return_wanted = false;
+        for (int n = 0; n < total; n++) fleet[n]->retirement.return_wanted = false;
         owned_clear();
         store_unlock();
-        if (back != rows[row].want) fail_msg("%s: %d", rows[row].what, back);
-        if (!grace) fail_msg("%s: returned when the zone was back", rows[row].what);
-        /* What liveness remembers of zones must not reach into the next row. */
+        if (n_returned != rows[row].returned) fail_msg("%s: %d machines returned", rows[row].description, n_returned);
+        if (!grace_kept) fail_msg("%s: machines returned after the zone is reachable again", rows[row].description);
+        /* Resets liveness's state of zones for the next row. */
         liveness_init(&cfg);
     }
 }
 
-/* A deployment of 4,500 machines and the matching jobs: what a round examines is what waits and where there is room,
+/* In a deployment of 4,500 machines, a round examines only machines with room, and only for missing tasks. The cost is
  * counted in machines examined, not in time. */
 static void planning_examines_only_machines_with_room(void **state) {
     (void)state;
     enum { FLEET = 4500, JOBS = 225, TASKS = 38 };
     char job_id[32];
-    static struct machine *all[FLEET];
+    static struct machine *fleet[FLEET];
     store_lock();
-    owned_machines(all, FLEET, true);
-    for (int k = 0; k < JOBS; k++) {
-        struct machine *on[TASKS];
-        g_snprintf(job_id, sizeof job_id, "req-7%05d", k);
+    owned_machines(fleet, FLEET, true);
+    for (int job_index = 0; job_index < JOBS; job_index++) {
+        struct machine *hosts[TASKS];
+        g_snprintf(job_id, sizeof job_id, "req-7%05d", job_index);
         struct job *job = owned_job(job_id, "batch", "normal", TASKS, 8, 1, false, true, 30);
-        for (int t = 0; t < TASKS; t++) on[t] = all[(k * TASKS + t) / 2];
-        owned_allocate(job, on, TASKS);
+        for (int t = 0; t < TASKS; t++) hosts[t] = fleet[(job_index * TASKS + t) / 2];
+        owned_allocate(job, hosts, TASKS);
     }
-    /* 4,275 machines are full; 225 have room, and there are 40 new tasks. */
+    /* 4,275 machines are full, 225 have room, and 40 tasks are new. */
     owned_job("req-790001", "batch", "normal", 40, 8, 1, false, true, 1);
-    unsigned long before = placement_machines_examined();
+    unsigned long examined_before = placement_machines_examined();
     struct scheduling_round *round = scheduling_round_decide(0, 20);
     assert_int_equal(owned_planned_tasks(round, "req-790001"), 40);
     assert_int_equal(owned_planned_tasks(round, NULL), 40);
-    if (placement_machines_examined() - before > 40 * 230)
-        fail_msg("%lu machines examined", placement_machines_examined() - before);
-    assert_int_equal(round_writes(round), 1); /* however many machines it touches */
+    if (placement_machines_examined() - examined_before > 40 * 230)
+        fail_msg("%lu machines examined", placement_machines_examined() - examined_before);
+    assert_int_equal(round_writes(round), 1); /* of one chunk, however many machines it names */
     scheduling_round_free(round);
-    /* With nothing waiting, no machine is examined. */
+    /* Without missing tasks, no machine is examined. */
     owned_put("run/req-790001/0", NULL);
     struct job *job = jobs_find("req-790001");
-    owned_allocate(job, all + 4275, 40);
-    before = placement_machines_examined();
+    owned_allocate(job, fleet + 4275, 40);
+    examined_before = placement_machines_examined();
     round = scheduling_round_decide(0, 20);
     assert_int_equal(owned_planned_tasks(round, NULL), 0);
-    assert_int_equal(placement_machines_examined() - before, 0);
+    assert_int_equal(placement_machines_examined() - examined_before, 0);
     scheduling_round_free(round);
     owned_clear();
     store_unlock();
 }
 
-/* The largest arrays: a round's cost does not grow with tasks times machines, one write carries a whole chunk of
- * tasks, and no machine gets more tasks than a heartbeat of it can list. */
+/* The largest arrays: the cost of a round does not grow with tasks times machines, one write holds a whole chunk of
+ * tasks, and no machine gets more tasks than its heartbeat can list. */
 static void wide_array_is_planned_at_bounded_cost(void **state) {
     (void)state;
     enum { FLEET = 400 };
     static const struct {
-        const char *what;
+        const char *description;
         int tasks;
-        double cpus;
-        int on_a_machine;
+        double vcpus;
+        int tasks_per_machine_max;
     } rows[] = {
         {"thousands of small tasks", 25000, 0.25, 64},
-        {"as many as the protocol allows", JOB_TASKS_MAX, 0.25, 64},
-        {"tiny ones: bound by what a heartbeat lists", 25000, 0.01, MACHINE_TASKS_MAX},
+        {"the most tasks that a job may have", JOB_TASKS_MAX, 0.25, 64},
+        {"tiny tasks: the heartbeat limits their number", 25000, 0.01, MACHINE_TASKS_MAX},
     };
-    static struct machine *all[FLEET];
+    static struct machine *fleet[FLEET];
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
         char job_id[32];
         g_snprintf(job_id, sizeof job_id, "req-8000%02zu", row);
         store_lock();
-        owned_machines(all, FLEET, true);
-        struct job *job = owned_job(job_id, "batch", "idle", rows[row].tasks, rows[row].cpus, 0, false, true, 1);
+        owned_machines(fleet, FLEET, true);
+        struct job *job = owned_job(job_id, "batch", "idle", rows[row].tasks, rows[row].vcpus, 0, false, true, 1);
         job->spec.memory_gb = 0.1;
-        unsigned long before = placement_machines_examined();
+        unsigned long examined_before = placement_machines_examined();
         struct scheduling_round *round = scheduling_round_decide(0, 20);
-        int planned = owned_planned_tasks(round, job_id), writes = round_writes(round), most = 0;
-        unsigned long machines_examined = placement_machines_examined() - before;
-        for (int i = 0; i < FLEET; i++) most = MAX(most, all[i]->round.used_tasks);
+        int planned = owned_planned_tasks(round, job_id), writes = round_writes(round), most_on_a_machine = 0;
+        unsigned long machines_examined = placement_machines_examined() - examined_before;
+        for (int i = 0; i < FLEET; i++) most_on_a_machine = MAX(most_on_a_machine, fleet[i]->round.used_tasks);
         scheduling_round_free(round);
         owned_clear();
         store_unlock();
-        if (planned < 400) fail_msg("%s: %d planned", rows[row].what, planned);
-        if (writes * 100 > planned) fail_msg("%s: %d writes for %d tasks", rows[row].what, writes, planned);
-        if (machines_examined > (unsigned long)FLEET * (unsigned long)(planned / rows[row].on_a_machine + 2))
-            fail_msg("%s: %lu machines examined", rows[row].what, machines_examined);
-        if (most > rows[row].on_a_machine) fail_msg("%s: %d on a machine", rows[row].what, most);
+        if (planned < 400) fail_msg("%s: %d tasks planned", rows[row].description, planned);
+        if (writes * 100 > planned) fail_msg("%s: %d writes for %d tasks", rows[row].description, writes, planned);
+        if (machines_examined > (unsigned long)FLEET * (unsigned long)(planned / rows[row].tasks_per_machine_max + 2))
+            fail_msg("%s: %lu machines examined", rows[row].description, machines_examined);
+        if (most_on_a_machine > rows[row].tasks_per_machine_max)
+            fail_msg("%s: %d tasks on a machine", rows[row].description, most_on_a_machine);
     }
 }
 
-/* A machine that should have come up by now is no supply: what waits gets another, a bounded number at a time. */
+/* A booting machine that is overdue does not count as supply: waiting tasks get a replacement, but only a limited
+ * number of machines is replaced at a time. */
 static void overdue_machines_are_replaced_a_few_at_a_time(void **state) {
     (void)state;
     static const struct {
-        const char *what;
+        const char *description;
         int booting;
         double age_s;
-        int up, least, most; /* ordered */
+        int up, requested_min, requested_max; /* expected number of machines requested */
     } rows[] = {
-        {"on their way", 10, 5, 0, 0, 0},
+        {"booting, not yet overdue", 10, 5, 0, 0, 0},
         {"overdue", 2, 60, 0, 2, 2},
-        {"many at once: only some are replaced", 40, 60, 0, 1, 4},
-        {"more of them in a larger fleet", 40, 60, 80, 8, 16},
+        {"many overdue: only some are replaced", 40, 60, 0, 1, 4},
+        {"larger fleet: more are replaced", 40, 60, 80, 8, 16},
     };
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
         char id[32], job_id[32];
-        struct rental_request out[16];
+        struct rental_request requests[16];
         store_lock();
         shard_states[0].owned_since = (struct timespec){0, 0};
         for (int i = 0; i < rows[row].booting + rows[row].up; i++) {
@@ -375,22 +378,23 @@
             }
         }
         g_snprintf(job_id, sizeof job_id, "req-8100%02zu", row);
-        struct job *full = owned_job("req-819999", "batch", "high", MAX(rows[row].up, 1), 16, 2, false, false, 300);
+        struct job *other_job =
+            owned_job("req-819999", "batch", "high", MAX(rows[row].up, 1), 16, 2, false, false, 300);
         for (int i = 0; i < rows[row].up; i++) {
             g_snprintf(id, sizeof id, "i-6%zu%03d", row, rows[row].booting + i);
             machines_find(id)->round.schedulable = false;
             machines_find(id)->liveness.preemption_notice_s = 100;
         }
-        if (!rows[row].up) full->retry_at = clock_now_plus(clock_from_seconds(60));
+        if (!rows[row].up) other_job->retry_at = clock_now_plus(clock_from_seconds(60));
         owned_job(job_id, "batch", "high", rows[row].booting, 16, 2, false, false, 10);
-        full->retry_at = clock_now_plus(clock_from_seconds(60));
+        other_job->retry_at = clock_now_plus(clock_from_seconds(60));
         scheduling_round_free(scheduling_round_decide(0, 20));
-        int n = scale_out_plan(out, 16), machines = 0;
-        for (int i = 0; i < n; i++) machines += out[i].count;
+        int n_requests = scale_out_plan(requests, 16), n_requested = 0;
+        for (int i = 0; i < n_requests; i++) n_requested += requests[i].count;
         owned_clear();
         store_unlock();
-        if (machines < rows[row].least || machines > rows[row].most)
-            fail_msg("%s: %d ordered", rows[row].what, machines);
+        if (n_requested < rows[row].requested_min || n_requested > rows[row].requested_max)
+            fail_msg("%s: %d machines requested", rows[row].description, n_requested);
     }
 }
 
@@ -400,11 +404,11 @@
     owned_put_machine_type();
     store_unlock();
     const struct CMUnitTest tests[] = {cmocka_unit_test(gang_is_placed_whole_or_not_at_all),
-                                       cmocka_unit_test(job_beyond_the_wait_bound_goes_first),
-                                       cmocka_unit_test(round_keeps_to_its_budget),
-                                       cmocka_unit_test(scale_out_orders_what_unplaced_tasks_need),
+                                       cmocka_unit_test(job_past_its_wait_limit_goes_first),
+                                       cmocka_unit_test(round_stays_within_write_budget),
+                                       cmocka_unit_test(scale_out_requests_machines_for_unplaced_tasks),
                                        cmocka_unit_test(shard_with_gangs_keeps_spare_machines),
-                                       cmocka_unit_test(silent_machines_are_returned_unless_their_zone_is_cut),
+                                       cmocka_unit_test(silent_machines_are_returned_unless_their_zone_is_unreachable),
                                        cmocka_unit_test(wide_array_is_planned_at_bounded_cost),
                                        cmocka_unit_test(overdue_machines_are_replaced_a_few_at_a_time),
                                        cmocka_unit_test(planning_examines_only_machines_with_room)};
--- a/src/scheduler/commit_pages.c
+++ b/src/scheduler/stage_pages.c
@@ -1,4 +1,4 @@
-/* What a scheduling round writes of machines. */
+/* Stages the records of machines, which are grouped into pages, in a scheduling round. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -14,111 +14,114 @@
 #include "round.h"
 #include "transactions.h"
 
-#define PAGES_FILLED_MAX 2   /* pages that a round fills with machines of large ones */
-#define COMPACT_INTERVAL_S 2 /* between writes of what can wait */
+#define MIGRATION_TARGET_PAGES_MAX 2 /* pages that a round fills with machines from oversized pages */
+#define DEFERRED_WRITE_INTERVAL_S 2  /* time between deferred writes */
 
-/* What is to be done with each page of a shard in a round. */
+/* Flags: when and how a round writes a page. */
 enum page_need {
-    PAGE_LATER = 1, /* with what can wait */
-    PAGE_NOW = 2,
-    PAGE_RAISE = 4, /* together with the counter of fencing tokens */
+    PAGE_WRITE_DEFERRED = 1, /* written once deferred writes are due */
+    PAGE_WRITE_NOW = 2,
+    PAGE_RAISE_TOKENS = 4, /* written in the transaction that changes the fencing counter */
 };
 
+/* The page writes of a shard in a round. */
 struct page_plan {
     int shard;
-    bool compact;                     /* what can wait is due */
-    uint8_t needs[MACHINE_PAGES_MAX]; /* of enum page_need */
-    bool large[MACHINE_PAGES_MAX];    /* can't be rewritten under the store's next limit */
+    bool write_deferred;               /* deferred writes are due */
+    uint8_t needs[MACHINE_PAGES_MAX];  /* enum page_need, for each page */
+    bool oversized[MACHINE_PAGES_MAX]; /* the page is too large for the store's next limit */
     struct shard_page_fills fills;
-    int64_t fencing_token; /* of machines that are raised */
-    int raise_writes;      /* writes of the transaction that raises; the counter is one */
-    bool raised;
+    int64_t fencing_token; /* new token of machines that are raised or transferred */
+    int raise_writes;      /* writes of the transaction that raises tokens, including the fencing counter */
+    bool has_raises;
 };
 
-static bool valid_page(int page) { return page >= 0 && page < MACHINE_PAGES_MAX; }
+static bool is_valid_page(int page) { return page >= 0 && page < MACHINE_PAGES_MAX; }
 
-/* Its record is to change: it is raised, returned or transferred. */
-static bool record_is_to_change(const struct machine *machine) {
+/* Returns whether the machine is to be returned or transferred, or its fencing token raised. */
+static bool record_is_about_to_change(const struct machine *machine) {
     return machine->commands.needs_token_raise ||
            (machine->retirement.return_wanted && !machine->retirement.returning) || machine->rebalance.to >= 0;
 }
 
-/* On a large page, with no other page chosen yet. */
-static bool lies_on_large_page(const struct page_plan *plan, const struct machine *machine) {
-    return valid_page(machine->page) && plan->large[machine->page] && machine->round.next_page < 0 &&
+/* Returns whether the machine is on an oversized page and has no other page assigned yet. */
+static bool needs_migration(const struct page_plan *plan, const struct machine *machine) {
+    return is_valid_page(machine->page) && plan->oversized[machine->page] && machine->round.next_page < 0 &&
            !machine->retirement.released;
 }
 
-enum machines_moved { MOVED_IF_RECORD_CHANGES, MOVED_ALL };
+enum migration_scope { MIGRATE_CHANGING_RECORDS, MIGRATE_ALL };
 
-/* Gives machines of large pages places on others, until enough pages are filled. False once they are. */
-static bool move_from_large(struct page_plan *plan, enum machines_moved moved, bool *filled, int *n_filled) {
+/* Assigns machines on oversized pages to other pages. Returns false if the round may fill no more pages, or all are
+ * full. */
+static bool plan_migrations(struct page_plan *plan, enum migration_scope scope, bool *is_target, int *n_targets) {
     const GPtrArray *machines = machines_of_shard(plan->shard);
     for (guint i = 0; i < machines->len; i++) {
         struct machine *machine = machines->pdata[i];
-        if (!lies_on_large_page(plan, machine)) continue;
-        if (moved == MOVED_IF_RECORD_CHANGES && !record_is_to_change(machine)) continue;
-        int to = machines_page_fills_add(&plan->fills, machine->id);
-        if (to < 0 || (!filled[to] && *n_filled == PAGES_FILLED_MAX)) return false;
-        *n_filled += !filled[to];
-        filled[to] = true;
-        machine->round.next_page = to;
-        plan->needs[to] |= PAGE_NOW;
+        if (!needs_migration(plan, machine)) continue;
+        if (scope == MIGRATE_CHANGING_RECORDS && !record_is_about_to_change(machine)) continue;
+        int target_page = machines_page_fills_add(&plan->fills, machine->id);
+        if (target_page < 0 || (!is_target[target_page] && *n_targets == MIGRATION_TARGET_PAGES_MAX)) return false;
+        *n_targets += !is_target[target_page];
+        is_target[target_page] = true;
+        machine->round.next_page = target_page;
+        plan->needs[target_page] |= PAGE_WRITE_NOW;
     }
     return true;
 }
 
-/* Those come first whose records are to change. */
-static void plan_large_pages(struct page_plan *plan) {
-    bool filled[MACHINE_PAGES_MAX] = {false};
-    int n_filled = 0;
-    if (!move_from_large(plan, MOVED_IF_RECORD_CHANGES, filled, &n_filled)) return;
-    if (plan->compact) move_from_large(plan, MOVED_ALL, filled, &n_filled);
+/* Moves machines off oversized pages: first those whose records are about to change, then the others if deferred
+ * writes are due. */
+static void plan_oversized_pages(struct page_plan *plan) {
+    bool is_target[MACHINE_PAGES_MAX] = {false};
+    int n_targets = 0;
+    if (!plan_migrations(plan, MIGRATE_CHANGING_RECORDS, is_target, &n_targets)) return;
+    if (plan->write_deferred) plan_migrations(plan, MIGRATE_ALL, is_target, &n_targets);
 }
 
-/* Raises a machine's fencing token, or transfers it to another shard, as far as the transaction that does this has
- * room. */
-static void plan_raise(struct page_plan *plan, struct machine *machine, int page) {
+/* Plans to raise the machine's fencing token, or to transfer the machine to another shard, if the transaction for
+ * raises has room. */
+static void plan_token_raise(struct page_plan *plan, struct machine *machine, int page) {
     bool transfer = rebalancing_allowed(machine);
     if (!transfer && !machine->commands.needs_token_raise) return;
-    int writes = (transfer ? 1 : 0) + ((plan->needs[page] & PAGE_RAISE) ? 0 : 1);
+    int writes = (transfer ? 1 : 0) + ((plan->needs[page] & PAGE_RAISE_TOKENS) ? 0 : 1);
     if (plan->raise_writes + writes > scheduler_settings->txn_ops) return;
     plan->raise_writes += writes;
     machine->round.next_token = plan->fencing_token;
     machine->round.leaves_page = transfer;
-    plan->raised = true;
-    plan->needs[page] |= PAGE_RAISE;
+    plan->has_raises = true;
+    plan->needs[page] |= PAGE_RAISE_TOKENS;
 }
 
-/* A machine that has a page or is given one. */
+/* Plans the write of a machine that has a page or was assigned one. */
 static void plan_machine(struct page_plan *plan, struct machine *machine) {
     int page = machines_page_of(machine);
-    if (!valid_page(page) || plan->large[page]) return;
-    plan_raise(plan, machine, page);
-    /* What runs there starts elsewhere only once it is returned; idle machines are returned many at a time, and would
-     * take a write of a page each. */
+    if (!is_valid_page(page) || plan->oversized[page]) return;
+    plan_token_raise(plan, machine, page);
+    /* Tasks on the machine can only start elsewhere after its return, so that is recorded at once. Idle machines are
+     * returned many at a time, and their writes are deferred to avoid a page write for each. */
     if (machine->retirement.return_wanted && !machine->retirement.returning)
-        plan->needs[page] |= machine->allocations->len > 0 ? PAGE_NOW : PAGE_LATER;
-    if (machine->retirement.released || machine->address_unrecorded) plan->needs[page] |= PAGE_LATER;
+        plan->needs[page] |= machine->allocations->len > 0 ? PAGE_WRITE_NOW : PAGE_WRITE_DEFERRED;
+    if (machine->retirement.released || machine->address_unrecorded) plan->needs[page] |= PAGE_WRITE_DEFERRED;
 }
 
 static void plan_machines(struct page_plan *plan) {
     const GPtrArray *machines = machines_of_shard(plan->shard);
-    int incoming = 0;
+    int n_arrivals = 0;
     for (guint i = 0; i < machines->len; i++) {
         struct machine *machine = machines->pdata[i];
         if (machine->page >= 0) {
             plan_machine(plan, machine);
             continue;
         }
-        if (incoming++ >= scheduler_settings->txn_ops / 2) continue;
+        if (n_arrivals++ >= scheduler_settings->txn_ops / 2) continue;
         machine->round.next_page = machines_page_fills_add(&plan->fills, machine->id);
-        if (machine->round.next_page >= 0) plan->needs[machine->round.next_page] |= PAGE_NOW;
+        if (machine->round.next_page >= 0) plan->needs[machine->round.next_page] |= PAGE_WRITE_NOW;
     }
 }
 
-/* Forgets the places that the last round gave and did not write. */
-static void forget_places(int shard) {
+/* Drops the pages that the last round assigned to unregistered machines but did not write. */
+static void reset_unregistered_pages(int shard) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, machines_unregistered());
@@ -128,7 +131,7 @@
     }
 }
 
-static void plan_unregistered(struct page_plan *plan) {
+static void plan_unregistered_machines(struct page_plan *plan) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, machines_unregistered());
@@ -136,38 +139,38 @@
         struct unregistered_machine *machine = value;
         if (machine->shard != plan->shard) continue;
         machine->page = machines_page_fills_add(&plan->fills, machine->id);
-        if (machine->page >= 0) plan->needs[machine->page] |= PAGE_NOW;
+        if (machine->page >= 0) plan->needs[machine->page] |= PAGE_WRITE_NOW;
     }
 }
 
 static void plan_stale_pages(struct page_plan *plan) {
     for (int page = 0; page < MACHINE_PAGES_MAX; page++)
-        if (machines_page_stale(plan->shard, page)) plan->needs[page] |= PAGE_LATER;
+        if (machines_page_stale(plan->shard, page)) plan->needs[page] |= PAGE_WRITE_DEFERRED;
 }
 
-/* Puts a page as it is to be from now on. */
+/* Puts the page's new value. */
 static void put_page(struct store_txn *transaction, int shard, int page) {
     struct store_key key = store_key_machine_page(shard, page);
-    int n;
+    int n_machines;
     store_txn_compare(transaction, key.text, store_key_revision(key.text));
-    store_txn_put(transaction, key.text, machines_page_value(shard, page, &n), 0);
+    store_txn_put(transaction, key.text, machines_page_value(shard, page, &n_machines), 0);
 }
 
-/* Puts the machine's own record, with which it is on its way to the other shard. */
+/* Puts the machine's own record, which transfers it to another shard. */
 static void put_transfer(struct store_txn *transaction, const struct machine *machine, int64_t fencing_token) {
     struct store_key key = store_key_machine(machine->id);
     store_txn_compare(transaction, key.text, 0);
     store_txn_put(transaction, key.text, machines_single_value(machine, machine->rebalance.to, fencing_token), 0);
 }
 
-/* Raises and transfers move the counter of fencing tokens in the same transaction, which is one of their own. */
-static void write_raises(struct scheduling_round *round, struct page_plan *plan) {
-    struct store_txn *transaction = transactions_with_room(round, scheduler_settings->txn_ops, 3);
+/* Stages token raises and transfers, together with the new fencing counter, in one transaction. */
+static void stage_token_raises(struct scheduling_round *round, struct page_plan *plan) {
+    struct store_txn *transaction = transactions_reserve(round, scheduler_settings->txn_ops, 3);
     round->writes_left += scheduler_settings->txn_ops - plan->raise_writes;
     store_txn_compare(transaction, STORE_KEY_FENCING_COUNTER, store_key_revision(STORE_KEY_FENCING_COUNTER));
     store_txn_put(transaction, STORE_KEY_FENCING_COUNTER, cJSON_CreateNumber((double)plan->fencing_token), 0);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
-        if (!(plan->needs[page] & PAGE_RAISE)) continue;
+        if (!(plan->needs[page] & PAGE_RAISE_TOKENS)) continue;
         put_page(transaction, plan->shard, page);
         plan->needs[page] = 0;
     }
@@ -178,15 +181,16 @@
     }
 }
 
-/* Comes from another shard, to this page: its own record is deleted with the write. */
-static bool arrives_at(const struct machine *machine, int page) {
+/* Returns whether the machine comes from another shard to this page. Its own record is deleted when the page is
+ * written. */
+static bool arrives_on_page(const struct machine *machine, int page) {
     return machine->page < 0 && machine->round.next_page == page;
 }
 
 static int count_arrivals(int shard, int page) {
     const GPtrArray *machines = machines_of_shard(shard);
     int arrivals = 0;
-    for (guint i = 0; i < machines->len; i++) arrivals += arrives_at(machines->pdata[i], page);
+    for (guint i = 0; i < machines->len; i++) arrivals += arrives_on_page(machines->pdata[i], page);
     return arrivals;
 }
 
@@ -194,23 +198,23 @@
     const GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len; i++) {
         const struct machine *machine = machines->pdata[i];
-        if (!arrives_at(machine, page)) continue;
+        if (!arrives_on_page(machine, page)) continue;
         struct store_key key = store_key_machine(machine->id);
         store_txn_compare(transaction, key.text, store_key_revision(key.text));
         store_txn_delete(transaction, key.text);
     }
 }
 
-/* Writes a page, or deletes the record of one that holds no machine any more. */
-static void write_page(struct scheduling_round *round, int page) {
+/* Stages a page's new value, or its deletion if it holds no machine any more. */
+static void stage_page(struct scheduling_round *round, int page) {
     struct store_key key = store_key_machine_page(round->shard, page);
     int arrivals = count_arrivals(round->shard, page);
     if (1 + arrivals > scheduler_settings->txn_ops || rejected_keys_contain(key.text)) return;
-    struct store_txn *transaction = transactions_with_room(round, 1 + arrivals, 2 + arrivals);
+    struct store_txn *transaction = transactions_reserve(round, 1 + arrivals, 2 + arrivals);
     store_txn_compare(transaction, key.text, store_key_revision(key.text));
-    int n;
-    cJSON *value = machines_page_value(round->shard, page, &n);
-    if (n > 0) {
+    int n_machines;
+    cJSON *value = machines_page_value(round->shard, page, &n_machines);
+    if (n_machines > 0) {
         store_txn_put(transaction, key.text, value, 0);
     } else {
         cJSON_Delete(value);
@@ -219,29 +223,29 @@
     delete_own_records(transaction, round->shard, page);
 }
 
-static bool page_due(const struct page_plan *plan, int page) {
-    if (plan->large[page]) return false;
-    return (plan->needs[page] & PAGE_NOW) || ((plan->needs[page] & PAGE_LATER) && plan->compact);
+static bool is_page_due(const struct page_plan *plan, int page) {
+    if (plan->oversized[page]) return false;
+    return (plan->needs[page] & PAGE_WRITE_NOW) || ((plan->needs[page] & PAGE_WRITE_DEFERRED) && plan->write_deferred);
 }
 
 static void page_plan_init(struct page_plan *plan, int shard) {
     *plan = (struct page_plan){.shard = shard, .fencing_token = membership_fencing_token() + 1, .raise_writes = 1};
     struct timespec *compacted_at = &shard_states[shard].compacted_at;
-    plan->compact = clock_seconds_since(*compacted_at) > COMPACT_INTERVAL_S;
-    if (plan->compact) *compacted_at = clock_now();
-    machines_oversized_pages(shard, plan->large);
-    forget_places(shard);
+    plan->write_deferred = clock_seconds_since(*compacted_at) > DEFERRED_WRITE_INTERVAL_S;
+    if (plan->write_deferred) *compacted_at = clock_now();
+    machines_oversized_pages(shard, plan->oversized);
+    reset_unregistered_pages(shard);
     machines_page_fills(shard, &plan->fills);
 }
 
-void scheduling_round_commit_pages(struct scheduling_round *round) {
+void scheduling_round_stage_pages(struct scheduling_round *round) {
     struct page_plan plan;
     page_plan_init(&plan, round->shard);
-    plan_large_pages(&plan);
+    plan_oversized_pages(&plan);
     plan_machines(&plan);
-    plan_unregistered(&plan);
+    plan_unregistered_machines(&plan);
     plan_stale_pages(&plan);
-    if (plan.raised) write_raises(round, &plan);
+    if (plan.has_raises) stage_token_raises(round, &plan);
     for (int page = 0; page < MACHINE_PAGES_MAX && round->writes_left > 0; page++)
-        if (page_due(&plan, page)) write_page(round, page);
+        if (is_page_due(&plan, page)) stage_page(round, page);
 }
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -1,6 +1,6 @@
-/* Every shape of transaction that an owner writes, under the next limits of the store: 2 KiB a value and 4
- * operations, where 4 KiB and 8 were the first version's. Nothing exceeds them, whatever the first version has left on
- * record, and what was asked for is on record after a few rounds. */
+/* Tests of all kinds of transactions that an owner writes, under the store's next limits: 2 KiB per value and 4
+ * operations per transaction, where the first version had 4 KiB and 8. No write exceeds them, whatever records the
+ * first version left, and all changes are recorded within a few rounds. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdlib.h>
@@ -17,61 +17,62 @@
 #include "scheduler/round.h"
 #include "schema_version/schema_version.h"
 
-#define NEXT_OPS 4
-#define NEXT_BYTES 2048
-#define ROUNDS 40 /* a day's worth of nothing else to do */
-#define WIDE 160  /* tasks that one record of the first version holds */
-#define OLD_PAGE 31
+#define NEXT_TXN_OPS 4
+#define NEXT_VALUE_BYTES 2048
+#define ROUNDS_MAX 40        /* all changes have to be recorded after so many rounds */
+#define WIDE_ARRAY_TASKS 160 /* tasks in one record of the first version */
+#define OLD_PAGE_MACHINES 31 /* machines on a page that the first version filled */
 
 static struct settings cfg;
 
-static void check_limits(const char *what, const struct store_txn *transaction) {
-    const cJSON *op;
-    if (transaction->writes > NEXT_OPS || cJSON_GetArraySize(transaction->comparisons) > 4 * NEXT_OPS)
-        fail_msg("%s: %d operations, %d comparisons", what, transaction->writes,
+static void check_limits(const char *description, const struct store_txn *transaction) {
+    const cJSON *operation;
+    if (transaction->writes > NEXT_TXN_OPS || cJSON_GetArraySize(transaction->comparisons) > 4 * NEXT_TXN_OPS)
+        fail_msg("%s: %d operations, %d comparisons", description, transaction->writes,
                  cJSON_GetArraySize(transaction->comparisons));
-    cJSON_ArrayForEach(op, transaction->operations) {
-        char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(op, "data"));
-        if (text && strlen(text) > NEXT_BYTES)
-            fail_msg("%s: %s, %zu bytes", what, json_get_string(op, "set"), strlen(text));
+    cJSON_ArrayForEach(operation, transaction->operations) {
+        char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(operation, "data"));
+        if (text && strlen(text) > NEXT_VALUE_BYTES)
+            fail_msg("%s: %s, %zu bytes", description, json_get_string(operation, "set"), strlen(text));
         free(text);
     }
 }
 
-/* Rounds until nothing is written any more; all that is written is applied as the store would. */
-static void settle(const char *what) {
-    for (int i = 0; i < ROUNDS; i++) {
+/* Runs rounds until nothing is left to write, and applies all transactions as if the store had committed them. */
+static void run_rounds_until_settled(const char *description) {
+    for (int i = 0; i < ROUNDS_MAX; i++) {
         shard_states[0].compacted_at.tv_sec = 0;
         struct scheduling_round *round = scheduling_round_decide(0, 12);
-        const GPtrArray *txns = round->transactions;
+        const GPtrArray *transactions = round->transactions;
         bool wrote = false;
-        for (guint t = 0; t < txns->len; t++) {
-            const struct store_txn *transaction = txns->pdata[t];
-            check_limits(what, transaction);
+        for (guint k = 0; k < transactions->len; k++) {
+            const struct store_txn *transaction = transactions->pdata[k];
+            check_limits(description, transaction);
             wrote |= transaction->writes > 0;
             scheduling_round_apply(round, transaction, owned_next_revision());
         }
         scheduling_round_free(round);
         if (!wrote) return;
     }
-    fail_msg("%s: does not settle", what);
+    fail_msg("%s: changes are left to write after the last round", description);
 }
 
-static void keep_steady(struct machine *machine) {
+/* Makes the machine look as if it had been up for a while. */
+static void make_steady(struct machine *machine) {
     machine->liveness.up = true;
     machine->agent.seen_token = machines_fencing_token(machine);
     machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
     machine->occupancy.n_samples = 6;
 }
 
-/* Machines of the shard on pages as full as the first version filled them. */
-static int old_pages(struct machine **out, int n) {
+/* Puts n machines of the shard on pages as full as the first version filled them. Returns n. */
+static int put_old_pages(struct machine **machines, int n) {
     char id[32], key[32];
-    for (int page = 0; page * OLD_PAGE < n; page++) {
+    for (int page = 0; page * OLD_PAGE_MACHINES < n; page++) {
         GString *text = g_string_new("{\"sku\":[\"g16\"],\"site\":[\"za\"],\"img\":[],\"m\":[");
-        for (int i = page * OLD_PAGE; i < MIN(n, (page + 1) * OLD_PAGE); i++)
+        for (int i = page * OLD_PAGE_MACHINES; i < MIN(n, (page + 1) * OLD_PAGE_MACHINES); i++)
             g_string_append_printf(text, "%s[\"i-%06d\",\"10.1.200.%d:9000\",0,0,0,1,1764600000,\"\"]",
-                                   i % OLD_PAGE ? "," : "", i, i);
+                                   i % OLD_PAGE_MACHINES ? "," : "", i, i);
         g_string_append(text, "]}");
         g_snprintf(key, sizeof key, "fleet/0/%d", page);
         owned_put(key, text->str);
@@ -79,22 +80,22 @@
     }
     for (int i = 0; i < n; i++) {
         g_snprintf(id, sizeof id, "i-%06d", i);
-        out[i] = machines_find(id);
-        assert_non_null(out[i]);
-        assert_true(machines_owned(out[i]));
-        keep_steady(out[i]);
+        machines[i] = machines_find(id);
+        assert_non_null(machines[i]);
+        assert_true(machines_owned(machines[i]));
+        make_steady(machines[i]);
     }
     return n;
 }
 
-/* An array whose record is as wide and as large as the first version made it. */
-static struct job *old_wide_array(const char *job_id, struct machine **on, int n) {
-    struct job *job = owned_job(job_id, "batch", "normal", WIDE, 0.1, 0, false, true, 10);
+/* Puts an array whose record is as wide and as large as the first version wrote it. */
+static struct job *put_old_wide_array(const char *job_id, struct machine **hosts, int n) {
+    struct job *job = owned_job(job_id, "batch", "normal", WIDE_ARRAY_TASKS, 0.1, 0, false, true, 10);
     GString *text = g_string_new("{\"f\":100,\"b\":\"");
-    for (int t = 0; t < WIDE; t++)
-        g_string_append_printf(text, "%s%d@%s+%d", t ? " " : "", t, on[t % n]->id, 1000000 + t);
+    for (int task = 0; task < WIDE_ARRAY_TASKS; task++)
+        g_string_append_printf(text, "%s%d@%s+%d", task ? " " : "", task, hosts[task % n]->id, 1000000 + task);
     g_string_append(text, "\"}");
-    assert_true(text->len > NEXT_BYTES);
+    assert_true(text->len > NEXT_VALUE_BYTES);
     owned_put(store_key_allocations(job->spec.job_id, 0).text, text->str);
     g_string_free(text, TRUE);
     for (guint i = 0; i < job->allocations->len; i++) {
@@ -103,13 +104,13 @@
         allocation->seen = true;
         allocation->state = TASK_RUNNING;
     }
-    assert_int_equal(allocations_count(job), WIDE);
+    assert_int_equal(allocations_count(job), WIDE_ARRAY_TASKS);
     return job;
 }
 
-/* As a heartbeat shows that every n-th allocation is over. */
-static void end_allocations(struct job *job, guint every) {
-    for (guint i = 0; i < job->allocations->len; i += every) {
+/* Ends every `step`-th allocation, as a heartbeat would. */
+static void end_allocations(struct job *job, guint step) {
+    for (guint i = 0; i < job->allocations->len; i += step) {
         struct allocation *allocation = job->allocations->pdata[i];
         allocation->released = true;
         if (job->state == JOB_QUEUED) jobs_mark_done(job, allocation->task);
@@ -120,12 +121,12 @@
 static void first_allocations_fit_the_next_limits(void **state) {
     (void)state;
     static const struct {
-        const char *what, *kind;
+        const char *description, *kind;
         int tasks;
     } rows[] = {{"a gang", "group", 8},
-                {"a wide array", "batch", WIDE},
+                {"a wide array", "batch", WIDE_ARRAY_TASKS},
                 {"a service", "standing", 8},
-                {"more than one round's", "batch", 400}};
+                {"an array too wide for one round", "batch", 400}};
     store_lock();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char id[32];
@@ -134,95 +135,97 @@
             owned_machine(id, "za", false);
         }
         char job_id[32];
-        g_snprintf(job_id, sizeof job_id, "req-%zu", 20000 + i); /* a final state never goes back: an id a row */
+        g_snprintf(job_id, sizeof job_id, "req-%zu", 20000 + i); /* a new id: final states never change */
         struct job *job = owned_job(job_id, rows[i].kind, "high", rows[i].tasks, 0.1, 0, false, false, 5);
-        settle(rows[i].what);
-        if (allocations_count(job) != rows[i].tasks) fail_msg("%s: %d allocated", rows[i].what, allocations_count(job));
+        run_rounds_until_settled(rows[i].description);
+        if (allocations_count(job) != rows[i].tasks)
+            fail_msg("%s: %d tasks allocated", rows[i].description, allocations_count(job));
         owned_clear();
     }
     store_unlock();
 }
 
-/* A record of the first version that the next limit would refuse is replaced by shorter ones in one transaction; its
- * job loses nothing, runs as wide as before, and goes from the records when it ends. */
-static void wide_record_is_replaced_by_shorter_ones(void **state) {
+/* A record of the first version that exceeds the next limit is replaced by smaller ones in one transaction. Its job
+ * keeps all allocations, and its records are removed when it ends. */
+static void wide_record_is_replaced_by_smaller_records(void **state) {
     (void)state;
-    struct machine *on[OLD_PAGE];
+    struct machine *hosts[OLD_PAGE_MACHINES];
     store_lock();
-    int n = old_pages(on, OLD_PAGE);
-    struct job *job = old_wide_array("req-10010", on, n);
-    for (int t = 0; t < 5; t++) { /* a few tasks end */
-        struct allocation *allocation = job->allocations->pdata[t];
+    int n = put_old_pages(hosts, OLD_PAGE_MACHINES);
+    struct job *job = put_old_wide_array("req-10010", hosts, n);
+    for (int i = 0; i < 5; i++) { /* a few tasks are done */
+        struct allocation *allocation = job->allocations->pdata[i];
         allocation->released = true;
         jobs_mark_done(job, allocation->task);
     }
-    settle("a wide record");
-    assert_int_equal(allocations_count(job), WIDE - 5);
+    run_rounds_until_settled("a wide record");
+    assert_int_equal(allocations_count(job), WIDE_ARRAY_TASKS - 5);
     assert_int_equal(job->n_done, 5);
     assert_int_equal(chunks_size(job), 72);
     assert_int_equal(job->n_recorded_chunks, 3);
     assert_int_equal(job->n_dirty_chunks, 0);
     end_allocations(job, 1);
-    settle("the end of a wide array");
+    run_rounds_until_settled("the end of a wide array");
     assert_int_equal(job->state, JOB_DONE);
     assert_int_equal(job->n_recorded_chunks, 0);
     assert_int_equal(job->allocations->len, 0);
-    /* One that is cancelled meanwhile. */
-    struct job *other = old_wide_array("req-10011", on, n);
+    /* The same for an array that is cancelled meanwhile. */
+    struct job *cancelled_job = put_old_wide_array("req-10011", hosts, n);
     owned_put("job/req-10011",
-              "{\"spec\":{\"uid\":\"req-10011\"},\"state\":\"cancelled\",\"at\":1}"); /* a final state needs no spec */
-    assert_int_equal(other->state, JOB_CANCELLED);
-    end_allocations(other, 2);
-    settle("half of a cancelled array is gone");
-    assert_int_equal(allocations_count(other), WIDE / 2);
-    end_allocations(other, 1);
-    settle("all of it");
-    assert_int_equal(other->n_recorded_chunks, 0);
+              "{\"spec\":{\"uid\":\"req-10011\"},\"state\":\"cancelled\",\"at\":1}"); /* no spec needed */
+    assert_int_equal(cancelled_job->state, JOB_CANCELLED);
+    end_allocations(cancelled_job, 2);
+    run_rounds_until_settled("the end of half of a cancelled array");
+    assert_int_equal(allocations_count(cancelled_job), WIDE_ARRAY_TASKS / 2);
+    end_allocations(cancelled_job, 1);
+    run_rounds_until_settled("the end of a cancelled array");
+    assert_int_equal(cancelled_job->n_recorded_chunks, 0);
     owned_clear();
     store_unlock();
 }
 
-/* Machines of pages that are too large for the next limit: raised, returned, transferred, and the pages themselves. No
- * machine is lost, and what runs there stays allocated. */
-static void large_pages_are_emptied_without_losing_a_machine(void **state) {
+/* Pages that exceed the next limit are emptied, while tokens of their machines are raised and machines are returned and
+ * transferred. No machine is lost, and tasks on them stay allocated. */
+static void oversized_pages_are_emptied_without_losing_a_machine(void **state) {
     (void)state;
-    enum { FLEET = 3 * OLD_PAGE, RETURNED = 50, TRANSFERRED = 52 };
-    struct machine *on[FLEET];
-    bool large[MACHINE_PAGES_MAX];
+    enum { MACHINES = 3 * OLD_PAGE_MACHINES, RETURNED_INDEX = 50, TRANSFERRED_INDEX = 52 };
+    struct machine *hosts[MACHINES];
+    bool oversized[MACHINE_PAGES_MAX];
     store_lock();
-    int n = old_pages(on, FLEET);
+    int n = put_old_pages(hosts, MACHINES);
     struct job *job = owned_job("req-10020", "standing", "high", 8, 1, 0, false, false, 10);
-    owned_allocate(job, on, 8);
-    machines_oversized_pages(0, large);
-    assert_true(large[0] && large[1] && large[2]);
+    owned_allocate(job, hosts, 8);
+    machines_oversized_pages(0, oversized);
+    assert_true(oversized[0] && oversized[1] && oversized[2]);
     for (int i = 0; i < n; i++) {
-        on[i]->commands.needs_token_raise = i % 3 == 0;
-        on[i]->commands.unknown_token = machines_fencing_token(on[i]);
+        hosts[i]->commands.needs_token_raise = i % 3 == 0;
+        hosts[i]->commands.unknown_token = machines_fencing_token(hosts[i]);
     }
-    on[RETURNED]->retirement.return_wanted = true;
-    on[TRANSFERRED]->rebalance.to = 1;
-    on[TRANSFERRED]->rebalance.since = clock_now();
-    settle("large pages");
-    machines_oversized_pages(0, large);
-    for (int p = 0; p < MACHINE_PAGES_MAX; p++) {
-        assert_false(large[p]);
-        assert_false(machines_page_stale(0, p));
+    hosts[RETURNED_INDEX]->retirement.return_wanted = true;
+    hosts[TRANSFERRED_INDEX]->rebalance.to = 1;
+    hosts[TRANSFERRED_INDEX]->rebalance.since = clock_now();
+    run_rounds_until_settled("oversized pages");
+    machines_oversized_pages(0, oversized);
+    for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
+        assert_false(oversized[page]);
+        assert_false(machines_page_stale(0, page));
     }
     for (int i = 0; i < n; i++) {
         char id[32];
         g_snprintf(id, sizeof id, "i-%06d", i);
         const struct machine *machine = machines_find(id);
-        if (!machine || machine->shard != (i == TRANSFERRED)) fail_msg("machine %d is lost", i);
+        if (!machine || machine->shard != (i == TRANSFERRED_INDEX))
+            fail_msg("machine %d is lost or in the wrong shard", i);
         assert_false(machine->commands.needs_token_raise);
     }
-    assert_true(on[RETURNED]->retirement.returning);
+    assert_true(hosts[RETURNED_INDEX]->retirement.returning);
     assert_int_equal(allocations_count(job), 8);
     owned_clear();
     owned_put("machine/i-000052", NULL);
     store_unlock();
 }
 
-/* Machines that come from another shard. */
+/* Machines that arrive from another shard are assigned to a page. */
 static void transferred_machines_get_a_page(void **state) {
     (void)state;
     char key[64], id[32];
@@ -233,7 +236,7 @@
                   "{\"share\":0,\"fence\":3,\"address\":\"10.0.0.1:9000\",\"flavour\":\"g16\",\"site\":\"za\",\"spot\":"
                   "false,\"born\":1}");
     }
-    settle("arrivals");
+    run_rounds_until_settled("arrivals");
     for (int i = 0; i < 9; i++) {
         g_snprintf(id, sizeof id, "i-%06d", 500 + i);
         const struct machine *machine = machines_find(id);
@@ -246,10 +249,10 @@
 
 int main(void) {
     char *text = site_json();
-    char *next = site_with(text, "\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4}");
-    if (!settings_parse(next, "f.json", &cfg, NULL) || !standin_store_start(cfg.state)) return 1;
+    char *next_limits = site_with(text, "\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4}");
+    if (!settings_parse(next_limits, "f.json", &cfg, NULL) || !standin_store_start(cfg.state)) return 1;
     g_free(text);
-    g_free(next);
+    g_free(next_limits);
     owned_start(&cfg);
     store_lock();
     owned_put(
@@ -260,8 +263,8 @@
     owned_put("format/n1", "{\"version\":2}");
     store_unlock();
     const struct CMUnitTest tests[] = {cmocka_unit_test(first_allocations_fit_the_next_limits),
-                                       cmocka_unit_test(wide_record_is_replaced_by_shorter_ones),
-                                       cmocka_unit_test(large_pages_are_emptied_without_losing_a_machine),
+                                       cmocka_unit_test(wide_record_is_replaced_by_smaller_records),
+                                       cmocka_unit_test(oversized_pages_are_emptied_without_losing_a_machine),
                                        cmocka_unit_test(transferred_machines_get_a_page)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/scheduler/transactions.c
+++ b/src/scheduler/transactions.c
@@ -8,9 +8,9 @@
 #include "../json/json.h"
 #include "../membership/membership.h"
 
-#define COMPARISONS_PER_WRITE 4 /* that a transaction may hold at most, for each write it may hold */
+#define COMPARISONS_MAX_PER_WRITE 4 /* a transaction's limit, for each write that it may hold */
 
-void transactions_free_one(gpointer transaction) {
+void transaction_free(gpointer transaction) {
     store_txn_free(transaction);
     g_free(transaction);
 }
@@ -18,12 +18,12 @@
 static bool has_room(const struct scheduling_round *round, const struct store_txn *transaction, int writes,
                      int comparisons) {
     int writes_max = scheduler_settings->txn_ops;
-    if (round->isolated && transaction->writes > 0) return false;
+    if (round->one_record_per_transaction && transaction->writes > 0) return false;
     return transaction->writes + writes <= writes_max &&
-           cJSON_GetArraySize(transaction->comparisons) + comparisons <= writes_max * COMPARISONS_PER_WRITE;
+           cJSON_GetArraySize(transaction->comparisons) + comparisons <= writes_max * COMPARISONS_MAX_PER_WRITE;
 }
 
-struct store_txn *transactions_with_room(struct scheduling_round *round, int writes, int comparisons) {
+struct store_txn *transactions_reserve(struct scheduling_round *round, int writes, int comparisons) {
     GPtrArray *transactions = round->transactions;
     struct store_txn *transaction = transactions->len ? transactions->pdata[transactions->len - 1] : NULL;
     if (!transaction || !has_room(round, transaction, writes, comparisons)) {
@@ -37,8 +37,8 @@
     return transaction;
 }
 
-/* Repeated unchanged, a rejected write would be rejected again, and what else is to be written must not wait for it. */
-static GHashTable *rejected_until; /* key -> struct timespec; NULL: nothing was rejected yet */
+/* The store would reject the same write again, and other writes must not wait for it, so rounds skip these keys. */
+static GHashTable *rejected_until; /* key -> struct timespec; NULL: no key was rejected yet */
 
 bool rejected_keys_contain(const char *key) {
     const struct timespec *until = rejected_until ? g_hash_table_lookup(rejected_until, key) : NULL;
--- a/src/scheduler/transactions.h
+++ b/src/scheduler/transactions.h
@@ -1,22 +1,25 @@
-/* The transactions of a scheduling round, and the keys that are left out of it because the store has rejected them.
- * Called from the scheduler's thread with store_lock held, but for rejected_keys_add, which comes while sending. */
+/* The transactions of a scheduling round, and the keys that rounds skip because the store has rejected their writes.
+ * Called from the scheduler's thread with store_lock held, except for rejected_keys_add, which is called without the
+ * lock while transactions are sent. */
 #ifndef FF_SCHEDULER_TRANSACTIONS_H
 #define FF_SCHEDULER_TRANSACTIONS_H
 #include <stdbool.h>
 
 #include "round.h"
 
-/* The transaction that the next so many writes and comparisons go into: the last one while it has room. It belongs to
- * the round, and does nothing unless the shard is still owned as it is now. */
-struct store_txn *transactions_with_room(struct scheduling_round *round, int writes, int comparisons);
+/* Returns a transaction with room for so many more writes and comparisons, and deducts the writes from the round's
+ * budget: the round's last transaction, or a new one if that is full. A new one compares the mod revision of the
+ * shard's record, and so fails if that record has changed. The round owns the transaction. */
+struct store_txn *transactions_reserve(struct scheduling_round *round, int writes, int comparisons);
 
-/* GDestroyNotify of a transaction in scheduling_round.transactions. */
-void transactions_free_one(gpointer transaction);
+/* GDestroyNotify of scheduling_round.transactions. */
+void transaction_free(gpointer transaction);
 
-/* For how long a key is left alone whose write the store has rejected as malformed. */
+/* How long rounds skip a key after the store has rejected its write as invalid. */
 #define REJECTED_KEY_PAUSE_S 5.0
 
-/* Without the lock: the keys are known to the scheduler's thread alone. */
+/* Adds the keys that the transaction writes. Needs no lock: only the scheduler's thread uses the rejected keys. */
 void rejected_keys_add(const struct store_txn *transaction);
+/* Returns whether a write of the key was rejected less than REJECTED_KEY_PAUSE_S ago. */
 bool rejected_keys_contain(const char *key);
 #endif
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -158,8 +158,8 @@
 
 int owned_planned_tasks(const struct scheduling_round *round, const char *job_id) {
     int tasks = 0;
-    for (guint i = 0; i < round->plans->len; i++) {
-        const struct job *job = g_array_index(round->plans, struct planned_task, i).job;
+    for (guint i = 0; i < round->planned_tasks->len; i++) {
+        const struct job *job = g_array_index(round->planned_tasks, struct planned_task, i).job;
         tasks += !job_id || strcmp(job->spec.job_id, job_id) == 0;
     }
     return tasks;
