--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -7,7 +7,7 @@
 #include "../events/events.h"
 #include "records.h"
 
-/* A heartbeat is recent that came within so many intervals and so many seconds. */
+/* A heartbeat is recent if it arrived within so many heartbeat intervals plus the margin. */
 #define RECENT_HEARTBEAT_INTERVALS 1.25
 #define RECENT_HEARTBEAT_MARGIN_S 1
 
@@ -15,6 +15,7 @@
 
 /* ---- counts ---- */
 
+/* The number of allocations in the list that are not released. */
 static int count_unreleased(const GPtrArray *allocations) {
     int count = 0;
     for (guint i = 0; i < allocations->len; i++) {
@@ -26,7 +27,7 @@
 
 int allocations_count(const struct job *job) { return count_unreleased(job->allocations); }
 
-int allocations_on_machine(const struct machine *machine) { return count_unreleased(machine->allocations); }
+int allocations_count_on_machine(const struct machine *machine) { return count_unreleased(machine->allocations); }
 
 uint8_t *allocations_task_bits(const struct job *job) {
     uint8_t *bits = g_malloc0((gsize)job->spec.tasks / 8 + 1);
@@ -47,6 +48,7 @@
     return missing;
 }
 
+/* Whether the machine has recently listed the task as waiting for the rest of its gang, or as fetching its image. */
 static bool waits_for_gang(const struct allocation *allocation) {
     if (allocation->stop_requested || !allocation->seen) return false;
     if (allocation->state != TASK_FETCHING && allocation->state != TASK_GATHERING) return false;
@@ -59,7 +61,7 @@
     int64_t attempt = 0;
     for (guint i = 0; i < job->allocations->len; i++) {
         const struct allocation *allocation = job->allocations->pdata[i];
-        if (allocation->released) return 0; /* on record still, perhaps on the very machine that would be picked */
+        if (allocation->released) return 0; /* still recorded, perhaps on the machine that would be chosen */
         if (attempt && allocation->attempt != attempt) return 0;
         attempt = allocation->attempt;
         if (!waits_for_gang(allocation)) return 0;
@@ -76,7 +78,7 @@
     allocation->machine->commands.wake = true;
 }
 
-/* The tasks of a job that is over end without grace, whatever was asked of them before. */
+/* Stops the tasks of an ended job without grace, even if an earlier stop request granted a grace period. */
 static void stop_without_grace(struct job *job) {
     for (guint i = 0; i < job->allocations->len; i++) {
         struct allocation *allocation = job->allocations->pdata[i];
@@ -86,10 +88,11 @@
     }
 }
 
+/* Observer of jobs, called with store_lock held. */
 static void job_applied(struct job *job) {
-    /* The tasks of a gang that is done complete together. */
-    bool completes_alone = job->state == JOB_DONE && job->spec.kind == JOB_GANG;
-    if (job->state != JOB_QUEUED && !completes_alone) stop_without_grace(job);
+    /* All tasks of a gang that is done complete by themselves, at the same time. */
+    bool gang_completed = job->state == JOB_DONE && job->spec.kind == JOB_GANG;
+    if (job->state != JOB_QUEUED && !gang_completed) stop_without_grace(job);
     events_publish(EVENT_SCHEDULE);
     events_publish(EVENT_DISPATCH);
 }
--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -1,7 +1,7 @@
-/* What is allocated where: the allocations of jobs and machines, counted and asked to stop. What the store says of them
- * comes in through records.h.
+/* Allocations of tasks to machines: counts them per job and per machine, and requests their stop. records.h creates and
+ * frees them when their records are read.
  *
- * Called by the scheduler, by workers, and by whoever decides on machines. All with store_lock held. */
+ * Called by the scheduler, by workers and by the packages that decide on machines, all with store_lock held. */
 #ifndef FF_ALLOCATIONS_H
 #define FF_ALLOCATIONS_H
 #include <glib.h>
@@ -13,25 +13,26 @@
 #include "../json/json.h"
 #include "../machines/machines.h"
 
-/* Once, before the mirror is started. The settings must outlive the program. */
+/* Called once, before the mirror is started. The settings must stay valid until the process ends. */
 void allocations_init(const struct settings *settings);
 
-/* An allocation that is released (its task has ended, or is proven absent) counts no more, also while it is on record.
- */
+/* Released allocations (the task has ended or is proven absent) are not counted, even while they are still recorded. */
 
-/* The job's allocations, and the machine's. */
+/* The number of allocations of the job, and on the machine. */
 int allocations_count(const struct job *job);
-int allocations_on_machine(const struct machine *machine);
-/* A bit for each of the job's tasks: whether it is allocated. To be freed with g_free. */
+int allocations_count_on_machine(const struct machine *machine);
+/* One bit per task of the job: whether the task is allocated. The caller frees it with g_free. */
 uint8_t *allocations_task_bits(const struct job *job);
-/* The job's tasks that are neither done nor allocated. */
+/* The number of the job's tasks that are neither done nor allocated. */
 int allocations_missing_tasks(const struct job *job);
-/* The attempt of a gang that has not started and whose remaining tasks were all just shown as fetching or waiting; 0
- * otherwise. Such a gang can be completed under the same attempt. */
+/* The attempt of a gang that has not started yet and whose missing tasks can still be allocated under the same attempt:
+ * all its allocations belong to that attempt, and their machines have recently listed them as fetching or waiting for
+ * the gang. 0 if the job has no such attempt. */
 int64_t allocations_open_gang_attempt(const struct job *job);
 
-/* Grace of a task that may save a checkpoint, beyond what the flush takes. */
+/* Grace period of a task that saves a checkpoint, in addition to the time that the checkpoint takes. */
 #define ALLOCATIONS_CHECKPOINT_GRACE_S 2
-/* Asks a task to end; the first to ask decides with how many seconds of grace. */
+
+/* Requests the stop of a task with a grace period. Has no effect if its stop was requested before. */
 void allocations_request_stop(struct allocation *allocation, double grace_s);
 #endif
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -1,4 +1,4 @@
-/* The records of allocations: how they are read, written and divided into chunks. */
+/* Tests how allocation records are read, written and split into chunks. */
 #include "allocations/allocations.h"
 
 #include <glib.h>
@@ -37,7 +37,7 @@
     enum { BASE_ATTEMPT = 100 };
     static const struct {
         const char *text;
-        int n; /* entries read before the end or the malformed one */
+        int n_entries; /* entries before the end or the first malformed entry */
         struct allocation_entry last;
     } rows[] = {
         {"", 0, {0}},
@@ -56,7 +56,7 @@
         struct allocation_entry entry = {0};
         int n = 0;
         while (allocation_entry_read(&text, BASE_ATTEMPT, &entry)) n++;
-        if (n != rows[i].n) fail_msg("'%s': %d entries", rows[i].text, n);
+        if (n != rows[i].n_entries) fail_msg("'%s': %d entries", rows[i].text, n);
         if (n == 0) continue;
         assert_int_equal(entry.task, rows[i].last.task);
         assert_string_equal(entry.machine_id, rows[i].last.machine_id);
@@ -64,7 +64,7 @@
     }
 }
 
-/* A later attempt has a higher number, under one fencing token and across them. */
+/* A later attempt has a higher number, under the same fencing token and under a higher one. */
 static void attempts_are_numbered_by_fencing_token_and_counter(void **state) {
     (void)state;
     static const struct {
@@ -76,20 +76,20 @@
     }
 }
 
-#define JOB(job_id, n, st)                                                                                       \
+#define JOB_RECORD(job_id, n, state)                                                                             \
     "{\"spec\":{\"uid\":\"" job_id                                                                               \
     "\",\"jobclass\":\"c\",\"owner\":\"red\",\"shape\":\"batch\",\"rank\":\"high\",\"tasks\":" n                 \
     ",\"vcpus\":1,\"gpus\":1,\"memory_gb\":1,\"image\":\"i\",\"pull_gb\":1,\"together\":false,\"spread\":false," \
-    "\"reclaimable\":false,\"runtime_s\":1,\"checkpoint_s\":0,\"flush_s\":0},\"state\":\"" st "\",\"at\":1}"
-#define PAGE                                                                                                           \
+    "\"reclaimable\":false,\"runtime_s\":1,\"checkpoint_s\":0,\"flush_s\":0},\"state\":\"" state "\",\"at\":1}"
+#define MACHINE_PAGE                                                                                                   \
     "{\"sku\":[\"g\"],\"site\":[\"za\"],\"img\":[],\"m\":[[\"i-1\",\"\",0,0,0,0,1,\"\"],[\"i-2\",\"\",0,0,0,0,1,\"\"]" \
     "]}"
 
-/* What is written is what is read back; what is over leaves the record, what is planned enters it. */
+/* A written record is read back unchanged: without the tasks that have ended, and with the planned tasks. */
 static void record_is_read_back_as_written(void **state) {
     (void)state;
-    put("fleet/0/0", PAGE);
-    put("job/req-20001", JOB("req-20001", "9", "queued"));
+    put("fleet/0/0", MACHINE_PAGE);
+    put("job/req-20001", JOB_RECORD("req-20001", "9", "queued"));
     put("run/req-20001/0", "{\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 2@i-2+3\"}");
     struct job *job = jobs_find("req-20001");
     assert_int_equal(job->n_done, 1);
@@ -117,18 +117,18 @@
     assert_int_equal(job->n_done, 2);
     assert_int_equal(job->n_dirty_chunks, 0);
     assert_int_equal(machines_find("i-1")->allocations->len, 1);
-    /* Reported while a write was under way: still to be written after it. */
+    /* A task that ends while its record is being written still has to be written afterwards. */
     ((struct allocation *)job->allocations->pdata[0])->released = true;
     put("run/req-20001/0", "{\"d\":\"0300\",\"f\":53,\"b\":\"2@i-2+0 4@i-1+7\"}");
     assert_int_equal(job->n_dirty_chunks, 1);
-    /* A machine gone from its page is proven dead: its allocations are over, whoever allocated them. */
+    /* A machine that is no longer on its page has been returned: its allocations are released, even inherited ones. */
     put("fleet/0/0", NULL);
     assert_int_equal(allocations_count(job), 0);
     assert_null(machines_find("i-1"));
     assert_int_equal(jobs_active_of(0)->len, 1);
-    put("job/req-20001", JOB("req-20001", "9", "cancelled"));
+    put("job/req-20001", JOB_RECORD("req-20001", "9", "cancelled"));
     assert_int_equal(jobs_active_of(0)->len, 0);
-    assert_int_equal(jobs_ended_of(0)->len, 1); /* until its record is gone as well */
+    assert_int_equal(jobs_ended_of(0)->len, 1); /* until the allocation record is deleted, too */
     assert_true(allocations_chunk_dirty(job, 0));
     assert_null(allocations_value(job, 0, chunks_size(job), NULL, ALLOCATIONS_OF_OPEN_JOB));
     put("run/req-20001/0", NULL);
@@ -137,11 +137,11 @@
     g_array_free(plans, TRUE);
 }
 
-/* The largest job there may be: its records stay within a value, and an allocation for a machine that no page lists, as
- * a takeover may read it, counts as gone. */
+/* The records of the largest possible job stay within the size limit of a value. Allocations are also created for a
+ * machine that is on no page, because a new owner may read such records. */
 static void largest_job_fits_its_records(void **state) {
     (void)state;
-    put("job/req-20002", JOB("req-20002", "100000", "queued"));
+    put("job/req-20002", JOB_RECORD("req-20002", "100000", "queued"));
     struct job *job = jobs_find("req-20002");
     int chunk_size = chunks_size(job), chunks = chunks_count(job);
     assert_true(chunks > 1 && chunks * chunk_size >= 100000 && chunk_size % 8 == 0);
@@ -163,26 +163,26 @@
     g_array_free(plans, TRUE);
 }
 
-/* Records that name their chunk size mean the same tasks whatever was read before, and what a conversion leaves of a
- * task is the same allocation. */
-static void records_name_their_chunk_size(void **state) {
+/* Records that store their chunk size are read as the same tasks, whichever records were read before them. Changing the
+ * chunk size of a job keeps its allocations. */
+static void records_store_their_chunk_size(void **state) {
     (void)state;
-    put("job/req-20020", JOB("req-20020", "40", "queued"));
+    put("job/req-20020", JOB_RECORD("req-20020", "40", "queued"));
     put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
     struct job *job = jobs_find("req-20020");
     assert_int_equal(chunks_size(job), chunks_legacy_size());
     assert_int_equal(allocations_count(job), 4);
     const struct allocation *kept = job->allocations->pdata[2];
-    static const char *const pieces[] = {"{\"n\":16,\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3\"}",
-                                         "{\"n\":16,\"f\":54,\"b\":\"30@i-1+0\"}",
-                                         "{\"n\":16,\"f\":55,\"b\":\"39@i-2+0\"}"};
+    static const char *const small_records[] = {"{\"n\":16,\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3\"}",
+                                                "{\"n\":16,\"f\":54,\"b\":\"30@i-1+0\"}",
+                                                "{\"n\":16,\"f\":55,\"b\":\"39@i-2+0\"}"};
     static const int sequences[][3] = {{0, 1, 2}, {2, 1, 0}, {1, 0, 2}};
     char key[64];
     for (size_t sequence = 0; sequence < G_N_ELEMENTS(sequences); sequence++) {
         put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
         for (int i = 0; i < 3; i++) {
             g_snprintf(key, sizeof key, "run/req-20020/%d", sequences[sequence][i]);
-            put(key, pieces[sequences[sequence][i]]);
+            put(key, small_records[sequences[sequence][i]]);
             assert_int_equal(allocations_count(job), 4);
         }
         assert_int_equal(chunks_size(job), 16);
@@ -192,24 +192,24 @@
     }
     cJSON *value = allocations_value(job, 2, 16, NULL, ALLOCATIONS_OF_OPEN_JOB);
     char *text = cJSON_PrintUnformatted(value);
-    assert_string_equal(text, pieces[2]);
+    assert_string_equal(text, small_records[2]);
     free(text);
     cJSON_Delete(value);
-    /* One that goes takes its own tasks with it only. */
+    /* Deleting a record only removes the allocations of its own tasks. */
     put("run/req-20020/1", NULL);
     assert_int_equal(allocations_count(job), 3);
-    /* A chunk size that can't be read releases nothing. */
+    /* A record with an invalid chunk size releases nothing. */
     put("run/req-20020/0", "{\"n\":7,\"f\":50,\"b\":\"\"}");
     assert_int_equal(allocations_count(job), 3);
-    put("job/req-20020", JOB("req-20020", "40", "cancelled"));
+    put("job/req-20020", JOB_RECORD("req-20020", "40", "cancelled"));
 }
 
-/* A record that can't be read in full releases nothing that it may have named. */
-static void unreadable_record_releases_nothing(void **state) {
+/* A malformed record releases no allocation, because its unreadable part may contain it. */
+static void malformed_record_releases_nothing(void **state) {
     (void)state;
     static const struct {
         const char *record;
-        int left; /* of two allocations */
+        int remaining; /* allocations that remain of two */
     } rows[] = {
         {"{\"f\":50,\"b\":\"0@i-1+0 1@i-2+1\"}", 2},
         {"{\"f\":50,\"b\":\"0@i-1+0 1@@\"}", 2},
@@ -217,34 +217,34 @@
         {"\"b\"", 2},
         {"{\"f\":50,\"b\":\"0@i-1+0\"}", 1},
     };
-    put("job/req-20009", JOB("req-20009", "2", "queued"));
+    put("job/req-20009", JOB_RECORD("req-20009", "2", "queued"));
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         put("run/req-20009/0", "{\"f\":50,\"b\":\"0@i-1+0 1@i-2+1\"}");
         put("run/req-20009/0", rows[i].record);
-        int left = allocations_count(jobs_find("req-20009"));
-        if (left != rows[i].left) fail_msg("%s: %d", rows[i].record, left);
+        int remaining = allocations_count(jobs_find("req-20009"));
+        if (remaining != rows[i].remaining) fail_msg("%s: %d", rows[i].record, remaining);
     }
     put("run/req-20009/0", NULL);
-    /* One that names another job, or lacks a field, costs that job alone. */
-    put("job/req-20010", JOB("req-20011", "2", "queued"));
+    /* A job record with another id or a missing field is ignored, and other jobs are not affected. */
+    put("job/req-20010", JOB_RECORD("req-20011", "2", "queued"));
     put("job/req-20012", "{\"spec\":{\"uid\":\"req-20012\"},\"state\":\"queued\"}");
     assert_false(jobs_find("req-20010")->known);
     assert_false(jobs_find("req-20012")->known);
     assert_null(jobs_find("req-20011"));
 }
 
-/* Which gangs may be completed under the attempt that they have. */
-static void gang_is_open_until_a_task_runs_or_is_not_acknowledged(void **state) {
+/* Tests which gangs may be completed under their present attempt. */
+static void gang_attempt_is_open_until_a_task_runs_or_is_not_listed(void **state) {
     (void)state;
     enum { ATTEMPT = 7 };
     static const struct {
         enum task_state first_state, second_state;
-        bool seen, stop_requested, released; /* of the second */
+        bool seen, stop_requested, released; /* of the second task */
         bool other_attempt, stale_heartbeat;
         int64_t expected;
     } rows[] = {
         {TASK_FETCHING, TASK_GATHERING, true, false, false, false, false, 7},
-        {TASK_GATHERING, TASK_RUNNING, true, false, false, false, false, 0}, /* it has started */
+        {TASK_GATHERING, TASK_RUNNING, true, false, false, false, false, 0}, /* the gang has started */
         {TASK_GATHERING, TASK_GATHERING, false, false, false, false, false, 0},
         {TASK_GATHERING, TASK_GATHERING, true, true, false, false, false, 0},
         {TASK_GATHERING, TASK_GATHERING, true, false, true, false, false, 0},
@@ -290,8 +290,8 @@
                                        cmocka_unit_test(attempts_are_numbered_by_fencing_token_and_counter),
                                        cmocka_unit_test(record_is_read_back_as_written),
                                        cmocka_unit_test(largest_job_fits_its_records),
-                                       cmocka_unit_test(records_name_their_chunk_size),
-                                       cmocka_unit_test(unreadable_record_releases_nothing),
-                                       cmocka_unit_test(gang_is_open_until_a_task_runs_or_is_not_acknowledged)};
+                                       cmocka_unit_test(records_store_their_chunk_size),
+                                       cmocka_unit_test(malformed_record_releases_nothing),
+                                       cmocka_unit_test(gang_attempt_is_open_until_a_task_runs_or_is_not_listed)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/allocations/codec.h
+++ b/src/allocations/codec.h
@@ -1,7 +1,7 @@
-/* How the store's records hold allocations, as JSON: run/ID/N has, for the N-th chunk of a job's tasks, which are done
- * and where the others are allocated.
+/* The JSON format of allocation records. The record run/ID/N stores which tasks of the N-th chunk of job ID are done,
+ * and the machines that other tasks of the chunk are allocated to.
  *
- * Pure: it knows the records' format and no job or machine. The strings of what is read belong to the JSON value. */
+ * Pure: knows only the format, no jobs or machines. Strings in a record that was read belong to the JSON value. */
 #ifndef FF_ALLOCATIONS_CODEC_H
 #define FF_ALLOCATIONS_CODEC_H
 #include <glib.h>
@@ -11,30 +11,31 @@
 #include "../json/json.h"
 #include "../model/machine.h"
 
+/* The fields of an allocation record. */
 struct allocation_record {
-    bool names_chunk_size; /* the first layout's records do not */
-    int chunk_size;        /* tasks; 0, when read: none that there may be */
-    const char *done;      /* bits of the tasks that are done, as text; NULL: none */
-    int failed_tries;      /* of a suspect job, in its first record; 0: none */
-    int64_t base_attempt;  /* that the entries' attempts are counted from */
-    const char *entries;   /* for allocation_entry_read; NULL: none */
+    bool has_chunk_size;   /* false for records of the first layout */
+    int chunk_size;        /* tasks per chunk; 0 if the value that was read is invalid */
+    const char *done_bits; /* the done tasks as text (task_bits.h); NULL: none */
+    int failed_tries;      /* of a suspect job, only in the first record of the job; otherwise 0 */
+    int64_t base_attempt;  /* the attempts of the entries are relative to this */
+    const char *entries;   /* text to be read with allocation_entry_read; NULL: none */
 };
-/* Reads what there is of a record; data may be NULL or malformed. */
+/* Reads the valid fields of a record and leaves the others zero. data may be NULL or malformed. */
 void allocation_record_read(const cJSON *data, struct allocation_record *record);
-/* The value belongs to the caller. */
+/* Returns the record as JSON; the caller owns the value. */
 cJSON *allocation_record_write(const struct allocation_record *record);
 
-/* One allocation of a record. */
+/* One allocation in a record. */
 struct allocation_entry {
     int task;
     int64_t attempt;
     char machine_id[MACHINE_ID_SIZE];
 };
-/* Reads the entry that *text begins with, and moves *text behind it; false, with *text as it was, at the end or where
- * the entry is malformed. */
+/* Reads the entry at the start of *text and moves *text behind it. At the end of the text or at a malformed entry,
+ * returns false and leaves *text unchanged. */
 bool allocation_entry_read(const char **text, int64_t base_attempt, struct allocation_entry *entry);
-/* Whether nothing but spaces is left. */
-bool allocation_entries_end(const char *text);
-/* Appends an entry to the text of a record's entries. */
+/* Whether the rest of the text contains no entry, valid or malformed: only spaces are left. */
+bool allocation_entries_exhausted(const char *text);
+/* Appends an entry to the entries of a record. */
 void allocation_entry_write(GString *entries, int task, const char *machine_id, int64_t attempt, int64_t base_attempt);
 #endif
--- a/src/allocations/records.h
+++ b/src/allocations/records.h
@@ -1,34 +1,36 @@
-/* The records of allocations (run/ID/N): takes in what the store says, and makes the values that a scheduling round
- * writes. One change carries all that a round decided for a chunk of a job's tasks, however many machines it touches.
+/* Allocation records (run/ID/N): updates the allocations when records are read, and creates the values that a
+ * scheduling round writes. A round writes all its decisions for one chunk of a job's tasks as a single change, however
+ * many machines are involved.
  *
  * Called by scheduling rounds, with store_lock held. */
 #ifndef FF_ALLOCATIONS_RECORDS_H
 #define FF_ALLOCATIONS_RECORDS_H
 #include "allocations.h"
 
-/* Observes the records; called by allocations_init. */
+/* Registers the observer of the records. Called by allocations_init. */
 void allocations_records_init(const struct settings *settings);
 
-/* The chunk size of a job is how many of its tasks one record holds. The first layout fixed it by the size of a value,
- * and its records don't name it. Once the second layout is active, records that would not fit the service's next limit
- * are split into smaller chunks and name their size: the two versions must never read one record as different tasks. */
+/* The chunk size of a job is the number of its tasks per record. In the first layout it follows from the maximum size
+ * of a value and is not stored in the records. Once the second layout is active, records that would exceed the store's
+ * next size limit are split into smaller chunks and store their chunk size, so that both versions of the program read a
+ * record as the same tasks. */
 
-/* The chunk size of the records that the job's next write leaves. */
+/* The chunk size that the job's records will have after the next write. */
 int allocations_next_chunk_size(const struct job *job);
-/* Bytes that a record written now may take. */
+/* The maximum size of a record that is written now. */
 double allocations_value_bytes_max(void);
 
-/* Whose record is written. */
+/* The state of the job whose record is written. */
 enum allocations_value_kind {
-    ALLOCATIONS_OF_OPEN_JOB, /* the tasks that are done are on record */
-    ALLOCATIONS_OF_ENDED_JOB /* its end is recorded at the same time, so that nobody needs to know what is done */
+    ALLOCATIONS_OF_OPEN_JOB, /* the record includes the done tasks */
+    ALLOCATIONS_OF_ENDED_JOB /* the job's end is written at the same time, so the done tasks are left out */
 };
-/* The value of a chunk's record: tasks that are done, allocations that are not released, and the plans (struct
- * planned_task; NULL: none). NULL: nothing to keep. The value belongs to the caller. */
+/* Creates the value of a chunk's record with the done tasks, the allocations that are not released, and the planned
+ * tasks (struct planned_task; NULL: none). Returns NULL if there is nothing to store. The caller owns the value. */
 cJSON *allocations_value(const struct job *job, int chunk, int chunk_size, const GArray *plans,
                          enum allocations_value_kind kind);
-/* The value of a record that names its chunk size and nothing else. It belongs to the caller. */
+/* Creates the value of a record that only contains its chunk size. The caller owns the value. */
 cJSON *allocations_empty_value(int chunk_size);
-/* Whether what is known of the chunk differs from its record. */
+/* Whether the state of the chunk in memory differs from its record. */
 bool allocations_chunk_dirty(const struct job *job, int chunk);
 #endif
--- a/src/api/responses.c
+++ b/src/api/responses.c
@@ -66,7 +66,7 @@
         [PREREQUISITE_SERVICE] = REFUSAL_PREREQUISITE_SERVICE,
         [PREREQUISITE_UNKNOWN] = REFUSAL_PREREQUISITE_UNKNOWN,
         [PREREQUISITE_UNREADABLE] = REFUSAL_PREREQUISITE_UNREADABLE,
-        [PREREQUISITE_STORE_SILENT] = REFUSAL_STORE_SILENT,
+        [PREREQUISITE_STORE_UNAVAILABLE] = REFUSAL_STORE_SILENT,
     };
     return refusal_about(reasons[check.result], check.job_id ? check.job_id : "");
 }
--- a/src/api/responses_test.c
+++ b/src/api/responses_test.c
@@ -29,7 +29,7 @@
         {PREREQUISITE_SERVICE, HTTP_UNPROCESSABLE, "prereqs: req-10001 is a service"},
         {PREREQUISITE_UNKNOWN, HTTP_UNPROCESSABLE, "prereqs: req-10001 was never accepted"},
         {PREREQUISITE_UNREADABLE, HTTP_SERVICE_UNAVAILABLE, "prereqs: the record of req-10001 can't be read"},
-        {PREREQUISITE_STORE_SILENT, HTTP_SERVICE_UNAVAILABLE, "the state service did not answer"},
+        {PREREQUISITE_STORE_UNAVAILABLE, HTTP_SERVICE_UNAVAILABLE, "the state service did not answer"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
         check(refusal_of_prerequisites((struct prerequisites_check){rows[i].result, "req-10001"}), rows[i].status,
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -121,8 +121,8 @@
         bool known = job && job->known;
         store_unlock();
         if (!known) {
-            request->refusal =
-                refusal_of_prerequisites(dependencies_check(client, request->job_id, request->prerequisites));
+            request->refusal = refusal_of_prerequisites(
+                dependencies_check_prerequisites(client, request->job_id, request->prerequisites));
         }
     }
 }
--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -43,7 +43,7 @@
     const GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len && list->n < list->most; i++) {
         struct machine *machine = machines->pdata[i];
-        if (return_recorded(machine) && (allocations_on_machine(machine) > 0) == busy) add(list, machine, busy);
+        if (return_recorded(machine) && (allocations_count_on_machine(machine) > 0) == busy) add(list, machine, busy);
     }
 }
 
--- a/src/autoscaler/shard_plan.c
+++ b/src/autoscaler/shard_plan.c
@@ -48,7 +48,7 @@
 static void count_steady(struct shard_plan *plan, const struct machine *machine) {
     plan->n_steady++;
     /* Whole ones are kept for gangs that lack others. */
-    if (allocations_on_machine(machine) == 0 && machine->round.schedulable) {
+    if (allocations_count_on_machine(machine) == 0 && machine->round.schedulable) {
         struct planned_machine *planned = planned_machine_add(plan->machines, machine->type_name, machine->zone, false);
         if (planned) planned->kept_for_gangs = true;
     }
--- a/src/dependencies/cascade.c
+++ b/src/dependencies/cascade.c
@@ -14,17 +14,18 @@
 #include "../sync/sync.h"
 #include "dependencies.h"
 
-/* After so long without a record, the owner of the job's shard writes it, and then any controller. */
-#define OWNER_AFTER_S 0.5
-#define ANY_AFTER_S 4.0
+/* Delays after which a cancellation that is not recorded yet is written by the owner of the job's shard, and by any
+ * controller. */
+#define OWNER_DELAY_S 0.5
+#define ANY_CONTROLLER_DELAY_S 4.0
 
-#define CANCELLATIONS_MAX 16 /* in a transaction */
-#define PAUSE_S 0.15         /* between transactions: users' own requests come from the same budget */
-#define INTERVAL_S 0.5       /* between looks at the marked jobs where nothing wakes the thread */
+#define TXN_CANCELLATIONS_MAX 16 /* per transaction */
+#define TXN_INTERVAL_S 0.15      /* between two transactions, because users' requests share the rate budget */
+#define CHECK_INTERVAL_S 0.5     /* between checks of the marked jobs if nothing wakes the thread */
 
 static struct {
     const struct settings *settings;
-    GPtrArray *marked; /* struct job, prerequisites before their dependents; cascade_next drops those that are over */
+    GPtrArray *marked; /* struct job, prerequisites before their dependents; cascade_next_jobs removes ended jobs */
     struct sync_wakeup wakeup;
 } cascade;
 
@@ -36,7 +37,7 @@
 
 void dependencies_wake(void) { sync_wakeup_signal(&cascade.wakeup); }
 
-/* ---- Marks ---- */
+/* ---- Marking jobs ---- */
 
 bool dependencies_must_cancel(const struct job *job) { return job->prerequisite_cancelled && job->state == JOB_QUEUED; }
 
@@ -76,10 +77,11 @@
     }
 }
 
-/* ---- Records ---- */
+/* ---- Writing records ---- */
 
-/* This controller acknowledged the cancellation of a prerequisite to its user, or is to pass on one that it did. */
-static bool is_acknowledged_here(const struct job *job) {
+/* Whether this controller acknowledged to a user the cancellation that causes the job's own, directly or through other
+ * jobs. */
+static bool cancellation_acknowledged_here(const struct job *job) {
     for (guint i = 0; i < job->prerequisites->len; i++) {
         const struct job *prerequisite = job->prerequisites->pdata[i];
         if (prerequisite->cancel_acknowledged || prerequisite->cascade_acknowledged) return true;
@@ -87,31 +89,32 @@
     return false;
 }
 
-static bool is_turn_here(struct job *job) {
-    job->cascade_acknowledged = job->cascade_acknowledged || is_acknowledged_here(job);
-    double waited = clock_seconds_since(job->cascade_since);
-    return job->cascade_acknowledged || waited > ANY_AFTER_S ||
-           (waited > OWNER_AFTER_S && membership_owns(jobs_shard(job)));
+/* Whether it is this controller's turn to write the job's cancellation. */
+static bool may_write_cancellation(struct job *job) {
+    job->cascade_acknowledged = job->cascade_acknowledged || cancellation_acknowledged_here(job);
+    double waited_s = clock_seconds_since(job->cascade_since);
+    return job->cascade_acknowledged || waited_s > ANY_CONTROLLER_DELAY_S ||
+           (waited_s > OWNER_DELAY_S && membership_owns(jobs_shard(job)));
 }
 
-int cascade_next(struct job **out, int most) {
+int cascade_next_jobs(struct job **next_jobs, int jobs_max) {
     int n = 0;
     guint n_kept = 0;
     for (guint i = 0; i < cascade.marked->len; i++) {
         struct job *job = cascade.marked->pdata[i];
         if (job->state != JOB_QUEUED) continue;
         cascade.marked->pdata[n_kept++] = job;
-        if (is_turn_here(job) && n < most) out[n++] = job;
+        if (may_write_cancellation(job) && n < jobs_max) next_jobs[n++] = job;
     }
     g_ptr_array_set_size(cascade.marked, (gint)n_kept);
     return n;
 }
 
-/* Returns how many jobs the transaction cancels. */
+/* Adds the next cancellations to the transaction; returns the number of jobs that it cancels. */
 static int fill_transaction(struct store_txn *txn) {
-    struct job *jobs[CANCELLATIONS_MAX];
+    struct job *jobs[TXN_CANCELLATIONS_MAX];
     store_lock();
-    int n = store_unreachable() ? 0 : cascade_next(jobs, MIN(CANCELLATIONS_MAX, cascade.settings->txn_ops));
+    int n = store_unreachable() ? 0 : cascade_next_jobs(jobs, MIN(TXN_CANCELLATIONS_MAX, cascade.settings->txn_ops));
     for (int i = 0; i < n; i++) {
         struct store_key key = store_key_job(jobs[i]->spec.job_id);
         store_txn_compare(txn, key.text, store_key_revision(key.text));
@@ -121,6 +124,7 @@
     return n;
 }
 
+/* Commits the transaction and applies it. After a conflict, reads the conflicting records again. */
 static enum store_result commit(struct http_client *client, struct store_txn *txn, int n_jobs) {
     struct store_response response;
     enum store_result result = store_commit(client, STORE_PRIORITY_ACCEPT, txn, &response);
@@ -128,7 +132,7 @@
         store_lock();
         store_apply_committed(txn, response.revision);
         store_unlock();
-        log_info("dependencies: %d jobs cancelled with a prerequisite", n_jobs);
+        log_info("dependencies: %d jobs cancelled because a prerequisite was cancelled", n_jobs);
         peers_hint();
     } else if (result == STORE_CONFLICT) {
         for (guint i = 0; i < response.conflicts->len; i++) store_refresh(client, response.conflicts->pdata[i]);
@@ -137,7 +141,7 @@
     return result;
 }
 
-/* Sends one transaction, if there is anything to write; true if more may follow. */
+/* Sends one transaction if there is anything to write. Returns whether there may be more to write. */
 static bool cancel_next(struct http_client *client) {
     struct store_txn txn;
     store_txn_init(&txn);
@@ -151,8 +155,8 @@
     (void)arg;
     struct http_client *client = http_client_new();
     for (;;) {
-        sync_wakeup_wait(&cascade.wakeup, clock_from_seconds(INTERVAL_S));
-        while (cancel_next(client)) clock_sleep(clock_from_seconds(PAUSE_S));
+        sync_wakeup_wait(&cascade.wakeup, clock_from_seconds(CHECK_INTERVAL_S));
+        while (cancel_next(client)) clock_sleep(clock_from_seconds(TXN_INTERVAL_S));
     }
     return NULL;
 }
--- a/src/dependencies/cascade.h
+++ b/src/dependencies/cascade.h
@@ -1,21 +1,22 @@
-/* The cascade: jobs with a cancelled prerequisite, directly or through others, are cancelled as well. They are marked
- * when the prerequisite's record is taken in; a thread writes their records. Used within the package. */
+/* Cascading cancellation: a job is cancelled if one of its prerequisites is cancelled, directly or through other jobs.
+ * Such jobs are marked when the record of the prerequisite is read; a thread writes their own records. Used within the
+ * package only. */
 #ifndef FF_DEPENDENCIES_CASCADE_H
 #define FF_DEPENDENCIES_CASCADE_H
 #include "../model/job.h"
 #include "../settings/settings.h"
 
-/* By dependencies_init; the settings have to outlive the process. */
+/* Called by dependencies_init; the settings must stay valid until the process ends. */
 void cascade_init(const struct settings *settings);
 
-/* With store_lock held. */
+/* The functions below are called with store_lock held. */
 
 /* Marks the job if one of its prerequisites is cancelled or marked. */
 void cascade_check(struct job *job);
-/* Marks the job, and all that depend on it. */
+/* Marks the job and all jobs that depend on it, directly or through others, unless they have ended. */
 void cascade_mark(struct job *job);
-/* Marked jobs that this controller is to write now, at most so many, prerequisites before their dependents; returns how
- * many. The controller that acknowledged the cancellation to its user goes first, then the owner of the job's shard,
- * then any: each of them may be about to end. */
-int cascade_next(struct job **out, int most);
+/* Fills next_jobs with up to jobs_max marked jobs whose cancellation this controller has to write now, prerequisites
+ * before their dependents; returns their number. The controller that acknowledged the cancellation to a user writes
+ * first, then the owner of the job's shard, then any controller, because the others may have stopped. */
+int cascade_next_jobs(struct job **next_jobs, int jobs_max);
 #endif
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -1,13 +1,12 @@
-/* Dependencies between jobs: which job waits for which prerequisites, what follows from that for its priority and
- * deadline, and the cancellation of jobs that depend on a cancelled one.
+/* Dependencies between jobs: jobs wait for their prerequisites, prerequisites inherit the priority and deadline of
+ * their dependents, and the dependents of a cancelled job are cancelled.
  *
- * A job starts only once the record of each of its prerequisites says done. That state is final, so a job that still
- * waits, and all that depend on it, have never had a task. Cancellation therefore is a matter of records alone: a job
- * whose prerequisite is recorded as cancelled, directly or through others, is to be cancelled, and any controller may
- * write it at any time.
+ * A job starts only when the records of all its prerequisites say done. Done is final, so a job that still waits, and
+ * every job that depends on it, has never had a task. Its cancellation therefore only changes a record: if the record
+ * of a prerequisite says cancelled, directly or through other jobs, any controller may cancel the job at any time.
  *
- * graph.c links the jobs and counts unmet prerequisites; urgency.c passes priorities and deadlines on from dependents;
- * cascade.c cancels dependents; submission_check.c says whether a submission may name its prerequisites. */
+ * graph.c links the jobs and counts unmet prerequisites; urgency.c passes priorities and deadlines from dependents to
+ * prerequisites; cascade.c cancels dependents; submission_check.c checks the prerequisites of submissions. */
 #ifndef FF_DEPENDENCIES_H
 #define FF_DEPENDENCIES_H
 #include <stdbool.h>
@@ -16,42 +15,44 @@
 #include "../model/job.h"
 #include "../settings/settings.h"
 
-/* By service, at the start and in this order; init after jobs_init and before records are read. */
+/* Called by service at startup, after jobs_init and before any record is read. */
 void dependencies_init(const struct settings *settings);
-/* Starts the cascade's thread. */
+/* Starts the thread that cancels dependents. Called by service, after dependencies_init. */
 void dependencies_start(void);
 
-/* Makes the cascade's thread search for cancellations now. From any thread, with or without the lock. */
+/* Makes the thread look for jobs to cancel now. Called from any thread, with or without store_lock. */
 void dependencies_wake(void);
 
-/* With store_lock held. */
+/* The next three functions are called with store_lock held. */
 
-/* A prerequisite is not recorded as done: nothing of the job may start, and it takes part in nothing. */
+/* Whether the record of a prerequisite does not say done yet. Until then, the job is not scheduled and is not
+ * in the scheduling order of its shard. */
 bool dependencies_unmet(const struct job *job);
-/* The job's record still has to be changed to cancelled: its user gets no other answer any more. */
+/* Whether the job has to be cancelled because of a prerequisite and its record does not say so yet. Users are no longer
+ * told that it is queued. */
 bool dependencies_must_cancel(const struct job *job);
-/* Whether a job with these prerequisites is to be cancelled. A list of ids, ended by NULL; NULL: none. */
+/* Whether a job with these prerequisites has to be cancelled. prerequisites is a NULL-terminated list of job ids, or
+ * NULL if there are none. */
 bool dependencies_any_cancelled(char *const *prerequisites);
 
-/* Without the lock. */
-
-/* Whether a submission may name its prerequisites, and if not, why. */
+/* The result of checking the prerequisites of a submission: valid, or the reason to refuse it. */
 enum prerequisites_result {
     PREREQUISITES_VALID,
-    PREREQUISITE_ITSELF,       /* the submission names its own job */
-    PREREQUISITE_SERVICE,      /* a service is never done */
-    PREREQUISITE_UNKNOWN,      /* no job with this id was ever accepted */
-    PREREQUISITE_UNREADABLE,   /* there is a record with this id that can't be read */
-    PREREQUISITE_STORE_SILENT, /* the store did not answer */
+    PREREQUISITE_ITSELF,            /* the submission names its own job as a prerequisite */
+    PREREQUISITE_SERVICE,           /* a service is never done */
+    PREREQUISITE_UNKNOWN,           /* no job with this id was accepted */
+    PREREQUISITE_UNREADABLE,        /* the record of the prerequisite can't be read */
+    PREREQUISITE_STORE_UNAVAILABLE, /* the store did not answer, so the result is unknown */
 };
 
 struct prerequisites_check {
     enum prerequisites_result result;
-    const char *job_id; /* the prerequisite concerned, from the list that was checked; NULL where all are valid */
+    const char *job_id; /* the refused prerequisite, a string of the checked list; NULL if all are valid */
 };
 
-/* Checks the prerequisites of a submission, a list of ids that NULL ends, up to the first that may not be named; NULL:
- * none. One that is not in the mirror is read from the store: it may have been accepted elsewhere a moment ago. */
-struct prerequisites_check dependencies_check(struct http_client *client, const char *job_id,
-                                              char *const *prerequisites);
+/* Checks the prerequisites of a submission in order, up to the first invalid one. prerequisites is a NULL-terminated
+ * list of job ids, or NULL if there are none. A prerequisite that is not in the mirror is read from the store, because
+ * another controller may just have accepted it. Called without store_lock. */
+struct prerequisites_check dependencies_check_prerequisites(struct http_client *client, const char *job_id,
+                                                            char *const *prerequisites);
 #endif
--- a/src/dependencies/graph.c
+++ b/src/dependencies/graph.c
@@ -1,4 +1,4 @@
-/* Links jobs with their prerequisites as records arrive, and counts the unmet ones. */
+/* Links jobs with their prerequisites when records are read, and counts the unmet prerequisites of each job. */
 #include <glib.h>
 #include <stdbool.h>
 
@@ -11,7 +11,7 @@
 
 bool dependencies_unmet(const struct job *job) { return job->unmet > 0; }
 
-/* The lists of a job that is linked for the first time are made here; they live as long as the job. */
+/* Called once per job. Creates the lists of prerequisites and dependents, which live as long as their jobs. */
 static void link_prerequisites(struct job *job) {
     if (!job->spec.prerequisites) return;
     job->prerequisites = g_ptr_array_new();
@@ -23,28 +23,28 @@
     }
 }
 
-/* Counts the unmet prerequisites anew. The job's times count from the end of the last prerequisite, by the records, so
- * that every owner counts alike. A record of the first version names no end; it is older than any job with
- * prerequisites. */
+/* Recounts the unmet prerequisites and sets the time from which the job's waiting time counts: the end of its last
+ * prerequisite. That time comes from the records, so that it is the same for every owner of the shard. Records of the
+ * first version have no end time, but are older than any job with prerequisites. */
 static void update_unmet(struct job *job) {
-    double ready = job->submitted;
+    double ready_since = job->submitted;
     job->unmet = 0;
     for (guint i = 0; job->prerequisites && i < job->prerequisites->len; i++) {
         const struct job *prerequisite = job->prerequisites->pdata[i];
         job->unmet += !(prerequisite->known && prerequisite->state == JOB_DONE);
-        ready = MAX(ready, prerequisite->finished);
+        ready_since = MAX(ready_since, prerequisite->finished);
     }
     if (job->unmet == 0 && job->ready <= 0) job->eligible_since = clock_now();
-    job->ready = job->unmet ? 0 : ready;
+    job->ready = job->unmet ? 0 : ready_since;
 }
 
-/* Observers of jobs, with store_lock held. */
+/* Observers of jobs, called with store_lock held. */
 
 static void job_added(struct job *job) {
     link_prerequisites(job);
     urgency_reset(job);
     update_unmet(job);
-    urgency_link(job);
+    urgency_propagate(job);
     cascade_check(job);
 }
 
--- a/src/dependencies/submission_check.c
+++ b/src/dependencies/submission_check.c
@@ -1,4 +1,4 @@
-/* Says whether a submission may name its prerequisites: from the mirror, or after one read of the store. */
+/* Checks the prerequisites of a submission in the mirror, and reads those from the store that are not in the mirror. */
 #include <stdbool.h>
 #include <string.h>
 
@@ -7,8 +7,8 @@
 #include "../store/store.h"
 #include "dependencies.h"
 
-/* What the mirror says of a prerequisite. */
-static enum prerequisites_result look_up(const char *job_id, const struct store_key *key) {
+/* Checks a prerequisite in the mirror only. */
+static enum prerequisites_result check_in_mirror(const char *job_id, const struct store_key *key) {
     enum prerequisites_result result = PREREQUISITES_VALID;
     store_lock();
     const struct job *job = jobs_find(job_id);
@@ -21,19 +21,20 @@
     return result;
 }
 
-static enum prerequisites_result check_one(struct http_client *client, const char *job_id) {
+/* Checks a prerequisite in the mirror, and again after a read of the store if the mirror does not have it. */
+static enum prerequisites_result check_prerequisite(struct http_client *client, const char *job_id) {
     struct store_key key = store_key_job(job_id);
-    enum prerequisites_result result = look_up(job_id, &key);
+    enum prerequisites_result result = check_in_mirror(job_id, &key);
     if (result != PREREQUISITE_UNKNOWN) return result;
-    if (!store_refresh(client, key.text)) return PREREQUISITE_STORE_SILENT;
-    return look_up(job_id, &key);
+    if (!store_refresh(client, key.text)) return PREREQUISITE_STORE_UNAVAILABLE;
+    return check_in_mirror(job_id, &key);
 }
 
-struct prerequisites_check dependencies_check(struct http_client *client, const char *job_id,
-                                              char *const *prerequisites) {
+struct prerequisites_check dependencies_check_prerequisites(struct http_client *client, const char *job_id,
+                                                            char *const *prerequisites) {
     for (; prerequisites && *prerequisites; prerequisites++) {
         enum prerequisites_result result = PREREQUISITE_ITSELF;
-        if (strcmp(*prerequisites, job_id) != 0) result = check_one(client, *prerequisites);
+        if (strcmp(*prerequisites, job_id) != 0) result = check_prerequisite(client, *prerequisites);
         if (result != PREREQUISITES_VALID) return (struct prerequisites_check){result, *prerequisites};
     }
     return (struct prerequisites_check){PREREQUISITES_VALID, NULL};
--- a/src/dependencies/urgency.c
+++ b/src/dependencies/urgency.c
@@ -12,14 +12,15 @@
 
 void urgency_reset(struct job *job) {
     job->priority = job->spec.priority;
-    /* Where no objective of its class counts deadlines, its other objectives say what is wanted. */
-    bool counts = job->known && job->spec.deadline_s > 0 &&
-                  settings_has_objective(settings, OBJECTIVE_DEADLINE, job->spec.job_class);
-    job->deadline = counts ? job->submitted + job->spec.deadline_s : INFINITY;
+    /* A deadline counts only if a deadline objective covers the job's class; otherwise other objectives apply to it. */
+    bool deadline_counts = job->known && job->spec.deadline_s > 0 &&
+                           settings_has_objective(settings, OBJECTIVE_DEADLINE, job->spec.job_class);
+    job->deadline = deadline_counts ? job->submitted + job->spec.deadline_s : INFINITY;
 }
 
-/* A dependent's priority, and its deadline less the time that it runs itself. True if that changed anything. */
-static bool inherit(struct job *prerequisite, const struct job *dependent) {
+/* Raises the prerequisite's priority to at least that of the dependent, and lowers its deadline to at most the
+ * dependent's deadline minus the dependent's run time. Returns whether either changed. */
+static bool inherit_urgency(struct job *prerequisite, const struct job *dependent) {
     enum job_priority priority = MAX(prerequisite->priority, dependent->priority);
     double deadline = MIN(prerequisite->deadline, dependent->deadline - dependent->spec.runtime_s);
     bool changed = priority != prerequisite->priority || deadline < prerequisite->deadline;
@@ -28,31 +29,32 @@
     return changed;
 }
 
-/* Passes the urgency of the queue's jobs on to their prerequisites, and on from these, as far as it changes anything.
- * Jobs may depend on one another thousands of levels deep: a queue, no recursion. Frees the queue. */
-static void pass_on(GQueue *queue) {
+/* Propagates the urgency of the jobs in the queue to their prerequisites, and from there on as long as anything
+ * changes. Frees the queue. This does not recurse, because chains of dependencies may be thousands of jobs long. */
+static void propagate(GQueue *queue) {
     struct job *job;
     while ((job = g_queue_pop_head(queue))) {
         for (guint i = 0; is_unfinished(job) && job->prerequisites && i < job->prerequisites->len; i++) {
             struct job *prerequisite = job->prerequisites->pdata[i];
-            if (is_unfinished(prerequisite) && inherit(prerequisite, job)) g_queue_push_tail(queue, prerequisite);
+            if (is_unfinished(prerequisite) && inherit_urgency(prerequisite, job))
+                g_queue_push_tail(queue, prerequisite);
         }
     }
     g_queue_free(queue);
 }
 
-void urgency_link(struct job *job) {
+void urgency_propagate(struct job *job) {
     for (guint i = 0; job->dependents && i < job->dependents->len; i++) {
         const struct job *dependent = job->dependents->pdata[i];
-        if (is_unfinished(dependent) && is_unfinished(job)) inherit(job, dependent);
+        if (is_unfinished(dependent) && is_unfinished(job)) inherit_urgency(job, dependent);
     }
     GQueue *queue = g_queue_new();
     g_queue_push_tail(queue, job);
-    pass_on(queue);
+    propagate(queue);
 }
 
-/* Resets all unfinished jobs that the cancelled one depended on, directly or through others. Returns the dependents of
- * each of them, whose urgency is to be passed on again; the caller frees the queue. */
+/* Resets the urgency of all unfinished jobs that the cancelled job depended on, directly or through others. Returns the
+ * dependents of these jobs, whose urgency has to be propagated again; the caller frees the queue. */
 static GQueue *reset_prerequisites(struct job *cancelled) {
     GHashTable *reset = g_hash_table_new(g_direct_hash, g_direct_equal);
     GQueue *queue = g_queue_new(), *dependents = g_queue_new();
@@ -73,4 +75,4 @@
     return dependents;
 }
 
-void urgency_withdraw(struct job *cancelled) { pass_on(reset_prerequisites(cancelled)); }
+void urgency_withdraw(struct job *cancelled) { propagate(reset_prerequisites(cancelled)); }
--- a/src/liveness/liveness.h
+++ b/src/liveness/liveness.h
@@ -1,4 +1,6 @@
-/* Which machines can be reached, which have to be returned, and whether it is this controller that hears nobody. */
+/* Decides which machines are unreachable and which have to be returned to the cloud, and detects that this controller
+ * itself is cut off from the workers. A machine is heard when its heartbeat or its answer to a command arrives; its
+ * silence is the time since it was last heard. */
 #ifndef FF_LIVENESS_H
 #define FF_LIVENESS_H
 #include <stdbool.h>
@@ -6,34 +8,36 @@
 #include "../http/client.h"
 #include "../machines/machines.h"
 
-/* Called before the threads are started; the settings must outlive them. */
+/* Call before any thread is started; the settings must outlive the threads. */
 void liveness_init(const struct settings *settings);
 
-/* Whether one of a few workers, chosen at random, answers a probe; true also if none has an address. Without the lock,
- * on membership's thread; takes up to half a second for each that does not answer. */
+/* Probes up to three workers, chosen at random: true if one of them answers or no chosen one has an address. Called
+ * without store_lock, on membership's thread; each worker that does not answer takes up to half a second. */
 bool liveness_probe_workers(struct http_client *client);
 
-/* What is heard of the machines of owned shards that are up. */
+/* Counts over the machines that are up and not being returned, of all shards that this controller owns. */
 struct liveness_summary {
     int up;
-    int heard;            /* lately, in any way */
-    int heartbeats_heard; /* lately, by a heartbeat */
-    double newest_s;      /* since any of them was heard in any way; HUGE_VAL: there are none */
+    int heard;                 /* machines heard recently, by a heartbeat or the answer to a command */
+    int heartbeats_heard;      /* machines with a recent heartbeat */
+    double shortest_silence_s; /* time since any of the machines was heard; HUGE_VAL if none is up */
 };
 
-/* Pure: so many machines are heard that often between them that this long a silence of all is this controller's own.
- * heartbeat_interval_s: of each machine. */
-bool liveness_controller_isolated(int n_up, double newest_s, double heartbeat_interval_s);
+/* Whether this controller is cut off from its workers: enough machines are up that a silence of all of them for
+ * shortest_silence_s can't be explained by failed machines. Every machine sends a heartbeat each heartbeat_interval_s.
+ * Pure. */
+bool liveness_controller_isolated(int n_up, double shortest_silence_s, double heartbeat_interval_s);
 
-/* All of these with store_lock held. */
+/* The functions below are called with store_lock held. */
 
-/* Of all machines of owned shards. */
+/* Computes the summary for all owned shards. */
 struct liveness_summary liveness_summary(void);
-/* Finds the shard's machines that are to be returned, given what is heard of all machines of owned shards; has silent
- * ones probed. On the scheduler's thread. */
+/* Requests the return of the shard's machines that are unreachable, faulty, drained or preempted, and has silent
+ * machines probed. The summary covers all owned shards. Called on the scheduler's thread. */
 void liveness_check_machines(int shard, const struct liveness_summary *summary);
-/* Nothing is heard of the shard's machines in the zone, as of the last check of the shard. */
+/* Whether the last liveness_check_machines of the shard found the zone unreachable: none of the shard's machines there
+ * was heard for too long. False if the shard is not owned. */
 bool liveness_zone_unreachable(int shard, const char *zone);
-/* This controller was paused: all silence counts anew from now on. */
+/* Restarts the measurement of silence for all machines, after this process was paused. */
 void liveness_reset_silence(void);
 #endif
--- a/src/liveness/process_pause.h
+++ b/src/liveness/process_pause.h
@@ -1,15 +1,15 @@
-/* Notices that this process was paused: its clocks ran on, and nothing in it did.
+/* Detects that this process was paused: the clock advanced while no thread ran.
  *
- * What others sent meanwhile has not been read yet, so that silence of workers over that time is this controller's own.
- * It counts anew from the pause's end. Nothing that was decided before the pause depends on this:
- * commands, responses and reads of the store are checked for their age when they are sent. */
+ * Messages that arrived during the pause have not been read yet, so the silence of workers during that time says
+ * nothing about them. The measurement of silence restarts at the end of the pause. Decisions made before the pause
+ * don't rely on this: the age of commands, responses and store reads is checked when they are sent. */
 #ifndef FF_PROCESS_PAUSE_H
 #define FF_PROCESS_PAUSE_H
 
-/* Starts the thread that notices it. */
+/* Starts the thread that detects pauses. */
 void process_pause_start(void);
 
-/* Pure: for how long the process was paused, if the clock's next tick, due after `tick_s`, came after `waited_s`; 0:
- * it was not. */
+/* The length of the pause in seconds if a tick that was due after tick_s came after waited_s; 0 if the delay is too
+ * short for a pause. Pure. */
 double process_pause_length(double waited_s, double tick_s);
 #endif
--- a/src/liveness/process_pause_test.c
+++ b/src/liveness/process_pause_test.c
@@ -1,4 +1,4 @@
-/* Which late ticks are a pause of the whole process. */
+/* Tests which delays of a tick count as a pause of the process. */
 #include "liveness/process_pause.h"
 
 #include <glib.h>
@@ -8,18 +8,18 @@
 static void only_a_long_wait_is_a_pause(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        double waited_s, tick_s, least_s, most_s;
+        const char *description;
+        double waited_s, tick_s, min_s, max_s;
     } rows[] = {
-        {"in time", 0.25, 0.25, 0, 0},
-        {"late by a moment, on a busy machine", 0.9, 0.25, 0, 0},
+        {"on time", 0.25, 0.25, 0, 0},
+        {"delayed by less than a second on a busy machine", 0.9, 0.25, 0, 0},
         {"a few seconds", 6, 0.25, 5.5, 6},
         {"more than a minute", 80, 0.25, 79, 80},
-        {"a clock that went back", -3, 0.25, 0, 0},
+        {"the clock went backwards", -3, 0.25, 0, 0},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         double paused_s = process_pause_length(rows[i].waited_s, rows[i].tick_s);
-        if (paused_s < rows[i].least_s || paused_s > rows[i].most_s) fail_msg("%s: %.2f s", rows[i].what, paused_s);
+        if (paused_s < rows[i].min_s || paused_s > rows[i].max_s) fail_msg("%s: %.2f s", rows[i].description, paused_s);
     }
 }
 
--- a/src/liveness/return_checks.c
+++ b/src/liveness/return_checks.c
@@ -12,18 +12,18 @@
 #include "internal.h"
 #include "silence.h"
 
-#define IGNORED_RESPONSES_MAX 3
-#define UNANSWERED_PROBES 2
-#define UNANSWERED_S 5.0 /* silence that counts if so many probes went unanswered */
-#define FAULTY_S 5.0     /* time for other machines to show that a job is at fault */
-#define OWNED_S 20       /* an owner of less has not had the time to hear of a boot */
-#define STOP_LEAD_S 4    /* time for the return's record, the call and a few that go before it */
-#define ZONE_BRIEFLY_S 5 /* cut off for less than that, a zone may be back at once */
-#define BOOT_DEFAULT_S 60
-#define BOOT_LATENESS 1.5
+#define IGNORED_RESPONSES_LIMIT 3 /* a machine that has ignored so many responses is returned */
+#define UNANSWERED_PROBES_MIN 2   /* in a row */
+#define UNANSWERED_SILENCE_S 5.0  /* silence required in addition to the unanswered probes */
+#define FAULTY_GRACE_S 5.0        /* time for failures on other machines to show that a job is at fault */
+#define OWNED_MIN_S 20            /* a new owner may need this long to hear from a machine that has booted */
+#define STOP_LEAD_S 4             /* time to record the return and call the cloud, after a few earlier returns */
+#define ZONE_BRIEF_OUTAGE_S 5     /* a zone that was unreachable for less may be reachable again at once */
+#define BOOT_DEFAULT_S 60         /* if the machine type is not known */
+#define BOOT_TIME_FACTOR 1.5      /* a boot may take this multiple of its nominal time */
 
 bool return_checks_responses_lost(const struct machine *machine) {
-    return machine->liveness.up && machine->liveness.ignored_responses >= IGNORED_RESPONSES_MAX;
+    return machine->liveness.up && machine->liveness.ignored_responses >= IGNORED_RESPONSES_LIMIT;
 }
 
 void return_checks_note_replicas_at_risk(const struct machine *machine) {
@@ -33,6 +33,7 @@
     }
 }
 
+/* Whether the machine may run tasks: tasks that it has listed, or that an earlier owner of the shard allocated. */
 static bool runs_tasks(const struct machine *machine) {
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
@@ -41,48 +42,52 @@
     return false;
 }
 
-/* A machine of an unreachable zone. It may be back before its tasks' end; until then they run on. If it is not, their
- * replicas should find machines that have booted meanwhile. */
-static bool zone_may_return(const struct machine *machine, const struct zone_contact *contact) {
+/* Whether to keep a machine of an unreachable zone for now. Its tasks run on for a while, and the zone may be reachable
+ * again before they end. Its replicas are noted as at risk early enough for other machines to boot in time. */
+static bool keep_until_zone_returns(const struct machine *machine, const struct zone_contact *contact) {
     double survival_s = zones_task_survival_s(machine->zone);
     double boot_s = machine->type ? machine->type->startup_s : BOOT_DEFAULT_S;
-    if (contact->newest_s >= survival_s) return false;
-    if (contact->newest_s > fmax(ZONE_BRIEFLY_S, survival_s - BOOT_LATENESS * boot_s - ZONE_BRIEFLY_S))
+    if (contact->shortest_silence_s >= survival_s) return false;
+    if (contact->shortest_silence_s >
+        fmax(ZONE_BRIEF_OUTAGE_S, survival_s - BOOT_TIME_FACTOR * boot_s - ZONE_BRIEF_OUTAGE_S))
         return_checks_note_replicas_at_risk(machine);
-    /* Nothing runs there, and the start that was sent last may never have come: once the machine is returned, its tasks
-     * start elsewhere. */
-    return runs_tasks(machine) || machine->allocations->len == 0 || contact->newest_s < ZONE_BRIEFLY_S;
+    /* If tasks are allocated but none is known to run, the start may not have arrived: the machine is returned, so that
+     * the tasks start elsewhere. */
+    return runs_tasks(machine) || machine->allocations->len == 0 || contact->shortest_silence_s < ZONE_BRIEF_OUTAGE_S;
 }
 
-/* Probes without an answer tell a silence sooner; only where a cut of the whole zone would have shown before. */
+/* Unanswered probes reveal an unreachable machine before the silence limit does. They are used only if an outage of the
+ * whole zone would have been detected before them. */
 static bool probes_unanswered(const struct machine *machine, const struct zone_contact *contact) {
-    double zone_silence_s = zones_silence_s(contact->up, clock_to_seconds(liveness_settings->heartbeat_interval));
-    return machine->liveness.unanswered_probes >= UNANSWERED_PROBES &&
-           clock_seconds_since(machine->liveness.last_heard) > UNANSWERED_S && zone_silence_s < UNANSWERED_S - 1;
+    double zone_silence_s = zones_silence_limit_s(contact->up, clock_to_seconds(liveness_settings->heartbeat_interval));
+    return machine->liveness.unanswered_probes >= UNANSWERED_PROBES_MIN &&
+           clock_seconds_since(machine->liveness.last_heard) > UNANSWERED_SILENCE_S &&
+           zone_silence_s < UNANSWERED_SILENCE_S - 1;
 }
 
+/* Whether the machine was not heard for the silence limit, or sent no heartbeat for that limit plus a lease. */
 static bool silent_for_long(const struct machine *machine) {
     return clock_seconds_since(machine->liveness.last_heard) > silence_limit_s() ||
            clock_seconds_since(machine->liveness.last_heartbeat) >
                clock_to_seconds(liveness_settings->lease) + silence_limit_s();
 }
 
-static bool silent(const struct machine *machine, const struct shard_check *check) {
+static bool has_been_silent(const struct machine *machine, const struct shard_check *check) {
     int zone = settings_zone(liveness_settings, machine->zone);
     if (zone < 0) return silent_for_long(machine);
     const struct zone_contact *contact = &check->contacts[zone];
-    if (zones_unreachable(check->shard, zone)) return !zone_may_return(machine, contact);
-    /* When a zone is heard again, its machines come one after the other: 65 healthy ones were once returned in the
-     * moment in which the first of them answered. */
-    if (zones_reachable_again_s(check->shard, zone) < silence_limit_s()) return false;
+    if (zones_unreachable(check->shard, zone)) return !keep_until_zone_returns(machine, contact);
+    /* When a zone becomes reachable again, its machines are heard one after the other. Without this wait, 65 healthy
+     * machines were returned when the first one answered. */
+    if (zones_seconds_since_reachable(check->shard, zone) < silence_limit_s()) return false;
     return silent_for_long(machine) || probes_unanswered(machine, contact);
 }
 
 bool return_checks_unreachable(const struct machine *machine, const struct shard_check *check) {
-    return machine->liveness.up && silent(machine, check) && check->workers_heard;
+    return machine->liveness.up && has_been_silent(machine, check) && check->workers_heard;
 }
 
-/* It has got no work since that showed, and goes unless the jobs prove to be at fault. */
+/* A faulty machine gets no new tasks. It is returned after FAULTY_GRACE_S, unless its jobs turn out to be at fault. */
 bool return_checks_faulty(struct machine *machine) {
     if (!machine->liveness.up) return false;
     if (!quarantine_machine_faulty(machine)) {
@@ -90,23 +95,23 @@
         return false;
     }
     if (!machine->faulty_since.tv_sec) machine->faulty_since = clock_now();
-    return clock_seconds_since(machine->faulty_since) > FAULTY_S;
+    return clock_seconds_since(machine->faulty_since) > FAULTY_GRACE_S;
 }
 
 bool return_checks_never_came_up(const struct machine *machine) {
     return !machine->liveness.up && clock_time_of_day() - machine->created_at > provisioning_boot_timeout_s(machine) &&
-           clock_seconds_since(machine->owned_since) > OWNED_S;
+           clock_seconds_since(machine->owned_since) > OWNED_MIN_S;
 }
 
 bool return_checks_stop_overdue(double cancelled_s, double heartbeat_s, double lease_s, double cancel_s) {
     double margin_s = cancel_s - lease_s;
     double lead_s = fmin(fmax(STOP_LEAD_S, margin_s / 4), margin_s / 2);
-    /* One that has sent no heartbeat for a lease has ended the task. */
+    /* A worker that has sent no heartbeat for the length of a lease has ended the task itself. */
     return cancelled_s > cancel_s - lead_s && heartbeat_s < lease_s;
 }
 
-/* Every response carries the stop, and renews the lease by which the task would otherwise end: a machine that sends
- * heartbeats and does not stop it has to go, whatever else runs there. */
+/* Every response to a heartbeat repeats the stop and renews the lease, so the lease does not end the task either. A
+ * machine that sends heartbeats but does not stop the task is returned even if other tasks run there. */
 bool return_checks_stop_ignored(const struct machine *machine) {
     if (!machine->liveness.up) return false;
     for (guint i = 0; i < machine->allocations->len; i++) {
--- a/src/liveness/return_checks.h
+++ b/src/liveness/return_checks.h
@@ -1,4 +1,5 @@
-/* For each reason to return a machine, whether it holds. With store_lock held, but for what is pure. */
+/* The reasons to return a machine to the cloud, with one check for each. Called with store_lock held, except for pure
+ * functions. */
 #ifndef FF_LIVENESS_RETURN_CHECKS_H
 #define FF_LIVENESS_RETURN_CHECKS_H
 #include <stdbool.h>
@@ -6,25 +7,29 @@
 #include "../machines/machines.h"
 #include "zones.h"
 
-/* What a check of a shard knows beside the machine itself. */
+/* The state of a shard that the checks of its machines need. */
 struct shard_check {
     int shard;
-    const struct zone_contact *contacts; /* an item a zone */
-    bool workers_heard;                  /* it is not this controller that hears nobody */
+    const struct zone_contact *contacts; /* one per zone */
+    bool workers_heard;                  /* false: this controller may be cut off from the workers */
 };
 
-/* Heartbeats arrive, and our responses don't: its lease expires though it is not silent. */
+/* Whether heartbeats of the machine arrive but responses don't reach it: its lease expires although it is not silent.
+ */
 bool return_checks_responses_lost(const struct machine *machine);
-/* Notes replicas that may have to start elsewhere soon. */
+/* Whether the machine has been unreachable for so long that it is returned; false while this controller may be cut off.
+ * Also notes the replicas on the machine as at risk if its zone has been unreachable for some time. */
 bool return_checks_unreachable(const struct machine *machine, const struct shard_check *check);
-/* Different jobs have failed on it for a while. */
+/* Whether the machine has been faulty for some time: tasks of different jobs fail on it. Sets faulty_since. */
 bool return_checks_faulty(struct machine *machine);
+/* Whether the machine should have booted by now and this controller has not heard it yet. */
 bool return_checks_never_came_up(const struct machine *machine);
-/* It still runs a task that has to have ended soon. */
+/* Whether the machine still lists a cancelled task whose cancellation deadline is near. */
 bool return_checks_stop_ignored(const struct machine *machine);
-/* Pure: whether a cancelled task that a machine still shows makes its return due, that long after the cancellation and
- * after its last heartbeat. */
+/* Whether a machine has to be returned because it still lists a task that was cancelled cancelled_s ago. heartbeat_s is
+ * the time since its last heartbeat, cancel_s the time within which a cancelled task has to end. Pure. */
 bool return_checks_stop_overdue(double cancelled_s, double heartbeat_s, double lease_s, double cancel_s);
-/* What it holds may have to start elsewhere soon: what replicas need may boot meanwhile. */
+/* Counts the replicas on the machine in replicas_at_risk of their jobs: they may have to start elsewhere soon, and
+ * machines for them can be booted in the meantime. */
 void return_checks_note_replicas_at_risk(const struct machine *machine);
 #endif
--- a/src/liveness/silence.c
+++ b/src/liveness/silence.c
@@ -5,22 +5,22 @@
 #include "../clock/clock.h"
 #include "internal.h"
 
-#define PROBING_S 4 /* once a heartbeat is overdue, a machine is probed a few times */
-#define HEARD_MARGIN_S 1
-#define HEARD_PART 0.6 /* of the limit */
+#define PROBING_TIME_S 4          /* time to probe a machine a few times once its heartbeat is overdue */
+#define RECENT_MARGIN_S 1         /* after silence_heartbeat_due_s */
+#define RECENT_LIMIT_FRACTION 0.6 /* of silence_limit_s */
 
 double silence_heartbeat_due_s(void) {
-    return clock_to_seconds(liveness_settings->heartbeat_interval) * HEARTBEAT_LATENESS;
+    return clock_to_seconds(liveness_settings->heartbeat_interval) * HEARTBEAT_DUE_INTERVALS;
 }
 
-/* Shorter than that, healthy machines that send a heartbeat every 8 s were returned by the hundred. */
+/* A shorter limit led to the return of hundreds of healthy machines that sent a heartbeat every 8 s. */
 double silence_limit_s(void) {
-    return fmax(clock_to_seconds(liveness_settings->tuning.silent_return), silence_heartbeat_due_s() + PROBING_S);
+    return fmax(clock_to_seconds(liveness_settings->tuning.silent_return), silence_heartbeat_due_s() + PROBING_TIME_S);
 }
 
-/* Shorter than any silence that has a consequence: with the same time for both, a controller that lost all workers at
- * once found the first of them silent while it had "just" heard the others, and returned one healthy machine after the
- * other. */
-double silence_heard_lately_s(void) {
-    return fmin(silence_heartbeat_due_s() + HEARD_MARGIN_S, silence_limit_s() * HEARD_PART);
+/* Shorter than every silence that has a consequence. With one limit for both, a controller that lost contact with all
+ * workers at once found the first ones silent while the others still counted as recently heard, and returned healthy
+ * machines one after the other. */
+double silence_heard_recently_s(void) {
+    return fmin(silence_heartbeat_due_s() + RECENT_MARGIN_S, silence_limit_s() * RECENT_LIMIT_FRACTION);
 }
--- a/src/liveness/silence.h
+++ b/src/liveness/silence.h
@@ -1,13 +1,13 @@
-/* How long a silence has a consequence. With store_lock held or without. */
+/* Time limits for the silence of a machine. Called with or without store_lock. */
 #ifndef FF_LIVENESS_SILENCE_H
 #define FF_LIVENESS_SILENCE_H
-/* Heartbeats come up to a quarter of their interval late. */
-#define HEARTBEAT_LATENESS 1.25
+/* Heartbeat intervals until the next heartbeat is overdue: heartbeats may be a quarter of an interval late. */
+#define HEARTBEAT_DUE_INTERVALS 1.25
 
-/* So late the next heartbeat may be heard after the last. */
+/* The time after a heartbeat by which the next one should have arrived. */
 double silence_heartbeat_due_s(void);
-/* A machine that was not heard for longer is returned. */
+/* The silence after which a machine is returned. */
 double silence_limit_s(void);
-/* A machine that was heard within that time counts as heard. */
-double silence_heard_lately_s(void);
+/* A machine that was heard within this time counts as recently heard. */
+double silence_heard_recently_s(void);
 #endif
--- a/src/liveness/zones.c
+++ b/src/liveness/zones.c
@@ -14,46 +14,49 @@
 #include "liveness.h"
 #include "silence.h"
 
-#define NEVER_S 1e9
-#define ZONE_MACHINES_MIN 4      /* fewer can't tell a zone from its machines */
-#define ZONE_HEARTBEATS_MISSED 5 /* so many that were due from all machines between them, and something is cut */
-#define ZONE_SILENCE_MIN_S 1.5
-#define ZONE_SILENCE_MARGIN_S 1 /* beyond the time at which each machine's heartbeat is due */
-#define PROXY_MARGIN_S 1        /* for the proxy's last response to reach its worker */
+#define NEVER_S 1e9               /* longer than any silence */
+#define ZONE_MACHINES_MIN 4       /* with fewer, an unreachable zone can't be told from failed machines */
+#define ZONE_MISSED_HEARTBEATS 5  /* due from the zone's machines together, none of them received */
+#define ZONE_SILENCE_MIN_S 1.5    /* silence limit of a zone with very many machines */
+#define ZONE_SILENCE_MARGIN_S 1   /* after the heartbeat of each machine is due */
+#define PROXY_RESPONSE_MARGIN_S 1 /* for the last response of a controller in the zone to reach the worker */
 
 static struct {
-    bool unreachable[SHARDS_MAX][SETTINGS_ZONES]; /* as of the last check */
-    struct timespec reachable_again[SHARDS_MAX][SETTINGS_ZONES];
+    bool unreachable[SHARDS_MAX][SETTINGS_ZONES];                /* as of the last zones_update */
+    struct timespec reachable_again[SHARDS_MAX][SETTINGS_ZONES]; /* when the zone was last found reachable again */
 } zones;
 
 void zones_reset(void) { memset(&zones, 0, sizeof zones); }
 
-double zones_silence_s(int machines, double heartbeat_interval_s) {
+double zones_silence_limit_s(int machines, double heartbeat_interval_s) {
     if (machines < ZONE_MACHINES_MIN) return NEVER_S;
-    return fmin(heartbeat_interval_s * HEARTBEAT_LATENESS + ZONE_SILENCE_MARGIN_S,
-                ZONE_SILENCE_MIN_S + heartbeat_interval_s * ZONE_HEARTBEATS_MISSED / machines);
+    return fmin(heartbeat_interval_s * HEARTBEAT_DUE_INTERVALS + ZONE_SILENCE_MARGIN_S,
+                ZONE_SILENCE_MIN_S + heartbeat_interval_s * ZONE_MISSED_HEARTBEATS / machines);
 }
 
 bool zones_unreachable(int shard, int zone) { return zones.unreachable[shard][zone]; }
 
-double zones_reachable_again_s(int shard, int zone) { return clock_seconds_since(zones.reachable_again[shard][zone]); }
+double zones_seconds_since_reachable(int shard, int zone) {
+    return clock_seconds_since(zones.reachable_again[shard][zone]);
+}
 
 bool liveness_zone_unreachable(int shard, const char *zone) {
     int index = settings_zone(liveness_settings, zone);
     return index >= 0 && membership_owns(shard) && zones.unreachable[shard][index];
 }
 
-/* A controller in there, if there is one, answers the machine for as long as its last read of the store is valid, and
- * then the machine's lease expires. */
+/* The tasks end when the lease of their machine expires. A controller that is cut off together with the zone still
+ * answers the machine's heartbeats, which renews the lease, for as long as its last read of the store is valid. */
 double zones_task_survival_s(const char *zone) {
     const struct settings *settings = liveness_settings;
-    bool proxy = strcmp(settings->area, zone) == 0;
-    for (int i = 0; i < settings->n_seeds; i++) proxy |= strcmp(settings->seeds[i].area, zone) == 0;
-    return clock_to_seconds(settings->lease) + (proxy ? membership_read_validity_s() + PROXY_MARGIN_S : 0);
+    bool controller_in_zone = strcmp(settings->area, zone) == 0;
+    for (int i = 0; i < settings->n_seeds; i++) controller_in_zone |= strcmp(settings->seeds[i].area, zone) == 0;
+    return clock_to_seconds(settings->lease) +
+           (controller_in_zone ? membership_read_validity_s() + PROXY_RESPONSE_MARGIN_S : 0);
 }
 
 static void count_machines(int shard, struct zone_contact contacts[SETTINGS_ZONES]) {
-    double lately_s = silence_heard_lately_s();
+    double recent_s = silence_heard_recently_s();
     for (int i = 0; i < liveness_settings->n_zones; i++) contacts[i] = (struct zone_contact){0, 0, NEVER_S};
     for (guint i = 0; i < machines_of_shard(shard)->len; i++) {
         const struct machine *machine = machines_of_shard(shard)->pdata[i];
@@ -62,24 +65,24 @@
         if (zone < 0) continue;
         double silence_s = clock_seconds_since(machine->liveness.last_heard);
         contacts[zone].up++;
-        contacts[zone].heard += silence_s < lately_s;
-        contacts[zone].newest_s = fmin(contacts[zone].newest_s, silence_s);
+        contacts[zone].heard += silence_s < recent_s;
+        contacts[zone].shortest_silence_s = fmin(contacts[zone].shortest_silence_s, silence_s);
     }
 }
 
-static void note_reachability(int shard, int zone, bool unreachable) {
-    bool *known = &zones.unreachable[shard][zone];
-    if (*known == unreachable) return;
+static void set_reachability(int shard, int zone, bool unreachable) {
+    bool *recorded = &zones.unreachable[shard][zone];
+    if (*recorded == unreachable) return;
     log_info("shard %d: zone %s is %s", shard, liveness_settings->zones[zone],
              unreachable ? "unreachable" : "reachable again");
     if (!unreachable) zones.reachable_again[shard][zone] = clock_now();
-    *known = unreachable;
+    *recorded = unreachable;
 }
 
-/* Where nothing is heard any more of a whole zone, it is cut off rather than dead, machine by machine. */
-void zones_check(int shard, struct zone_contact contacts[SETTINGS_ZONES]) {
-    double heartbeat_interval_s = clock_to_seconds(liveness_settings->heartbeat_interval);
+/* A zone from which no machine is heard is treated as unreachable, rather than each of its machines as failed. */
+void zones_update(int shard, struct zone_contact contacts[SETTINGS_ZONES]) {
+    double interval_s = clock_to_seconds(liveness_settings->heartbeat_interval);
     count_machines(shard, contacts);
     for (int i = 0; i < liveness_settings->n_zones; i++)
-        note_reachability(shard, i, contacts[i].newest_s > zones_silence_s(contacts[i].up, heartbeat_interval_s));
+        set_reachability(shard, i, contacts[i].shortest_silence_s > zones_silence_limit_s(contacts[i].up, interval_s));
 }
--- a/src/liveness/zones.h
+++ b/src/liveness/zones.h
@@ -1,27 +1,29 @@
-/* Zones that are cut off, as each shard's machines show it. With store_lock held, but for what is pure. */
+/* Detects unreachable zones from the silence of the machines, for each shard. Called with store_lock held, except for
+ * pure functions. */
 #ifndef FF_LIVENESS_ZONES_H
 #define FF_LIVENESS_ZONES_H
 #include <stdbool.h>
 
 #include "../settings/settings.h"
 
-/* What is heard of a shard's machines in a zone that are up. */
+/* Counts over the machines of a shard in one zone that are up and not being returned. */
 struct zone_contact {
     int up;
-    int heard;       /* lately */
-    double newest_s; /* since any of them was heard */
+    int heard;                 /* heard recently */
+    double shortest_silence_s; /* time since any of the machines was heard; very large if none is up */
 };
 
-/* Forgets what was noted of zones. */
+/* Marks all zones as reachable. */
 void zones_reset(void);
-/* Counts the shard's machines in each zone, and notes which zones are unreachable. contacts: an item a zone. */
-void zones_check(int shard, struct zone_contact contacts[SETTINGS_ZONES]);
-/* As of the last check of the shard. */
+/* Fills contacts, one per zone, and updates which zones are unreachable for the shard. */
+void zones_update(int shard, struct zone_contact contacts[SETTINGS_ZONES]);
+/* Whether the last zones_update of the shard found the zone unreachable. */
 bool zones_unreachable(int shard, int zone);
-/* Seconds since the zone was found reachable again. */
-double zones_reachable_again_s(int shard, int zone);
-/* For how long the tasks of a machine in an unreachable zone may live on after it was last heard. */
+/* Time since the zone was last found reachable again. */
+double zones_seconds_since_reachable(int shard, int zone);
+/* How long tasks in an unreachable zone may run on after their machine was last heard. */
 double zones_task_survival_s(const char *zone);
-/* Pure: after how long a silence of all of so many machines of a zone the zone counts as cut off. */
-double zones_silence_s(int machines, double heartbeat_interval_s);
+/* The silence of all machines of a zone after which the zone is unreachable; very large for a zone with few machines.
+ * Pure. */
+double zones_silence_limit_s(int machines, double heartbeat_interval_s);
 #endif
--- a/src/quarantine/quarantine.c
+++ b/src/quarantine/quarantine.c
@@ -9,17 +9,17 @@
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 
-#define SUSPECT_MACHINES 2  /* a job that fails on so many is suspect */
-#define FAULTY_JOBS 2       /* a machine on which so many jobs fail is faulty */
-#define EVIDENCE_MAX 8      /* machines remembered of a job, and jobs of a machine */
-#define SOUND_RETRY_S 1.0   /* pause of a job that is not suspect, for each machine on which it failed */
-#define FAILED_TRIES_MAX 16 /* enough for the longest pause */
-
-double quarantine_retry_s(int failed_tries) {
-    return fmin(QUARANTINE_RETRY_MAX_S, exp2(CLAMP(failed_tries, 1, FAILED_TRIES_MAX)));
+#define SUSPECT_MACHINES_MIN 2        /* a job that has failed on so many machines is suspect */
+#define FAULTY_JOBS_MIN 2             /* a machine on which so many jobs have failed is faulty */
+#define REMEMBERED_FAILURES_MAX 8     /* machines remembered per job, and jobs per machine */
+#define UNSUSPECTED_RETRY_DELAY_S 1.0 /* for a job that is not suspect, per machine on which it has failed */
+#define FAILED_TRIES_MAX 16           /* enough for QUARANTINE_RETRY_DELAY_MAX_S */
+
+double quarantine_retry_delay_s(int failed_tries) {
+    return fmin(QUARANTINE_RETRY_DELAY_MAX_S, exp2(CLAMP(failed_tries, 1, FAILED_TRIES_MAX)));
 }
 
-/* ---- evidence ---- */
+/* ---- failures ---- */
 
 bool quarantine_job_suspect(const struct job *job) { return job->failed_tries > 0; }
 
@@ -37,41 +37,41 @@
 }
 
 bool quarantine_machine_faulty(const struct machine *machine) {
-    return quarantine_machine_failures(machine) >= FAULTY_JOBS;
+    return quarantine_machine_failures(machine) >= FAULTY_JOBS_MIN;
 }
 
 static void remember_failure(struct job *job, struct machine *machine) {
     if (!job->failed_on) job->failed_on = g_ptr_array_new_with_free_func(g_free);
-    if (!quarantine_failed_on(job, machine) && job->failed_on->len < EVIDENCE_MAX)
+    if (!quarantine_failed_on(job, machine) && job->failed_on->len < REMEMBERED_FAILURES_MAX)
         g_ptr_array_add(job->failed_on, g_strdup(machine->id));
     if (!machine->failed_jobs) machine->failed_jobs = g_ptr_array_new();
-    if (!g_ptr_array_find(machine->failed_jobs, job, NULL) && machine->failed_jobs->len < EVIDENCE_MAX)
+    if (!g_ptr_array_find(machine->failed_jobs, job, NULL) && machine->failed_jobs->len < REMEMBERED_FAILURES_MAX)
         g_ptr_array_add(machine->failed_jobs, job);
 }
 
 /* ---- retries ---- */
 
-static void retry_in(struct job *job, double pause_s) { job->retry_at = clock_now_plus(clock_from_seconds(pause_s)); }
+static void retry_in(struct job *job, double delay_s) { job->retry_at = clock_now_plus(clock_from_seconds(delay_s)); }
 
-/* A try may be one task or a whole gang, and a job's first failures come by the dozen: those that come while the job
- * waits already are of the same try. */
+/* Several tasks may fail in one try: all tasks of a gang, or the many tasks of a job that was not suspect yet. Failures
+ * that arrive while the job already waits for the next try belong to the same try. */
 static void count_failed_try(struct job *job) {
     bool waiting = clock_seconds_since(job->retry_at) < 0;
     if (quarantine_job_suspect(job) && waiting) return;
     job->failed_tries = MIN(job->failed_tries + 1, FAILED_TRIES_MAX);
-    double pause_s = quarantine_retry_s(job->failed_tries);
-    retry_in(job, pause_s);
-    chunks_mark_dirty(job, 0); /* the first record of its allocations holds the number of tries */
-    log_info("job %s: quarantined, fails on every machine, retrying in %.0f s", job->spec.job_id, pause_s);
+    double delay_s = quarantine_retry_delay_s(job->failed_tries);
+    retry_in(job, delay_s);
+    chunks_mark_dirty(job, 0); /* the first allocation record stores the number of failed tries */
+    log_info("job %s: quarantined, its tasks fail on every machine, next try in %.0f s", job->spec.job_id, delay_s);
 }
 
 void quarantine_record_failure(struct job *job, struct machine *machine) {
     remember_failure(job, machine);
     bool anything_done = job->n_reported_done > 0;
-    if (quarantine_job_suspect(job) || (job->failed_on->len >= SUSPECT_MACHINES && !anything_done)) {
+    if (quarantine_job_suspect(job) || (job->failed_on->len >= SUSPECT_MACHINES_MIN && !anything_done)) {
         count_failed_try(job);
     } else {
-        retry_in(job, SOUND_RETRY_S * job->failed_on->len);
+        retry_in(job, UNSUSPECTED_RETRY_DELAY_S * job->failed_on->len);
     }
 }
 
@@ -87,10 +87,10 @@
 
 /* ---- records ---- */
 
-int quarantine_recorded_tries(const struct job *job) { return job->state == JOB_QUEUED ? job->failed_tries : 0; }
+int quarantine_tries_to_record(const struct job *job) { return job->state == JOB_QUEUED ? job->failed_tries : 0; }
 
 void quarantine_restore(struct job *job, int recorded_tries) {
     job->failed_tries_recorded = CLAMP(recorded_tries, 0, FAILED_TRIES_MAX);
-    /* What its owner knows may be newer than what is on record; all others know no more than the record. */
+    /* The owner's own count may be newer than the record; other controllers only have the record. */
     if (!membership_owns(jobs_shard(job))) job->failed_tries = job->failed_tries_recorded;
 }
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -1,4 +1,4 @@
-/* Who is at fault when tasks fail: the job, the machine, or neither yet. */
+/* Tests whether the job, the machine or neither is found at fault when tasks fail. */
 #include "quarantine/quarantine.h"
 
 #include <glib.h>
@@ -23,42 +23,42 @@
 static struct machine *machines[MACHINES];
 static struct job *jobs[JOBS];
 
-static void begin(const char *shape, int tasks) {
+static void create_machines_and_jobs(const char *shape, int tasks) {
     char name[32];
     for (int i = 0; i < MACHINES; i++) {
         g_snprintf(name, sizeof name, "i-%06d", 500 + i);
         machines[i] = owned_machine(name, "za", false);
     }
     for (int i = 0; i < JOBS; i++) {
-        static int next = 600000;
-        g_snprintf(name, sizeof name, "req-%d", next++);
+        static int next_job_number = 600000;
+        g_snprintf(name, sizeof name, "req-%d", next_job_number++);
         jobs[i] = owned_job(name, shape, "high", tasks, 1, 1, false, true, 10);
     }
 }
 
-/* Each step is a job and a machine: "0a" is a failure of job 0 on machine a, "0+" a success of job 0. */
-static void evidence_tells_faulty_jobs_from_faulty_machines(void **state) {
+/* Each step names a job and a machine: "0a" is a failure of job 0 on machine a, "0+" a success of job 0. */
+static void failures_tell_suspect_jobs_from_faulty_machines(void **state) {
     (void)state;
     static const struct {
-        const char *what, *steps;
+        const char *description, *steps;
         bool suspect; /* job 0 */
         bool faulty;  /* machine a */
-        int failures; /* that count against machine a */
+        int failures; /* jobs whose failures count against machine a */
     } rows[] = {
         {"one failure", "0a", false, false, 1},
-        {"one job on one machine again and again", "0a 0a 0a", false, false, 1},
+        {"one job repeatedly on one machine", "0a 0a 0a", false, false, 1},
         {"one job on two machines", "0a 0b", true, false, 0},
         {"three jobs on one machine", "0a 1a 2a", false, true, 3},
-        {"two of them", "0a 1a", false, true, 2},
-        {"two of them, one of which fails elsewhere as well", "0a 1a 1b", false, false, 1},
-        {"both fail elsewhere as well", "0a 1a 1b 0c", true, false, 0},
-        {"a job that has completed a task is sound", "0a 0+ 0b", false, false, 1},
-        {"a suspect job that completes a task is sound again", "0a 0b 0+", false, false, 1},
-        {"and is suspect once more only by two more machines", "0a 0b 0+ 0c", false, false, 1},
+        {"two jobs on one machine", "0a 1a", false, true, 2},
+        {"two jobs on one machine, one of them also on another machine", "0a 1a 1b", false, false, 1},
+        {"two jobs on one machine, both also on other machines", "0a 1a 1b 0c", true, false, 0},
+        {"a job that has completed a task is not suspect", "0a 0+ 0b", false, false, 1},
+        {"a suspect job that completes a task is no longer suspect", "0a 0b 0+", false, false, 1},
+        {"it becomes suspect again only after failing on two more machines", "0a 0b 0+ 0c", false, false, 1},
     };
     store_lock();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        begin("batch", 5);
+        create_machines_and_jobs("batch", 5);
         for (const char *step = rows[i].steps; *step; step += strcspn(step, " "), step += strspn(step, " ")) {
             struct job *job = jobs[step[0] - '0'];
             if (step[1] == '+')
@@ -69,37 +69,38 @@
         bool suspect = quarantine_job_suspect(jobs[0]), faulty = quarantine_machine_faulty(machines[0]);
         int failures = quarantine_machine_failures(machines[0]);
         owned_clear();
-        if (suspect != rows[i].suspect) fail_msg("%s: suspect is %d", rows[i].what, suspect);
-        if (faulty != rows[i].faulty) fail_msg("%s: faulty is %d", rows[i].what, faulty);
-        if (failures != rows[i].failures) fail_msg("%s: %d against the machine", rows[i].what, failures);
+        if (suspect != rows[i].suspect) fail_msg("%s: suspect is %d", rows[i].description, suspect);
+        if (faulty != rows[i].faulty) fail_msg("%s: faulty is %d", rows[i].description, faulty);
+        if (failures != rows[i].failures)
+            fail_msg("%s: %d jobs count against the machine", rows[i].description, failures);
     }
     store_unlock();
 }
 
-static void pauses_grow_and_are_bounded(void **state) {
+static void retry_delays_grow_up_to_the_maximum(void **state) {
     (void)state;
-    double before = 0;
+    double previous_s = 0;
     for (int tries = 1; tries < 1000; tries++) {
-        double pause = quarantine_retry_s(tries);
-        assert_true(pause >= before && pause <= QUARANTINE_RETRY_MAX_S);
-        before = pause;
+        double delay_s = quarantine_retry_delay_s(tries);
+        assert_true(delay_s >= previous_s && delay_s <= QUARANTINE_RETRY_DELAY_MAX_S);
+        previous_s = delay_s;
     }
-    assert_true(before >= QUARANTINE_RETRY_MAX_S);
-    assert_true(quarantine_retry_s(1) <= 2);
+    assert_true(previous_s >= QUARANTINE_RETRY_DELAY_MAX_S);
+    assert_true(quarantine_retry_delay_s(1) <= 2);
 }
 
-/* A suspect job is tried with one task, after its pause, after all others, and nothing is rented or preempted for it.
- */
-static void suspect_is_tried_with_one_task(void **state) {
+/* A suspect job is retried with one task, only after its retry delay and only on room that other jobs leave, and it
+ * does not ask for machines. */
+static void suspect_job_is_retried_with_one_task(void **state) {
     (void)state;
     store_lock();
-    begin("batch", 30);
+    create_machines_and_jobs("batch", 30);
     for (int i = 0; i < MACHINES; i++) quarantine_record_failure(jobs[0], machines[i]);
     struct scheduling_round *waiting = scheduling_round_decide(0, 20);
     int planned_waiting = owned_planned_tasks(waiting, jobs[0]->spec.job_id);
     scheduling_round_free(waiting);
     jobs[0]->retry_at = clock_now();
-    /* The other two ask for more than there is: nothing is left for the suspect one, and it asks for no machine. */
+    /* The two other jobs need all the machines: the suspect job gets no task, and does not ask for a machine either. */
     struct scheduling_round *full = scheduling_round_decide(0, 20);
     int planned_full = owned_planned_tasks(full, jobs[0]->spec.job_id);
     bool unplaced = jobs[0]->unplaced;
@@ -116,12 +117,12 @@
     assert_int_equal(planned_tried, 1);
 }
 
-/* The record tells the next owner, also when nothing is allocated. The last of the tests: the shard is another's after
- * it. */
-static void count_survives_a_change_of_owner(void **state) {
+/* The next owner reads the number of failed tries from the allocation record, even if nothing is allocated. This must
+ * be the last test, because it gives the shard to another controller. */
+static void failed_tries_survive_a_change_of_owner(void **state) {
     (void)state;
     store_lock();
-    begin("batch", 30);
+    create_machines_and_jobs("batch", 30);
     struct job *job = jobs[0];
     quarantine_record_failure(job, machines[0]);
     assert_null(allocations_value(job, 0, chunks_size(job), NULL, ALLOCATIONS_OF_OPEN_JOB));
@@ -135,50 +136,52 @@
     store_apply(key.text, value, owned_next_revision());
     cJSON_Delete(value);
     assert_false(allocations_chunk_dirty(job, 0));
-    /* Another owner: all that it knows is the record. */
+    /* Once another controller owns the shard, this one only has the record. */
     owned_put("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":77}");
     job->failed_tries = 0;
     owned_put(key.text, "{\"e\":5}");
-    int read = job->failed_tries;
+    int after_read = job->failed_tries;
     owned_put(key.text, "{\"e\":-3}");
-    int damaged = job->failed_tries;
+    int after_invalid = job->failed_tries;
     owned_put(key.text, NULL);
-    int gone = job->failed_tries;
-    assert_int_equal(read, 5);
-    assert_int_equal(damaged, 0);
-    assert_int_equal(gone, 0);
+    int after_deletion = job->failed_tries;
+    assert_int_equal(after_read, 5);
+    assert_int_equal(after_invalid, 0);
+    assert_int_equal(after_deletion, 0);
     store_unlock();
 }
 
-/* A faulty machine gets no more work at once, and is returned unless the jobs soon prove to be at fault. */
+/* A faulty machine immediately gets no new tasks. It is returned a while later, unless its jobs turn out to be at
+ * fault. */
 static void faulty_machine_is_returned(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        bool elsewhere; /* both jobs fail on another machine, too */
+        const char *description;
+        bool both_jobs_fail_elsewhere; /* on a second machine */
         double faulty_s;
         bool schedulable, returned;
     } rows[] = {
-        {"just now", false, 0, false, false},
-        {"for a while", false, 10, false, true},
-        {"its jobs fail elsewhere as well", true, 10, true, false},
+        {"just became faulty", false, 0, false, false},
+        {"faulty for 10 s", false, 10, false, true},
+        {"its jobs also fail on another machine", true, 10, true, false},
     };
-    const struct liveness_summary all_heard = {.up = MACHINES, .heard = MACHINES};
+    const struct liveness_summary all_machines_heard = {.up = MACHINES, .heard = MACHINES};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         store_lock();
-        begin("batch", 5);
+        create_machines_and_jobs("batch", 5);
         for (int job = 0; job < 2; job++) quarantine_record_failure(jobs[job], machines[0]);
-        liveness_check_machines(0, &all_heard);
-        for (int job = 0; rows[i].elsewhere && job < 2; job++) quarantine_record_failure(jobs[job], machines[1]);
+        liveness_check_machines(0, &all_machines_heard);
+        for (int job = 0; rows[i].both_jobs_fail_elsewhere && job < 2; job++)
+            quarantine_record_failure(jobs[job], machines[1]);
         if (machines[0]->faulty_since.tv_sec) machines[0]->faulty_since.tv_sec -= (time_t)rows[i].faulty_s;
         placement_prepare_machines(0);
         bool schedulable = machines[0]->round.schedulable;
-        liveness_check_machines(0, &all_heard);
+        liveness_check_machines(0, &all_machines_heard);
         bool returned = machines[0]->retirement.return_wanted;
         owned_clear();
         store_unlock();
-        if (schedulable != rows[i].schedulable) fail_msg("%s: schedulable is %d", rows[i].what, schedulable);
-        if (returned != rows[i].returned) fail_msg("%s: returned is %d", rows[i].what, returned);
+        if (schedulable != rows[i].schedulable) fail_msg("%s: schedulable is %d", rows[i].description, schedulable);
+        if (returned != rows[i].returned) fail_msg("%s: returned is %d", rows[i].description, returned);
     }
 }
 
@@ -188,8 +191,8 @@
     owned_put_machine_type();
     store_unlock();
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(evidence_tells_faulty_jobs_from_faulty_machines),
-        cmocka_unit_test(pauses_grow_and_are_bounded), cmocka_unit_test(suspect_is_tried_with_one_task),
-        cmocka_unit_test(faulty_machine_is_returned), cmocka_unit_test(count_survives_a_change_of_owner)};
+        cmocka_unit_test(failures_tell_suspect_jobs_from_faulty_machines),
+        cmocka_unit_test(retry_delays_grow_up_to_the_maximum), cmocka_unit_test(suspect_job_is_retried_with_one_task),
+        cmocka_unit_test(faulty_machine_is_returned), cmocka_unit_test(failed_tries_survive_a_change_of_owner)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/scheduler/isolation.c
+++ b/src/scheduler/isolation.c
@@ -22,7 +22,7 @@
     double heartbeat_s = clock_to_seconds(scheduler_settings->heartbeat_interval);
     if (enough_workers_heard(summary) || !store_read_recently) watch->workers_last_heard = clock_now();
     bool isolated =
-        (store_read_recently && liveness_controller_isolated(summary->up, summary->newest_s, heartbeat_s)) ||
+        (store_read_recently && liveness_controller_isolated(summary->up, summary->shortest_silence_s, heartbeat_s)) ||
         clock_seconds_since(watch->workers_last_heard) > heartbeat_s;
     if (isolated && !membership_workers_unreachable()) membership_set_workers_unreachable(true);
 }
