--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -87,7 +87,7 @@
         store_lock();
         store_apply_committed(&attempt->txn, response->revision);
         store_unlock();
-        if (attempt->txn.writes) peers_hint();
+        if (attempt->txn.writes) peers_notify_store_change();
     } else if (attempt->result == STORE_CONFLICT) {
         for (guint i = 0; i < response->conflicts->len; i++) store_refresh(client, response->conflicts->pdata[i]);
     } else if (attempt->result == STORE_UNKNOWN) {
--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -26,7 +26,7 @@
  * taken for returned, such machines once ran tasks that were started elsewhere. It is returned by its name; the cloud's
  * answer proves that it is gone, and a name that it does not know is ignored. */
 static void add_unrecorded(struct return_list *list) {
-    if (schema_version_store_unreadable() || !membership_may_answer()) return;
+    if (schema_version_store_unreadable() || !membership_may_answer_workers()) return;
     for (guint i = 0; i < machines_all()->len && list->n < list->most; i++) {
         const struct machine *machine = machines_all()->pdata[i];
         if (!machines_unrecorded(machine)) continue;
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -270,7 +270,7 @@
 int scale_out_plan(struct rental_request *out, int most) {
     struct request_list list = {out, 0, most};
     for (int shard = 0; shard < settings->size; shard++) {
-        if (membership_owns(shard) && membership_may_answer() &&
+        if (membership_owns(shard) && membership_may_answer_workers() &&
             clock_seconds_since(shard_states[shard].owned_since) > OWNED_S)
             rent_for_shard(shard, &list);
     }
--- a/src/dependencies/cascade.c
+++ b/src/dependencies/cascade.c
@@ -133,7 +133,7 @@
         store_apply_committed(txn, response.revision);
         store_unlock();
         log_info("dependencies: %d jobs cancelled because a prerequisite was cancelled", n_jobs);
-        peers_hint();
+        peers_notify_store_change();
     } else if (result == STORE_CONFLICT) {
         for (guint i = 0; i < response.conflicts->len; i++) store_refresh(client, response.conflicts->pdata[i]);
     }
--- a/src/membership/leader_election.h
+++ b/src/membership/leader_election.h
@@ -1,11 +1,12 @@
-/* Which controller is the leader: the first that records itself while no live one is recorded. Used inside the package
- * only. */
+/* Election of the leader: while the leader record names no live controller, the first controller that writes itself
+ * into the record becomes the leader. Used inside the package only. */
 #ifndef FF_MEMBERSHIP_LEADER_ELECTION_H
 #define FF_MEMBERSHIP_LEADER_ELECTION_H
 #include <stdbool.h>
 
 #include "../store/store.h"
 
-/* With store_lock held: adds to the transaction that this controller becomes the leader; false if one is live. */
-bool leader_election_stand(struct store_txn *txn);
+/* Adds to the transaction that this controller becomes the leader. Returns false, and adds nothing, if there is a live
+ * leader. Called with store_lock held. */
+bool leader_election_campaign(struct store_txn *txn);
 #endif
--- a/src/membership/lease.h
+++ b/src/membership/lease.h
@@ -1,4 +1,5 @@
-/* The lease under which this controller is live: joining, renewing. Used by the membership thread only. */
+/* Takes and renews the lease of this controller. A controller is live as long as the record under its lease exists.
+ * Used by the membership thread only. */
 #ifndef FF_MEMBERSHIP_LEASE_H
 #define FF_MEMBERSHIP_LEASE_H
 #include <stdbool.h>
@@ -8,19 +9,20 @@
 #include "../settings/settings.h"
 #include "../store/store.h"
 
-/* Before the thread starts. The settings are kept. */
+/* Called before the thread starts. Keeps the pointer to the settings. */
 void lease_init(const struct settings *settings);
 
-/* Without store_lock; both block. Whether this controller holds a lease then. */
+/* Both functions block, are called without store_lock, and return whether this controller holds a lease afterwards. */
 
-/* Takes a lease and records this controller under it. */
+/* Requests a lease and writes the node record of this controller under it. */
 bool lease_join(struct http_client *client);
-/* Renews the lease when it is time. False: it has expired. */
+/* Renews the lease if a quarter of its duration has passed. Returns false if the lease has expired. */
 bool lease_renew_if_due(struct http_client *client);
 
-/* With or without store_lock. 0: none is held. */
+/* Returns the ID of the lease, or 0 if none is held. Called with or without store_lock. */
 int64_t lease_id(void);
 
-/* With store_lock held: adds this controller's record to the transaction; false if it is current. */
+/* Adds the node record of this controller to the transaction. Returns false, and adds nothing, if the record is up to
+ * date. Called with store_lock held. */
 bool lease_update_record(struct store_txn *txn);
 #endif
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -16,33 +16,34 @@
 #include "shard_assignment.h"
 
 enum { ANNOUNCEMENTS_MAX = 4 };
-static const double join_retry_s = 0.4, pause_after_change_s = 0.05, pause_s = 0.2;
+static const double join_retry_s = 0.4, pause_after_change_s = 0.05, idle_pause_s = 0.2;
 
 static struct {
-    membership_announcement list[ANNOUNCEMENTS_MAX];
-    int n;
+    membership_announcement callbacks[ANNOUNCEMENTS_MAX];
+    int n_callbacks;
 } announcements;
 
 void membership_add_announcement(membership_announcement announcement) {
-    g_assert(announcements.n < ANNOUNCEMENTS_MAX);
-    announcements.list[announcements.n++] = announcement;
+    g_assert(announcements.n_callbacks < ANNOUNCEMENTS_MAX);
+    announcements.callbacks[announcements.n_callbacks++] = announcement;
 }
 
 static bool add_announcement(struct store_txn *txn) {
-    for (int i = 0; i < announcements.n; i++)
-        if (announcements.list[i](txn)) return true;
+    for (int i = 0; i < announcements.n_callbacks; i++)
+        if (announcements.callbacks[i](txn)) return true;
     return false;
 }
 
 static bool assign_as_leader(struct store_txn *txn) {
-    return records_live_leader() == records_self() && shard_assignment_assign(txn);
+    return records_live_leader() == records_own_node() && shard_assignment_assign(txn);
 }
 
-/* Adds the most urgent change that is due to the transaction; false: there is none. With store_lock held. */
+/* Adds the most urgent change that is due to the transaction. Returns false if none is due. Called with store_lock
+ * held. */
 static bool add_next_change(struct store_txn *txn) {
-    if (schema_version_store_unreadable() || !store_synced() || !records_self()) return false;
+    if (schema_version_store_unreadable() || !store_synced() || !records_own_node()) return false;
     return shard_assignment_reclaim(txn) || add_announcement(txn) || lease_update_record(txn) ||
-           leader_election_stand(txn) || assign_as_leader(txn);
+           leader_election_campaign(txn) || assign_as_leader(txn);
 }
 
 static void send_change(struct http_client *client, struct store_txn *txn) {
@@ -59,7 +60,7 @@
     store_wake_watch();
 }
 
-/* Whether a change was due. */
+/* Sends the most urgent change that is due. Returns false if none is due. */
 static bool make_next_change(struct http_client *client) {
     struct store_txn txn;
     store_txn_init(&txn);
@@ -78,8 +79,8 @@
         while (!lease_join(client)) clock_sleep(clock_from_seconds(join_retry_s));
         while (lease_renew_if_due(client)) {
             reachability_probe_if_due(client);
-            bool changed = make_next_change(client);
-            clock_sleep(clock_from_seconds(changed ? pause_after_change_s : pause_s));
+            bool change_sent = make_next_change(client);
+            clock_sleep(clock_from_seconds(change_sent ? pause_after_change_s : idle_pause_s));
         }
     }
     return NULL;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,9 +1,10 @@
-/* Membership: which controllers are live, which of them leads, and which owns which shard.
+/* Membership: the live controllers, the leader among them, and the owner of each shard.
  *
- * A controller joins with a record under a lease (lease.c); one live controller is the leader (leader_election.c); the
- * leader assigns the shards, moving the fencing counter each time (shard_assignment.c). All of that is read from the
- * store's records (records.c). What an owner may do with its shards depends on how recent its last read of the store is
- * (read_validity.c), and on whether it reaches the workers (reachability.c). */
+ * A controller joins by writing a record under a lease (lease.c). One live controller is the leader
+ * (leader_election.c). The leader assigns the shards and increments the fencing counter with each assignment
+ * (shard_assignment.c). This state is read from the store's records (records.c). What an owner may do with its shards
+ * depends on the age of its last read of the store (read_validity.c) and on whether the workers are reachable
+ * (reachability.c). */
 #ifndef FF_MEMBERSHIP_H
 #define FF_MEMBERSHIP_H
 #include <stdbool.h>
@@ -22,64 +23,73 @@
     MEMBERSHIP_SHARDS_MAX = 64
 };
 
-/* The record of a shard. */
+/* The assignment of a shard, as its record in the store describes it. */
 struct shard {
-    char owner[MEMBERSHIP_NAME_BYTES];              /* empty: nobody */
-    char incarnation[MEMBERSHIP_INCARNATION_BYTES]; /* of the owner: which start of its process */
+    char owner[MEMBERSHIP_NAME_BYTES];              /* name of a controller; empty: the shard has no owner */
+    char incarnation[MEMBERSHIP_INCARNATION_BYTES]; /* identifies one start of the owner's process */
     int64_t mod_revision;                           /* 0: no record */
     int64_t fencing_token;
-    struct timespec owner_changed; /* when this controller learned of the present owner */
+    struct timespec owner_changed_at; /* when this controller read the current owner for the first time */
 };
 
-/* Once each, from the program's main thread, before any other thread. The settings are kept. */
+/* Each is called once, from the program's main thread, before any other thread starts. Keeps the pointer to the
+ * settings. */
 void membership_init(const struct settings *settings);
 void membership_start(void);
 
-/* What else this controller records of itself: each is asked in the order of registration, with store_lock held, and
- * adds its record to the transaction, or returns false where it has nothing to write. Before membership_start. */
+/* Adds another record of this controller to the transaction, or returns false if there is nothing to write. The
+ * announcements are called in the order of their registration, with store_lock held, until one returns true. They are
+ * registered before membership_start. */
 typedef bool (*membership_announcement)(struct store_txn *txn);
 void membership_add_announcement(membership_announcement announcement);
-/* Whether one of a few workers answers: asked without store_lock while the workers are unreachable. */
+/* Sends requests to a few workers and returns whether one of them answers. Called without store_lock, while the workers
+ * are marked as unreachable. */
 typedef bool (*membership_worker_probe)(struct http_client *client);
 void membership_set_worker_probe(membership_worker_probe probe);
 
-/* From any thread, with store_lock held. */
+/* The functions below may be called from any thread, with store_lock held. */
 
-/* The pointer stays good; what it points to may change once the lock is released. */
+/* The pointer stays valid, but the shard may change when the lock is released. */
 const struct shard *membership_shard(int shard);
-/* Whether this start of this controller owns the shard, and the mirror holds all that the former owner wrote. */
+/* Returns whether this incarnation of this controller owns the shard and the mirror holds everything that the previous
+ * owner wrote. */
 bool membership_owns(int shard);
-/* Whether this controller is the leader. */
+/* Returns whether this incarnation of this controller is the leader. */
 bool membership_is_leader(void);
-/* How many controllers are live; at least 1. */
+/* Returns the number of live controllers, at least 1. */
 int membership_live_controllers(void);
-/* The fencing counter as mirrored. */
-int64_t membership_fencing_token(void);
+/* Returns the fencing counter in the mirror. */
+int64_t membership_fencing_counter(void);
 
-/* For how many seconds a read of the store entitles to answer workers. */
+/* Returns for how many seconds after a read of the store this controller may answer workers. */
 double membership_read_validity_s(void);
-/* Whether the last read is recent enough to answer workers: a cancellation that was acknowledged elsewhere since is
- * still kept in time. */
-bool membership_may_answer(void);
-/* Whether it is recent enough to start tasks: few can have been cancelled elsewhere since. */
+/* Returns whether the last read is recent enough to answer workers: a cancellation that another controller has
+ * acknowledged since still takes effect in time. */
+bool membership_may_answer_workers(void);
+/* Returns whether the last read is recent enough to start tasks: few of them can have been cancelled through other
+ * controllers since. */
 bool membership_may_start_tasks(void);
 
-/* A controller that the workers no longer reach says so in its record; its shards go to those that they may reach. */
+/* Marks the workers as unreachable or reachable. The node record of a controller contains this mark, and the leader
+ * moves the shards of a marked controller to controllers that can reach workers. */
 void membership_set_workers_unreachable(bool unreachable);
 bool membership_workers_unreachable(void);
 
-/* From any thread, with or without the lock. */
+/* The functions below may be called from any thread, with or without store_lock. */
 
-/* Identifies this start of this controller. */
+/* Returns the identifier of this start of this controller. */
 const char *membership_incarnation(void);
 
-/* The JSON of a shard's record; the caller owns it. */
+/* Returns the JSON of a shard's record; the caller owns it. */
 cJSON *membership_shard_value(const char *owner, const char *incarnation, int64_t fencing_token);
-/* Pure: for how many seconds a controller that has lost the workers so many times in a row waits before it probes. */
-double membership_workers_retry_s(int times_unreachable);
-/* Pure: the part of the store's changes, from 0 to 1, that is due to a controller that owns so many shards of size. */
-double membership_write_fraction(int live, int size, int owned);
-/* Pure: the shard to assign next and to which node, so that the numbers of owned shards differ by one at most. owner:
- * for each shard the node's index, or -1 for nobody. -1: nothing to assign. */
-int membership_plan_assignment(int size, const int *owner, int nodes, int *to);
+/* Returns how many seconds a controller waits before it probes the workers, after it has lost them this many times in a
+ * row. Pure. */
+double membership_worker_probe_delay_s(int consecutive_losses);
+/* Returns the fraction (0 to 1) of the store's write rate that a controller may use if it owns n_owned of n_shards
+ * shards and n_live controllers are live. Pure. */
+double membership_write_fraction(int n_live, int n_shards, int n_owned);
+/* Returns the shard to assign next and sets *new_owner to the index of its new owner; returns -1 if there is nothing to
+ * assign. Shards without an owner come first; then shards are moved until the numbers of shards per node differ by at
+ * most one. owners has the index of the owning node of each shard, or -1 if the shard has no owner. Pure. */
+int membership_plan_assignment(int n_shards, const int *owners, int n_nodes, int *new_owner);
 #endif
--- a/src/membership/reachability.c
+++ b/src/membership/reachability.c
@@ -9,41 +9,42 @@
 #include "../store/store.h"
 #include "membership.h"
 
-static const double retry_s = 15.0, retry_max_s = 120.0;
+static const double first_probe_delay_s = 15.0, probe_delay_max_s = 120.0;
 
 static struct {
     bool unreachable;
-    struct timespec changed;
-    int times_unreachable; /* in a row, each soon after the last */
+    struct timespec changed_at; /* when `unreachable` last changed */
+    int consecutive_losses;     /* in a row, each soon after the workers were reachable again */
     membership_worker_probe probe;
 } workers;
 
 void membership_set_worker_probe(membership_worker_probe probe) { workers.probe = probe; }
 bool membership_workers_unreachable(void) { return workers.unreachable; }
 
-double membership_workers_retry_s(int times_unreachable) {
-    double wait_s = retry_s;
-    for (int i = 1; i < times_unreachable && wait_s < retry_max_s; i++) wait_s *= 2;
-    return MIN(wait_s, retry_max_s);
+double membership_worker_probe_delay_s(int consecutive_losses) {
+    double delay_s = first_probe_delay_s;
+    for (int i = 1; i < consecutive_losses && delay_s < probe_delay_max_s; i++) delay_s *= 2;
+    return MIN(delay_s, probe_delay_max_s);
 }
 
 void membership_set_workers_unreachable(bool unreachable) {
     if (unreachable == workers.unreachable) return;
     workers.unreachable = unreachable;
-    /* Where it can ask workers, and their heartbeats can't reach it, it takes them for back each time: the shards must
-     * not move to and fro with that. */
+    /* If this controller can reach the workers but their heartbeats can't reach it, every probe succeeds and the
+     * workers are soon lost again. The growing delay keeps the shards from moving back and forth each time. */
     if (unreachable) {
-        bool soon = clock_seconds_since(workers.changed) < 2 * retry_max_s;
-        workers.times_unreachable = soon ? workers.times_unreachable + 1 : 1;
+        bool lost_again_soon = clock_seconds_since(workers.changed_at) < 2 * probe_delay_max_s;
+        workers.consecutive_losses = lost_again_soon ? workers.consecutive_losses + 1 : 1;
     }
-    workers.changed = clock_now();
-    log_info(unreachable ? "isolated from most workers: releasing our shards" : "workers are reachable again");
+    workers.changed_at = clock_now();
+    log_info(unreachable ? "most workers are unreachable, releasing the shards of this controller"
+                         : "workers are reachable again");
 }
 
 void reachability_probe_if_due(struct http_client *client) {
     store_lock();
     bool due = workers.unreachable &&
-               clock_seconds_since(workers.changed) > membership_workers_retry_s(workers.times_unreachable);
+               clock_seconds_since(workers.changed_at) > membership_worker_probe_delay_s(workers.consecutive_losses);
     store_unlock();
     if (!due || !workers.probe || !workers.probe(client)) return;
     store_lock();
--- a/src/membership/reachability.h
+++ b/src/membership/reachability.h
@@ -1,9 +1,10 @@
-/* Whether the workers reach this controller. The other functions are in membership.h. Used inside the package only. */
+/* Tracks whether the workers can reach this controller. The other functions are declared in membership.h. Used inside
+ * the package only. */
 #ifndef FF_MEMBERSHIP_REACHABILITY_H
 #define FF_MEMBERSHIP_REACHABILITY_H
 #include "../http/client.h"
 
-/* While the workers are unreachable: asks a few of them whether they are back, when it is time. By the membership
- * thread, without store_lock; blocks. */
+/* While the workers are marked as unreachable, probes a few of them after the delay of membership_worker_probe_delay_s,
+ * and marks them as reachable if one answers. Blocks; called by the membership thread, without store_lock. */
 void reachability_probe_if_due(struct http_client *client);
 #endif
--- a/src/membership/read_validity.c
+++ b/src/membership/read_validity.c
@@ -11,26 +11,28 @@
 
 void read_validity_init(const struct settings *settings) { cfg = settings; }
 
-/* A cancellation that another controller acknowledged after our last read must be kept within cancel_s. A heartbeat
- * that we answer keeps the machine's tasks alive for lease_s more, counted from when it was sent, which is before we
- * answer it. So the last answer may go out until
+/* A cancellation that another controller acknowledged after this controller's last read must take effect within
+ * cancel_s. A heartbeat that this controller answers keeps the machine's tasks alive for lease_s, counted from when the
+ * heartbeat was sent, which is before the answer. So this controller may send its last answer at
  *
  *     cancel_s - lease_s - margin
  *
- * after the read was sent. The margin covers the drift of both clocks, twice, and the steps of timers: half a second,
- * or a tenth of the room where that is less, and 0.002 of cancel_s. It is no larger, since a zone that is cut off runs
- * on by it. */
+ * after it sent the read. The margin covers twice the drift of both clocks and the resolution of timers. It is 0.5 s,
+ * or a tenth of cancel_s - lease_s if that is less, plus 0.002 of cancel_s. It is no larger, because it shortens the
+ * time for which a zone that is cut off from the store can keep its tasks running. */
 double membership_read_validity_s(void) {
-    static const double margin_max_s = 0.5, margin_part_of_room = 0.1;
-    static const double margin_part_of_cancel = 0.002;
-    double room = clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease);
-    return room - MIN(margin_max_s, room * margin_part_of_room) - margin_part_of_cancel * clock_to_seconds(cfg->cancel);
+    static const double timer_margin_max_s = 0.5, timer_margin_fraction = 0.1;
+    static const double drift_margin_fraction = 0.002;
+    double validity_without_margin_s = clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease);
+    return validity_without_margin_s - MIN(timer_margin_max_s, validity_without_margin_s * timer_margin_fraction) -
+           drift_margin_fraction * clock_to_seconds(cfg->cancel);
 }
 
-bool membership_may_answer(void) {
-    return store_synced() && clock_seconds_since(store_last_read()) < membership_read_validity_s();
+bool membership_may_answer_workers(void) {
+    return store_synced() && clock_seconds_since(store_last_read_sent()) < membership_read_validity_s();
 }
 
-/* An owner that the store refuses alone went on starting what it had allocated for as long as it may answer workers, 24
- * s, while others had acknowledged cancellations. A start needs the read that a store in reach always gives. */
-bool membership_may_start_tasks(void) { return membership_may_answer() && !store_unreachable(); }
+/* Starting tasks needs a more recent read than answering workers. An owner that the store rejected, while it served the
+ * other controllers, kept starting allocated tasks for the whole read validity of 24 s, although the others had
+ * acknowledged cancellations. A reachable store always provides a read that is recent enough. */
+bool membership_may_start_tasks(void) { return membership_may_answer_workers() && !store_unreachable(); }
--- a/src/membership/records.c
+++ b/src/membership/records.c
@@ -21,28 +21,28 @@
 } records;
 static char own_incarnation[MEMBERSHIP_INCARNATION_BYTES];
 
-/* ---- what the records say ---- */
+/* ---- queries ---- */
 
 const struct shard *membership_shard(int shard) { return &records.shards[shard]; }
-int64_t membership_fencing_token(void) { return records.fencing_counter; }
+int64_t membership_fencing_counter(void) { return records.fencing_counter; }
 const char *membership_incarnation(void) { return own_incarnation; }
 
-static bool names_self(const char *node, const char *incarnation) {
+static bool is_this_incarnation(const char *node, const char *incarnation) {
     return strcmp(node, cfg->node) == 0 && strcmp(incarnation, own_incarnation) == 0;
 }
 
 bool membership_owns(int shard) {
     const struct shard *record = &records.shards[shard];
-    return store_synced() && record->mod_revision && names_self(record->owner, record->incarnation) &&
+    return store_synced() && record->mod_revision && is_this_incarnation(record->owner, record->incarnation) &&
            store_revision() >= record->mod_revision;
 }
 
-bool membership_is_leader(void) { return names_self(records.leader, records.leader_incarnation); }
+bool membership_is_leader(void) { return is_this_incarnation(records.leader, records.leader_incarnation); }
 
 int membership_live_controllers(void) {
-    int live = 0;
-    for (int i = 0; i < records.n_nodes; i++) live += records.nodes[i].live;
-    return MAX(live, 1);
+    int n_live = 0;
+    for (int i = 0; i < records.n_nodes; i++) n_live += records.nodes[i].live;
+    return MAX(n_live, 1);
 }
 
 int records_node_count(void) { return records.n_nodes; }
@@ -56,27 +56,28 @@
 
 const struct node *records_find_node(const char *name) { return *name ? find_node(name) : NULL; }
 
-const struct node *records_self(void) {
+const struct node *records_own_node(void) {
     const struct node *node = find_node(cfg->node);
     return node && node->live && strcmp(node->incarnation, own_incarnation) == 0 ? node : NULL;
 }
 
-const struct node *records_named_leader(void) { return records_find_node(records.leader); }
+const struct node *records_recorded_leader(void) { return records_find_node(records.leader); }
 
 const struct node *records_live_leader(void) {
-    const struct node *leader = records_named_leader();
+    const struct node *leader = records_recorded_leader();
     return leader && leader->live && strcmp(leader->incarnation, records.leader_incarnation) == 0 ? leader : NULL;
 }
 
 /* ---- JSON ---- */
 
-/* Copies a member's text, or the empty text where there is none; whether it differs from what was there. */
-static bool read_text(const cJSON *data, const char *name, char *text, size_t n) {
-    const char *read = json_get_string(data, name);
-    if (!read) read = "";
-    bool differs = strcmp(text, read) != 0;
-    g_strlcpy(text, read, n);
-    return differs;
+/* Copies a string member of the JSON into the buffer, or an empty string if there is none. Returns whether the buffer's
+ * text has changed. */
+static bool read_string(const cJSON *data, const char *member, char *buffer, size_t n) {
+    const char *text = json_get_string(data, member);
+    if (!text) text = "";
+    bool changed = strcmp(buffer, text) != 0;
+    g_strlcpy(buffer, text, n);
+    return changed;
 }
 
 cJSON *records_node_value(bool workers_unreachable) {
@@ -101,19 +102,21 @@
     return value;
 }
 
-void records_require_self(struct store_txn *txn) {
+void records_compare_own_node(struct store_txn *txn) {
     struct store_key key = store_key_node(cfg->node);
     store_txn_compare(txn, key.text, store_key_revision(key.text));
 }
 
 /* ---- observers ---- */
 
-/* This controller's part of the rate budget follows the live controllers and its shards. */
-static void update_budget(void) {
-    int owned = 0;
-    for (int i = 0; i < cfg->size; i++) owned += names_self(records.shards[i].owner, records.shards[i].incarnation);
-    int live = membership_live_controllers();
-    store_budget_set_fraction(live, membership_write_fraction(live, cfg->size, owned));
+/* Updates the fraction of the store's write rate that this controller may use, after the live controllers or the owned
+ * shards have changed. */
+static void update_write_fraction(void) {
+    int n_owned = 0;
+    for (int i = 0; i < cfg->size; i++)
+        n_owned += is_this_incarnation(records.shards[i].owner, records.shards[i].incarnation);
+    int n_live = membership_live_controllers();
+    store_budget_set_change_fraction(n_live, membership_write_fraction(n_live, cfg->size, n_owned));
 }
 
 static struct node *find_or_add_node(const char *name) {
@@ -127,41 +130,41 @@
 static void apply_node(const char *name, const cJSON *data, int64_t mod_revision) {
     struct node *node = find_or_add_node(name);
     if (!node) return;
-    bool restarted = read_text(data, "inc", node->incarnation, sizeof node->incarnation);
-    if (data && (!node->live || restarted)) node->since = clock_now();
+    bool new_incarnation = read_string(data, "inc", node->incarnation, sizeof node->incarnation);
+    if (data && (!node->live || new_incarnation)) node->live_since = clock_now();
     if (!data && node->live) log_info("controller %s: lease expired", name);
     node->live = data != NULL;
     node->mod_revision = data ? mod_revision : 0;
     node->workers_unreachable = json_get_bool(data, "deaf");
-    update_budget();
+    update_write_fraction();
 }
 
-static void apply_leader(const char *rest, const cJSON *data, int64_t mod_revision) {
+static void apply_leader(const char *key_suffix, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
-    if (*rest) return;
-    read_text(data, "node", records.leader, sizeof records.leader);
-    read_text(data, "inc", records.leader_incarnation, sizeof records.leader_incarnation);
+    if (*key_suffix) return;
+    read_string(data, "node", records.leader, sizeof records.leader);
+    read_string(data, "inc", records.leader_incarnation, sizeof records.leader_incarnation);
 }
 
-static void apply_fencing_counter(const char *rest, const cJSON *data, int64_t mod_revision) {
+static void apply_fencing_counter(const char *key_suffix, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
-    if (*rest == 0 && cJSON_IsNumber(data)) records.fencing_counter = (int64_t)data->valuedouble;
+    if (*key_suffix == 0 && cJSON_IsNumber(data)) records.fencing_counter = (int64_t)data->valuedouble;
 }
 
-static void apply_shard(const char *rest, const cJSON *data, int64_t mod_revision) {
-    int index = (int)g_ascii_strtoll(rest, NULL, 10);
+static void apply_shard(const char *key_suffix, const cJSON *data, int64_t mod_revision) {
+    int index = (int)g_ascii_strtoll(key_suffix, NULL, 10);
     if (index < 0 || index >= MEMBERSHIP_SHARDS_MAX) return;
     struct shard *shard = &records.shards[index];
-    bool other_owner = read_text(data, "owner", shard->owner, sizeof shard->owner);
-    bool other_incarnation = read_text(data, "inc", shard->incarnation, sizeof shard->incarnation);
-    if (other_owner || other_incarnation) {
+    bool new_owner = read_string(data, "owner", shard->owner, sizeof shard->owner);
+    bool new_incarnation = read_string(data, "inc", shard->incarnation, sizeof shard->incarnation);
+    if (new_owner || new_incarnation) {
         const char *owner = json_get_string(data, "owner");
-        shard->owner_changed = clock_now();
-        log_info("shard %d: owner %s", index, owner ? owner : "nobody");
+        shard->owner_changed_at = clock_now();
+        log_info("shard %d: the owner is now %s", index, owner ? owner : "nobody");
     }
     shard->mod_revision = data ? mod_revision : 0;
     if (!json_get_int64(data, "fence", &shard->fencing_token)) shard->fencing_token = 0;
-    update_budget();
+    update_write_fraction();
 }
 
 void records_init(const struct settings *settings) {
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -1,6 +1,7 @@
-/* The records of membership as the mirror holds them, and their JSON. Used inside the package only.
+/* The membership records in the mirror (nodes, leader, shards, fencing counter) and their JSON. Used inside the package
+ * only.
  *
- * With store_lock held, all but records_init. */
+ * All functions but records_init are called with store_lock held. */
 #ifndef FF_MEMBERSHIP_RECORDS_H
 #define FF_MEMBERSHIP_RECORDS_H
 #include <stdbool.h>
@@ -10,33 +11,34 @@
 #include "../json/json.h"
 #include "membership.h"
 
-/* A controller that has, or once had, a record. */
+/* A controller that has a node record, or has had one. */
 struct node {
     char name[MEMBERSHIP_NAME_BYTES];
     char incarnation[MEMBERSHIP_INCARNATION_BYTES];
-    int64_t mod_revision;  /* 0: no record */
-    struct timespec since; /* when this incarnation was first seen live */
+    int64_t mod_revision;       /* 0: no record */
+    struct timespec live_since; /* when this controller first saw this incarnation live */
     bool live, workers_unreachable;
 };
 
-/* Before the threads start: draws the incarnation and registers the observers. The settings are kept. */
+/* Generates the incarnation of this controller and registers the observers of the records. Called before the threads
+ * start. Keeps the pointer to the settings. */
 void records_init(const struct settings *settings);
 
-/* The nodes in the order in which they were first seen; the pointers stay good. */
+/* The nodes are in the order in which their records were first read. Pointers to them stay valid. */
 int records_node_count(void);
 const struct node *records_node(int index);
-/* NULL: there never was one, or the name is empty. */
+/* Returns NULL if no node of that name has ever had a record, or if the name is empty. */
 const struct node *records_find_node(const char *name);
-/* This controller's node if its record is of this incarnation, else NULL. */
-const struct node *records_self(void);
-/* The node of the leader if the leader's record is of its present incarnation and it is live, else NULL. */
+/* Returns the node of this controller if it is live and its record is of this incarnation, else NULL. */
+const struct node *records_own_node(void);
+/* Returns the node of the leader if it is live and the leader record contains its current incarnation, else NULL. */
 const struct node *records_live_leader(void);
-/* The node that the leader's record names, live or not; NULL: none. */
-const struct node *records_named_leader(void);
+/* Returns the node in the leader record, live or not, or NULL if there is none. */
+const struct node *records_recorded_leader(void);
 
-/* What is to be written; the caller owns it. */
+/* Return the JSON of the records of this controller as a node and as the leader; the caller owns it. */
 cJSON *records_node_value(bool workers_unreachable);
 cJSON *records_leader_value(void);
-/* Makes a transaction conditional on this controller's record. */
-void records_require_self(struct store_txn *txn);
+/* Makes the transaction conditional on the node record of this controller being unchanged. */
+void records_compare_own_node(struct store_txn *txn);
 #endif
--- a/src/membership/shard_assignment.c
+++ b/src/membership/shard_assignment.c
@@ -11,68 +11,69 @@
 #include "membership.h"
 #include "records.h"
 
-enum { NOBODY = -1, NO_SHARD = -1 };
+enum { NO_OWNER = -1, NO_SHARD = -1 };
 
 static const struct settings *cfg;
 
 void shard_assignment_init(const struct settings *settings) { cfg = settings; }
 
-double membership_write_fraction(int live, int size, int owned) {
-    /* Changes go with shards, but for the jobs that any controller accepts: one that came back and owns nothing yet
-     * once held a third of them, while an owner of two shards wrote for 13 s what it knew after a cut. */
-    const double accepts = 0.25;
-    return (accepts + owned) / (accepts * MAX(live, 1) + size);
+double membership_write_fraction(int n_live, int n_shards, int n_owned) {
+    /* Most changes concern the shards that a controller owns; any controller also accepts jobs. An equal division gave
+     * a third of the rate to a restarted controller without shards, while an owner of two shards took 13 s to write its
+     * backlog after a network partition. */
+    const double accepting_jobs_weight = 0.25; /* relative to owning one shard */
+    return (accepting_jobs_weight + n_owned) / (accepting_jobs_weight * MAX(n_live, 1) + n_shards);
 }
 
-int membership_plan_assignment(int size, const int *owner, int nodes, int *to) {
-    int owned[MEMBERSHIP_NODES_MAX] = {0}, least = 0, most = 0;
-    if (nodes <= 0) return NO_SHARD;
-    for (int i = 0; i < size; i++)
-        if (owner[i] >= 0) owned[owner[i]]++;
-    for (int i = 1; i < nodes; i++) {
-        if (owned[i] < owned[least]) least = i;
-        if (owned[i] > owned[most]) most = i;
+int membership_plan_assignment(int n_shards, const int *owners, int n_nodes, int *new_owner) {
+    int n_owned[MEMBERSHIP_NODES_MAX] = {0}, least_loaded = 0, most_loaded = 0;
+    if (n_nodes <= 0) return NO_SHARD;
+    for (int i = 0; i < n_shards; i++)
+        if (owners[i] >= 0) n_owned[owners[i]]++;
+    for (int i = 1; i < n_nodes; i++) {
+        if (n_owned[i] < n_owned[least_loaded]) least_loaded = i;
+        if (n_owned[i] > n_owned[most_loaded]) most_loaded = i;
     }
-    *to = least;
-    for (int i = 0; i < size; i++)
-        if (owner[i] < 0) return i;
-    if (owned[most] - owned[least] < 2) return NO_SHARD;
-    for (int i = 0; i < size; i++)
-        if (owner[i] == most) return i;
+    *new_owner = least_loaded;
+    for (int i = 0; i < n_shards; i++)
+        if (owners[i] < 0) return i;
+    if (n_owned[most_loaded] - n_owned[least_loaded] < 2) return NO_SHARD;
+    for (int i = 0; i < n_shards; i++)
+        if (owners[i] == most_loaded) return i;
     return NO_SHARD;
 }
 
-/* Gives a shard to a node, and moves the fencing counter. */
-static void add_assignment(struct store_txn *txn, int shard, const struct node *to) {
+/* Adds to the transaction that the node owns the shard, and that the fencing counter is incremented. */
+static void add_assignment(struct store_txn *txn, int shard, const struct node *new_owner) {
     struct store_key key = store_key_shard(shard);
-    int64_t fencing_token = membership_fencing_token() + 1;
+    int64_t fencing_token = membership_fencing_counter() + 1;
     store_txn_compare(txn, key.text, membership_shard(shard)->mod_revision);
-    store_txn_put(txn, key.text, membership_shard_value(to->name, to->incarnation, fencing_token), 0);
+    store_txn_put(txn, key.text, membership_shard_value(new_owner->name, new_owner->incarnation, fencing_token), 0);
     store_txn_compare(txn, STORE_KEY_FENCING_COUNTER, store_key_revision(STORE_KEY_FENCING_COUNTER));
     store_txn_put(txn, STORE_KEY_FENCING_COUNTER, cJSON_CreateNumber((double)fencing_token), 0);
-    store_txn_compare(txn, store_key_node(to->name).text, to->mod_revision);
-    records_require_self(txn);
+    store_txn_compare(txn, store_key_node(new_owner->name).text, new_owner->mod_revision);
+    records_compare_own_node(txn);
 }
 
 bool shard_assignment_reclaim(struct store_txn *txn) {
     for (int i = 0; i < cfg->size; i++) {
         const struct shard *shard = membership_shard(i);
         if (strcmp(shard->owner, cfg->node) != 0 || strcmp(shard->incarnation, membership_incarnation()) == 0) continue;
-        add_assignment(txn, i, records_self());
+        add_assignment(txn, i, records_own_node());
         return true;
     }
     return false;
 }
 
-/* The nodes that may own shards, and which of them owns which; what is not listed owns nothing. */
+/* The nodes that are eligible to own shards, and the eligible owner of each shard. */
 struct ownership {
     const struct node *nodes[MEMBERSHIP_NODES_MAX];
     int n_nodes;
-    int owner[MEMBERSHIP_SHARDS_MAX]; /* an index of nodes, or NOBODY */
-    bool orphans;                     /* a shard has no owner */
+    int owners[MEMBERSHIP_SHARDS_MAX]; /* index in nodes, or NO_OWNER */
+    bool has_orphans;                  /* at least one shard has no eligible owner */
 };
 
-/* The live nodes; of these only such as reach the workers, where there are any. */
+/* Lists the live nodes that can reach the workers, or all live nodes if none can. */
 static void list_eligible(struct ownership *ownership) {
     bool any_reaches_workers = false;
     for (int i = 0; i < records_node_count(); i++)
@@ -87,37 +88,39 @@
 static int eligible_index(const struct ownership *ownership, const struct node *node) {
     for (int i = 0; i < ownership->n_nodes; i++)
         if (ownership->nodes[i] == node) return i;
-    return NOBODY;
+    return NO_OWNER;
 }
 
 static void list_owners(struct ownership *ownership) {
     for (int i = 0; i < cfg->size; i++) {
         const struct node *owner = records_find_node(membership_shard(i)->owner);
-        ownership->owner[i] = eligible_index(ownership, owner);
-        if (ownership->owner[i] == NOBODY) ownership->orphans = true;
+        ownership->owners[i] = eligible_index(ownership, owner);
+        if (ownership->owners[i] == NO_OWNER) ownership->has_orphans = true;
     }
 }
 
-/* A planned shift waits until the controller has stayed a while, so that shards don't flap with it, and until what
- * brought the controller has passed: a new owner has to ask all machines anew. */
-static bool settled(const struct node *to, const struct shard *shard) {
+/* Returns whether a shard may move to balance the load: the new owner has been live, and the shard's owner unchanged,
+ * for half of lease_s. This keeps shards from flapping when a controller comes and goes, and lets the restart or
+ * recovery that brought the controller back finish first, since a new owner has to query all machines again. */
+static bool may_move_for_balance(const struct node *new_owner, const struct shard *shard) {
     double wait_s = clock_to_seconds(cfg->lease) / 2;
-    return clock_seconds_since(to->since) >= wait_s && clock_seconds_since(shard->owner_changed) >= wait_s;
+    return clock_seconds_since(new_owner->live_since) >= wait_s &&
+           clock_seconds_since(shard->owner_changed_at) >= wait_s;
 }
 
 bool shard_assignment_assign(struct store_txn *txn) {
     struct ownership ownership = {0};
-    int to = 0;
+    int new_owner_index = 0;
     list_eligible(&ownership);
     list_owners(&ownership);
-    int index = membership_plan_assignment(cfg->size, ownership.owner, ownership.n_nodes, &to);
+    int index = membership_plan_assignment(cfg->size, ownership.owners, ownership.n_nodes, &new_owner_index);
     if (index == NO_SHARD) return false;
     const struct shard *shard = membership_shard(index);
-    const struct node *target = ownership.nodes[to], *former = records_find_node(shard->owner);
-    if (!ownership.orphans && !settled(target, shard)) return false;
-    if (ownership.orphans && shard->owner[0] && !(former && former->live))
+    const struct node *new_owner = ownership.nodes[new_owner_index], *previous_owner = records_find_node(shard->owner);
+    if (!ownership.has_orphans && !may_move_for_balance(new_owner, shard)) return false;
+    if (ownership.has_orphans && shard->owner[0] && !(previous_owner && previous_owner->live))
         store_txn_compare(txn, store_key_node(shard->owner).text, 0);
-    add_assignment(txn, index, target);
-    log_info("shard %d: assigning it to %s", index, target->name);
+    add_assignment(txn, index, new_owner);
+    log_info("shard %d: assigning to %s", index, new_owner->name);
     return true;
 }
--- a/src/membership/shard_assignment.h
+++ b/src/membership/shard_assignment.h
@@ -1,4 +1,5 @@
-/* Who owns which shard. Each change moves the fencing counter. Used inside the package only. */
+/* Assignment of the shards to controllers. Each assignment increments the fencing counter. Used inside the package
+ * only. */
 #ifndef FF_MEMBERSHIP_SHARD_ASSIGNMENT_H
 #define FF_MEMBERSHIP_SHARD_ASSIGNMENT_H
 #include <stdbool.h>
@@ -6,13 +7,14 @@
 #include "../settings/settings.h"
 #include "../store/store.h"
 
-/* Before the threads start. The settings are kept. */
+/* Called before the threads start. Keeps the pointer to the settings. */
 void shard_assignment_init(const struct settings *settings);
 
-/* With store_lock held; each adds one change to the transaction, or returns false where there is none to make. */
+/* Both functions add one assignment to the transaction, or return false if none is due. Called with store_lock held. */
 
-/* Reclaims a shard that this controller owned before it was restarted: there is no need to wait for anyone. */
+/* Reassigns a shard from an earlier incarnation of this controller to the current one, without waiting for the leader.
+ */
 bool shard_assignment_reclaim(struct store_txn *txn);
-/* By the leader: assigns one shard, of those without a live owner first. */
+/* Assigns one shard, those without a live owner first. Called by the leader. */
 bool shard_assignment_assign(struct store_txn *txn);
 #endif
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -15,63 +15,65 @@
 #include "../store/store.h"
 #include "../sync/sync.h"
 
-enum { CONNECTIONS_MAX = 64, ASK_TIMEOUT_MS = 700, URL_BYTES = 128, BODY_BYTES = 64 };
-static const double ask_interval_s = 1;
-static const double store_age_never_read_s = 1e6;
-static const double store_age_seen_max_s = 4; /* a peer whose last read is older doesn't see the store */
-static const double lately_s = 3;
+enum { CONNECTIONS_MAX = 64, REQUEST_TIMEOUT_MS = 700, URL_BYTES = 128, BODY_BYTES = 64 };
+static const double request_interval_s = 1;
+static const double store_age_never_read_s = 1e6; /* reported before the first full read of the store */
+static const double recent_store_age_max_s = 4;   /* below this age, the peer has recently read the store */
+static const double answer_valid_s = 3;           /* an older answer of a peer no longer counts */
 
-/* What a peer last said; zero: nothing yet. */
+/* When the latest answers of one peer arrived; zero: no such answer yet. */
 struct peer {
-    struct timespec saw_store; /* when it last told of a store that it had just read */
-    struct timespec reached;   /* when it last answered at all */
+    struct timespec read_store_at; /* the latest answer that reported a recent read of the store */
+    struct timespec answered_at;   /* the latest answer of any kind */
 };
 
 static const struct settings *cfg;
 static struct {
     pthread_mutex_t lock;
-    pthread_cond_t hinted;
-    unsigned hints; /* counts peers_hint; each thread knows how many it has passed on */
+    pthread_cond_t hint_added;
+    unsigned n_hints; /* calls of peers_notify_store_change; each thread compares it with the number it has handled */
     struct peer peers[SETTINGS_SEEDS];
 } shared = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-/* ---- answering peers ---- */
+/* ---- requests from peers ---- */
 
-/* "GET /hint" says that the store has changed. Every request is answered with the age of the last read. */
-static void answer_peer(struct http_request *request, void *context) {
+/* A request for "/hint" reports that the store has changed. Every request is answered with the age of the last read. */
+static void handle_request(struct http_request *request, void *context) {
     (void)context;
     if (strcmp(http_path(request), "/hint") == 0) store_wake_watch();
     store_lock();
-    double age_s = store_synced() ? clock_seconds_since(store_last_read()) : store_age_never_read_s;
+    double age_s = store_synced() ? clock_seconds_since(store_last_read_sent()) : store_age_never_read_s;
     store_unlock();
     char body[BODY_BYTES];
     snprintf(body, sizeof body, "{\"store_age_s\":%.2f}", age_s);
     http_reply(request, HTTP_OK, body, 0);
 }
 
-/* ---- asking peers ---- */
+/* ---- requests to peers ---- */
 
-/* Waits for a hint, but for a second at most; whether there are hints after those that were passed on. */
-static bool wait_for_hint(unsigned *passed_on) {
+/* Waits for a new hint for at most request_interval_s. Returns whether there is one; *hints_handled, the number of
+ * hints that the caller has handled, then includes it. */
+static bool wait_for_hint(unsigned *hints_handled) {
     pthread_mutex_lock(&shared.lock);
-    if (*passed_on == shared.hints) sync_cond_wait(&shared.hinted, &shared.lock, clock_from_seconds(ask_interval_s));
-    bool hint = *passed_on != shared.hints;
-    *passed_on = shared.hints;
+    if (*hints_handled == shared.n_hints)
+        sync_cond_wait(&shared.hint_added, &shared.lock, clock_from_seconds(request_interval_s));
+    bool new_hint = *hints_handled != shared.n_hints;
+    *hints_handled = shared.n_hints;
     pthread_mutex_unlock(&shared.lock);
-    return hint;
+    return new_hint;
 }
 
-static void ask_peer(struct http_client *client, int index, const char *path) {
+static void send_request(struct http_client *client, int index, const char *path) {
     char url[URL_BYTES];
     long status;
     cJSON *answer = NULL;
     snprintf(url, sizeof url, "http://%s/%s", cfg->seeds[index].address, path);
-    if (http_call(client, "GET", url, NULL, ASK_TIMEOUT_MS, &status, &answer) == HTTP_ANSWERED) {
+    if (http_call(client, "GET", url, NULL, REQUEST_TIMEOUT_MS, &status, &answer) == HTTP_ANSWERED) {
         struct peer *peer = &shared.peers[index];
         pthread_mutex_lock(&shared.lock);
-        peer->reached = clock_now();
-        if (json_get_double(answer, "store_age_s", store_age_never_read_s) < store_age_seen_max_s)
-            peer->saw_store = peer->reached;
+        peer->answered_at = clock_now();
+        if (json_get_double(answer, "store_age_s", store_age_never_read_s) < recent_store_age_max_s)
+            peer->read_store_at = peer->answered_at;
         pthread_mutex_unlock(&shared.lock);
     }
     cJSON_Delete(answer);
@@ -80,52 +82,56 @@
 static void *peer_main(void *arg) {
     int index = (int)(intptr_t)arg;
     struct http_client *client = http_client_new();
-    unsigned hints_passed_on = 0;
-    struct timespec asked = {0, 0};
+    unsigned hints_handled = 0;
+    struct timespec request_sent_at = {0, 0};
     for (;;) {
-        bool hint = wait_for_hint(&hints_passed_on);
-        if (!hint && clock_seconds_since(asked) < ask_interval_s) continue;
-        asked = clock_now();
-        ask_peer(client, index, hint ? "hint" : "age");
+        bool new_hint = wait_for_hint(&hints_handled);
+        if (!new_hint && clock_seconds_since(request_sent_at) < request_interval_s) continue;
+        request_sent_at = clock_now();
+        send_request(client, index, new_hint ? "hint" : "age");
     }
     return NULL;
 }
 
 void peers_init(const struct settings *settings) {
     cfg = settings;
-    sync_cond_init(&shared.hinted);
+    sync_cond_init(&shared.hint_added);
 }
 
-bool peers_listen(void) { return http_server_start(cfg->cluster_listen, CONNECTIONS_MAX, answer_peer, NULL) != NULL; }
+bool peers_listen(void) {
+    return http_server_start(cfg->cluster_listen, CONNECTIONS_MAX, handle_request, NULL) != NULL;
+}
 
 void peers_start(void) {
     for (int i = 0; i < cfg->n_seeds; i++) sync_start_thread(peer_main, (void *)(intptr_t)i);
 }
 
-/* ---- what is known of peers ---- */
+/* ---- hints and state of the peers ---- */
 
-void peers_hint(void) {
+void peers_notify_store_change(void) {
     pthread_mutex_lock(&shared.lock);
-    shared.hints++;
-    pthread_cond_broadcast(&shared.hinted);
+    shared.n_hints++;
+    pthread_cond_broadcast(&shared.hint_added);
     pthread_mutex_unlock(&shared.lock);
 }
 
-static bool is_lately(struct timespec instant) { return instant.tv_sec && clock_seconds_since(instant) < lately_s; }
+static bool is_valid_answer(struct timespec answered_at) {
+    return answered_at.tv_sec && clock_seconds_since(answered_at) < answer_valid_s;
+}
 
-bool peers_see_store(void) {
-    bool seen = false;
+bool peers_any_reads_store(void) {
+    bool any_reads_store = false;
     pthread_mutex_lock(&shared.lock);
-    for (int i = 0; i < cfg->n_seeds; i++) seen |= is_lately(shared.peers[i].saw_store);
+    for (int i = 0; i < cfg->n_seeds; i++) any_reads_store |= is_valid_answer(shared.peers[i].read_store_at);
     pthread_mutex_unlock(&shared.lock);
-    return seen;
+    return any_reads_store;
 }
 
-bool peers_reach(const char *node) {
-    bool reached = false;
+bool peers_is_reachable(const char *node) {
+    bool reachable = false;
     pthread_mutex_lock(&shared.lock);
     for (int i = 0; i < cfg->n_seeds; i++)
-        reached |= strcmp(cfg->seeds[i].node, node) == 0 && is_lately(shared.peers[i].reached);
+        reachable |= strcmp(cfg->seeds[i].node, node) == 0 && is_valid_answer(shared.peers[i].answered_at);
     pthread_mutex_unlock(&shared.lock);
-    return reached;
+    return reachable;
 }
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,23 +1,25 @@
-/* What controllers tell one another: hints that the store has changed, and how long ago each read it.
+/* Direct requests between the controllers: hints that the store has changed, and the age of each controller's last read
+ * of the store.
  *
- * A thread for each peer asks it once a second, and at once after a hint. None of the functions needs a lock; they may
- * be called from any thread, also with store_lock held, unless it says otherwise. */
+ * One thread per peer sends a request once a second, and immediately after a hint. No function needs a lock. Unless
+ * noted otherwise, each may be called from any thread, also with store_lock held. */
 #ifndef FF_PEERS_H
 #define FF_PEERS_H
 #include <stdbool.h>
 
 #include "../settings/settings.h"
 
-/* Once, before any other function of the package. The settings are kept. */
+/* Called once, before any other function of the package. Keeps the pointer to the settings. */
 void peers_init(const struct settings *settings);
-/* Listens for the peers; false where it can't. */
+/* Listens for requests of the peers. Returns false if it can't listen on the address. */
 bool peers_listen(void);
-/* Starts the threads that ask the peers. After peers_listen. */
+/* Starts the threads that send requests to the peers. Called after peers_listen. */
 void peers_start(void);
-/* Lets all peers read the store at once: this controller has written something. */
-void peers_hint(void);
-/* Whether a peer said lately that it has just read the store. */
-bool peers_see_store(void);
-/* Whether that controller answered lately. */
-bool peers_reach(const char *node);
+/* Sends a hint to all peers, so that they read the store immediately. Called after this controller wrote to the store.
+ * Doesn't block: the threads of the peers send the hint. */
+void peers_notify_store_change(void);
+/* Returns whether any peer reported within the last 3 s that it had recently read the store. */
+bool peers_any_reads_store(void);
+/* Returns whether that controller answered a request within the last 3 s. */
+bool peers_is_reachable(const char *node);
 #endif
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -115,7 +115,7 @@
 }
 
 static bool divide_team(struct change *change, const struct quota_team *team_quota, const struct quota_view *agreed) {
-    if (!agreed || agreed->shards <= 1 || !schema_version_divided_quota()) return false;
+    if (!agreed || agreed->shards <= 1 || !schema_version_divided_quota_active()) return false;
     struct quota_record record =
         quota_record_create(team_quota->home, quota_settings->size, agreed->shards, agreed->limit, agreed->guarantee);
     begin_home_change(change, team_quota);
--- a/src/scheduler/isolation.c
+++ b/src/scheduler/isolation.c
@@ -18,7 +18,7 @@
 void isolation_watch_start(struct isolation_watch *watch) { watch->workers_last_heard = clock_now(); }
 
 void isolation_watch_check(struct isolation_watch *watch, const struct liveness_summary *summary) {
-    bool store_read_recently = clock_seconds_since(store_last_read()) <= STORE_READ_MAX_AGE_S;
+    bool store_read_recently = clock_seconds_since(store_last_read_sent()) <= STORE_READ_MAX_AGE_S;
     double heartbeat_s = clock_to_seconds(scheduler_settings->heartbeat_interval);
     if (enough_workers_heard(summary) || !store_read_recently) watch->workers_last_heard = clock_now();
     bool isolated =
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -42,7 +42,7 @@
 /* Called with store_lock held. */
 static void check_owned_machines(const struct liveness_summary *summary) {
     for (int shard = 0; shard < scheduler_settings->size; shard++) {
-        if (!membership_owns(shard) || !membership_may_answer()) continue;
+        if (!membership_owns(shard) || !membership_may_answer_workers()) continue;
         liveness_check_machines(shard, summary);
         scale_in_run(shard);
     }
--- a/src/scheduler/stage_pages.c
+++ b/src/scheduler/stage_pages.c
@@ -229,7 +229,7 @@
 }
 
 static void page_plan_init(struct page_plan *plan, int shard) {
-    *plan = (struct page_plan){.shard = shard, .fencing_token = membership_fencing_token() + 1, .raise_writes = 1};
+    *plan = (struct page_plan){.shard = shard, .fencing_token = membership_fencing_counter() + 1, .raise_writes = 1};
     struct timespec *compacted_at = &shard_states[shard].compacted_at;
     plan->write_deferred = clock_seconds_since(*compacted_at) > DEFERRED_WRITE_INTERVAL_S;
     if (plan->write_deferred) *compacted_at = clock_now();
--- a/src/schema_version/schema_version.c
+++ b/src/schema_version/schema_version.c
@@ -7,33 +7,34 @@
 #include "../json/json.h"
 #include "../logging/logging.h"
 
-/* What one controller has recorded. */
-struct controller {
-    int highest; /* the highest version ever on record; 0: none */
-    int latest;  /* the version on record now; 0: none */
+/* The versions that one controller has recorded; 0: none. */
+struct controller_versions {
+    int highest; /* in any of its records so far */
+    int latest;  /* in its latest record */
 };
 
 static const struct settings *cfg;
 static struct {
-    struct controller self;
-    struct controller peers[SETTINGS_SEEDS]; /* in the order of the seeds */
+    struct controller_versions self;
+    struct controller_versions peers[SETTINGS_SEEDS]; /* same index as settings.seeds */
     bool active;
     bool store_unreadable;
 } versions;
 
-static int recorded_version(const cJSON *data) {
+/* Returns the version in a record, or 0 if the record was removed or can't be read. */
+static int read_version(const cJSON *data) {
     int64_t version = 0;
     json_get_int64(data, "version", &version);
     return (int)version;
 }
 
-static void note_version(struct controller *controller, int version) {
+static void record_version(struct controller_versions *controller, int version) {
     controller->latest = version;
-    /* A controller is only ever upgraded: a lower version, or none, in a later record is a damaged record. */
+    /* A controller is never downgraded, so a later record with a lower version, or with none, must not lower this. */
     if (version > controller->highest) controller->highest = version;
 }
 
-static bool all_upgraded(void) {
+static bool all_controllers_upgraded(void) {
     if (versions.self.highest < SCHEMA_VERSION) return false;
     for (int i = 0; i < cfg->n_seeds; i++)
         if (versions.peers[i].highest < SCHEMA_VERSION) return false;
@@ -42,7 +43,7 @@
 
 bool schema_version_active(void) { return versions.active; }
 
-bool schema_version_divided_quota(void) {
+bool schema_version_divided_quota_active(void) {
     if (versions.self.latest < SCHEMA_VERSION_DIVIDED_QUOTA) return false;
     for (int i = 0; i < cfg->n_seeds; i++)
         if (versions.peers[i].latest < SCHEMA_VERSION_DIVIDED_QUOTA) return false;
@@ -51,29 +52,29 @@
 
 static void apply_version(const char *node, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
-    int version = recorded_version(data);
-    if (strcmp(node, cfg->node) == 0) note_version(&versions.self, version);
+    int version = read_version(data);
+    if (strcmp(node, cfg->node) == 0) record_version(&versions.self, version);
     for (int i = 0; i < cfg->n_seeds; i++)
-        if (strcmp(node, cfg->seeds[i].node) == 0) note_version(&versions.peers[i], version);
-    if (versions.active || !all_upgraded()) return;
+        if (strcmp(node, cfg->seeds[i].node) == 0) record_version(&versions.peers[i], version);
+    if (versions.active || !all_controllers_upgraded()) return;
     versions.active = true;
-    log_info("schema version: all %d controllers read version %d, its layout is written from now on", cfg->n_seeds + 1,
+    log_info("schema version: all %d controllers can read version %d, writing its layout from now on", cfg->n_seeds + 1,
              SCHEMA_VERSION);
 }
 
-/* The version that this controller's record is to name. */
+/* Returns the version that the record of this controller should contain, by its settings. */
 static int wanted_version(void) {
     for (int i = 0; i < cfg->n_teams; i++)
         if (cfg->teams[i].shards > 1) return SCHEMA_VERSION_DIVIDED_QUOTA;
     return SCHEMA_VERSION;
 }
 
-static bool must_announce(int version) {
-    const struct controller *self = &versions.self;
+static bool must_announce(int wanted) {
+    const struct controller_versions *self = &versions.self;
     if (self->highest < SCHEMA_VERSION) return true;
     if (self->latest < SCHEMA_VERSION) return false; /* a damaged record */
-    bool withdraws = self->latest == SCHEMA_VERSION_DIVIDED_QUOTA && version < SCHEMA_VERSION_DIVIDED_QUOTA;
-    return self->latest < version || withdraws;
+    bool withdraws = self->latest == SCHEMA_VERSION_DIVIDED_QUOTA && wanted < SCHEMA_VERSION_DIVIDED_QUOTA;
+    return self->latest < wanted || withdraws;
 }
 
 bool schema_version_announce(struct store_txn *txn) {
@@ -84,7 +85,7 @@
     cJSON_AddNumberToObject(record, "version", version);
     store_txn_compare(txn, key.text, store_key_revision(key.text));
     store_txn_put(txn, key.text, record, 0);
-    log_info("schema version: recording that %s reads version %d", cfg->node, version);
+    log_info("schema version: recording that %s can read version %d", cfg->node, version);
     return true;
 }
 
--- a/src/schema_version/schema_version.h
+++ b/src/schema_version/schema_version.h
@@ -1,34 +1,37 @@
 /* Version of the layout of the records in the state service.
  *
- * During a rolling upgrade controllers of two versions work on the same records, and a controller that ends before its
- * turn comes back in the old version. A layout that the old version would misread may be written only once no
- * controller can come back old. The proof is durable and monotone: each controller records the version that it can read
- * under `format/NODE`, without a lease, and a controller is never downgraded. */
+ * During a rolling upgrade, controllers of two versions work on the same records, and a controller that exits before it
+ * is upgraded restarts in the old version. A layout that the old version would misread may be written only when no
+ * controller can restart in the old version. For this, each controller records the version that it can read under
+ * `format/NODE`, without a lease, so that the record outlives the process. A controller is never downgraded. */
 #ifndef FF_SCHEMA_VERSION_H
 #define FF_SCHEMA_VERSION_H
 #include <stdbool.h>
 
 #include "../store/store.h"
 
-/* Version 1 has no record. Version 2 adds records of allocations that name their own chunk size of tasks. */
+/* Version 1 is not recorded. Version 2 adds allocation records that contain their own number of tasks per chunk. */
 #define SCHEMA_VERSION 2
-/* Version 3 can read records of divided teams. A controller records it only while its settings divide a team, so that
- * an earlier version may come back once no team is divided any more. */
+/* A controller of version 3 can read the records of divided teams. It records version 3 only while its settings divide
+ * a team, so that an earlier version can be deployed again when no team is divided any more. */
 #define SCHEMA_VERSION_DIVIDED_QUOTA 3
 
-/* Once, from the program's main thread, before any other thread. The settings are kept. */
+/* Called once, from the program's main thread, before any other thread starts. Keeps the pointer to the settings. */
 void schema_version_init(const struct settings *settings);
 
-/* From any thread, with store_lock held. */
+/* The functions below may be called from any thread, with store_lock held. */
 
-/* Whether every controller of the settings has recorded version 2 or higher: its layout may be written from now on. */
+/* Returns whether every controller in the settings has recorded version 2 or higher, so that the layout of version 2
+ * may be written. */
 bool schema_version_active(void);
-/* Whether every controller's latest record says that it reads, and its settings ask for, divided teams. */
-bool schema_version_divided_quota(void);
-/* The store holds records of a layout that this version does not read: no shard may be taken. */
+/* Returns whether the latest record of every controller contains version 3 or higher: each can read divided teams and
+ * has settings that divide one. */
+bool schema_version_divided_quota_active(void);
+/* Marks the store as unreadable: it holds records of a layout that this version can't read. This controller then takes
+ * no shard. */
 void schema_version_mark_store_unreadable(void);
 bool schema_version_store_unreadable(void);
-/* Adds the record of this controller's version to the transaction; false if it is on record already, or if the record
- * is damaged. The membership thread calls it. */
+/* Adds the record of this controller's version to the transaction. Returns false, and adds nothing, if the record is up
+ * to date or damaged. Called by the membership thread. */
 bool schema_version_announce(struct store_txn *txn);
 #endif
--- a/src/schema_version/schema_version_test.c
+++ b/src/schema_version/schema_version_test.c
@@ -1,4 +1,4 @@
-/* When a layout of records is active, and when teams are divided. */
+/* Tests when the layout of a schema version becomes active, and when teams may be divided. */
 #include "schema_version/schema_version.h"
 
 #include <glib.h>
@@ -13,7 +13,8 @@
 static struct settings cfg;
 static int64_t mod_revision = 10;
 
-static void put(const char *key, const char *json) {
+/* Applies a record to the mirror, or its removal if json is NULL. */
+static void apply_record(const char *key, const char *json) {
     cJSON *data = json ? cJSON_Parse(json) : NULL;
     store_lock();
     store_apply(key, data, ++mod_revision);
@@ -21,22 +22,23 @@
     cJSON_Delete(data);
 }
 
-/* The layout is active once every controller of the settings has recorded its version, for good: a node that is merely
- * not heard of, or a record that can't be read, is no proof, and no later record takes it back. */
-static void the_layout_is_active_once_every_controller_has_recorded_it(void **state) {
+/* The layout becomes active when every controller in the settings has recorded its version. A controller without a node
+ * record, or with an unreadable version record, may still run the old version and must not count as upgraded. No later
+ * record makes the layout inactive again. */
+static void layout_becomes_active_when_every_controller_recorded_its_version(void **state) {
     (void)state;
     static const struct {
-        const char *what, *key, *record;
+        const char *description, *key, *record;
         bool active;
     } cases[] = {
-        {"ours alone", "format/n0", "{\"version\":2}", false},
-        {"one that the settings don't name", "format/n7", "{\"version\":2}", false},
-        {"the other is gone", "node/n1", NULL, false},
-        {"the other, unreadable", "format/n1", "{\"version\":\"2\"}", false},
-        {"the other, older", "format/n1", "{\"version\":1}", false},
-        {"the other", "format/n1", "{\"version\":3}", true},
-        {"a record that is gone", "format/n1", NULL, true},
-        {"a damaged one", "format/n0", "{\"version\":1}", true},
+        {"only the own record", "format/n0", "{\"version\":2}", false},
+        {"a controller missing from the settings", "format/n7", "{\"version\":2}", false},
+        {"the peer's node record removed", "node/n1", NULL, false},
+        {"the peer's record is unreadable", "format/n1", "{\"version\":\"2\"}", false},
+        {"the peer recorded an older version", "format/n1", "{\"version\":1}", false},
+        {"the peer recorded a newer version", "format/n1", "{\"version\":3}", true},
+        {"the peer's record removed afterwards", "format/n1", NULL, true},
+        {"the own record downgraded afterwards", "format/n0", "{\"version\":1}", true},
     };
     struct store_txn txn;
     store_txn_init(&txn);
@@ -45,49 +47,51 @@
     const cJSON *operation = cJSON_GetArrayItem(txn.operations, 0);
     assert_int_equal(txn.writes, 1);
     assert_string_equal(json_get_string(operation, "set"), "format/n0");
-    assert_null(cJSON_GetObjectItem(operation, "lease")); /* it outlives the process */
+    assert_null(cJSON_GetObjectItem(operation, "lease")); /* the record must outlive the process */
     store_txn_free(&txn);
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        put(cases[i].key, cases[i].record);
-        if (schema_version_active() != cases[i].active) fail_msg("%s: %d", cases[i].what, schema_version_active());
+        apply_record(cases[i].key, cases[i].record);
+        if (schema_version_active() != cases[i].active)
+            fail_msg("%s: active is %d", cases[i].description, schema_version_active());
     }
     store_txn_init(&txn);
     assert_false(schema_version_announce(&txn));
     store_txn_free(&txn);
 }
 
-/* Divided teams are in force while every controller's latest record says that it asks for them; a controller whose
- * settings no longer do takes its record back, so that an earlier version may come. */
-static void teams_are_divided_while_every_latest_record_asks_for_it(void **state) {
+/* Teams may be divided while the latest record of every controller contains version 3. A controller whose settings no
+ * longer divide a team records version 2 again, so that an earlier version can be deployed. */
+static void teams_may_be_divided_while_every_latest_record_has_version_3(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        int shards; /* of a team, by our own settings */
+        const char *description;
+        int shards; /* over which the settings divide a team; 1: not divided */
         const char *key, *record;
-        bool in_force;
-        int announces; /* version that our own record is to name; 0: it names it already */
+        bool active;
+        int announced; /* version written to the own record; 0: the record is not written */
     } cases[] = {
-        {"ours does not divide", 1, "format/n0", "{\"version\":2}", false, 0},
-        {"now it does", 2, "format/n1", "{\"version\":2}", false, 3},
-        {"recorded", 2, "format/n0", "{\"version\":3}", false, 0},
-        {"the other, too", 2, "format/n1", "{\"version\":3}", true, 0},
-        {"the other took it back", 2, "format/n1", "{\"version\":2}", false, 0},
-        {"and not", 2, "format/n1", "{\"version\":3}", true, 0},
-        {"ours no longer divides", 1, "format/n1", "{\"version\":3}", true, 2},
-        {"taken back", 1, "format/n0", "{\"version\":2}", false, 0},
-        {"a record that is gone", 2, "format/n1", NULL, false, 3},
+        {"the settings divide no team", 1, "format/n0", "{\"version\":2}", false, 0},
+        {"the settings divide a team now", 2, "format/n1", "{\"version\":2}", false, 3},
+        {"only the own record has version 3", 2, "format/n0", "{\"version\":3}", false, 0},
+        {"the peer's record has it, too", 2, "format/n1", "{\"version\":3}", true, 0},
+        {"the peer recorded version 2 again", 2, "format/n1", "{\"version\":2}", false, 0},
+        {"the peer recorded version 3 again", 2, "format/n1", "{\"version\":3}", true, 0},
+        {"the settings no longer divide a team", 1, "format/n1", "{\"version\":3}", true, 2},
+        {"the own record has version 2 again", 1, "format/n0", "{\"version\":2}", false, 0},
+        {"the peer's record removed", 2, "format/n1", NULL, false, 3},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct store_txn txn;
         cfg.teams[0].shards = cases[i].shards;
-        put(cases[i].key, cases[i].record);
+        apply_record(cases[i].key, cases[i].record);
         store_txn_init(&txn);
         int64_t version = 0;
         if (schema_version_announce(&txn))
             json_get_int64(cJSON_GetObjectItem(cJSON_GetArrayItem(txn.operations, 0), "data"), "version", &version);
-        if (schema_version_divided_quota() != cases[i].in_force || version != cases[i].announces)
-            fail_msg("%s: %d, announces %lld", cases[i].what, schema_version_divided_quota(), (long long)version);
-        assert_true(schema_version_active()); /* the second layout stays */
+        if (schema_version_divided_quota_active() != cases[i].active || version != cases[i].announced)
+            fail_msg("%s: active is %d, announced %lld", cases[i].description, schema_version_divided_quota_active(),
+                     (long long)version);
+        assert_true(schema_version_active()); /* the layout of version 2 stays active */
         store_txn_free(&txn);
     }
 }
@@ -97,7 +101,8 @@
     logging_init("fatal");
     store_init(&cfg);
     schema_version_init(&cfg);
-    const struct CMUnitTest tests[] = {cmocka_unit_test(the_layout_is_active_once_every_controller_has_recorded_it),
-                                       cmocka_unit_test(teams_are_divided_while_every_latest_record_asks_for_it)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(layout_becomes_active_when_every_controller_recorded_its_version),
+        cmocka_unit_test(teams_may_be_divided_while_every_latest_record_has_version_3)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/service/health.c
+++ b/src/service/health.c
@@ -15,9 +15,9 @@
 static bool is_healthy(void) {
     store_lock();
     bool synced = store_synced();
-    bool sees_store = synced && clock_seconds_since(store_last_read()) < STORE_READ_S;
+    bool sees_store = synced && clock_seconds_since(store_last_read_sent()) < STORE_READ_S;
     store_unlock();
-    return sees_store || (synced && !peers_see_store());
+    return sees_store || (synced && !peers_any_reads_store());
 }
 
 bool health_route(struct http_request *request) {
--- a/src/service/status.c
+++ b/src/service/status.c
@@ -20,7 +20,7 @@
         "%.1f s ago, %d responses to users (median %.1f ms, p95 %.1f ms)",
         jobs_active()->len, machines_all()->len, (sent - sent_before) / INTERVAL_S,
         store_budget_rate_factor(STORE_RATE_REQUESTS), store_budget_rate_factor(STORE_RATE_CHANGES),
-        clock_seconds_since(store_last_read()), latency.answers, latency.median_ms, latency.p95_ms);
+        clock_seconds_since(store_last_read_sent()), latency.answers, latency.median_ms, latency.p95_ms);
     quota_log_status();
     store_unlock();
     sent_before = sent;
@@ -28,10 +28,11 @@
 
 static void log_writes(void) {
     static struct store_write_counts before;
-    struct store_write_counts now = store_writes_counted();
+    struct store_write_counts now = store_get_write_counts();
     log_info("writes in 10 s: %u jobs, %u allocations, %u releases, %u machine pages, %u others",
-             now.jobs - before.jobs, now.allocations - before.allocations, now.releases - before.releases,
-             now.pages - before.pages, now.others - before.others);
+             now.jobs - before.jobs, now.allocations - before.allocations,
+             now.removed_allocations - before.removed_allocations, now.machine_records - before.machine_records,
+             now.other_records - before.other_records);
     before = now;
 }
 
--- a/src/store/client.c
+++ b/src/store/client.c
@@ -12,13 +12,15 @@
 #include "keys.h"
 #include "request.h"
 
-/* Users wait 2 s for a poll and 5 s for a submission: a silent store must leave time for a refusal. */
+/* Users time out after 2 s for a poll and 5 s for a submission. The timeouts here are shorter, so that a user still
+ * gets an error response if the store doesn't answer. */
 enum { CHECK_TIMEOUT_MS = 1200, COMMIT_TIMEOUT_MS = 2000 };
 enum { READ_TIMEOUT_MS = 1500, GRANT_TIMEOUT_MS = 1500, RENEWAL_TIMEOUT_MS = 1200 };
 enum { GRANT_BODY_BYTES = 64, MS_PER_SECOND = 1000 };
 
-/* What an answer means for a request that changes something. Each request treats answers of its own before. */
-static enum store_result result_of(enum store_answer answer) {
+/* Returns the result of a request that changes the store. Answers with a meaning specific to one kind of request are
+ * handled by the callers. */
+static enum store_result result_from_answer(enum store_answer answer) {
     switch (answer) {
         case STORE_ANSWER_OK:
             return STORE_OK;
@@ -35,50 +37,51 @@
 
 /* ---- transactions ---- */
 
-/* The store names no reason. What it may be is in the sizes: a value, or the number of operations. */
+/* Logs a transaction that the store rejected as malformed. The store gives no reason; the cause may be the size of a
+ * value or the number of operations, so both are logged. */
 static void log_invalid(const struct store_txn *txn) {
     const cJSON *operation;
-    GString *writes = g_string_new("");
+    GString *keys_with_sizes = g_string_new("");
     cJSON_ArrayForEach(operation, txn->operations) {
         struct store_change change = store_change_read(operation);
         char *value = cJSON_PrintUnformatted(change.data);
-        g_string_append_printf(writes, " %s (%zu bytes)", change.key, value ? strlen(value) : 0);
+        g_string_append_printf(keys_with_sizes, " %s (%zu bytes)", change.key, value ? strlen(value) : 0);
         free(value);
     }
-    log_error("store rejects a transaction as malformed: %d operations, %d comparisons:%s", txn->writes,
-              cJSON_GetArraySize(txn->comparisons), writes->str);
-    g_string_free(writes, TRUE);
+    log_error("store rejected a transaction as malformed: %d operations, %d comparisons:%s", txn->writes,
+              cJSON_GetArraySize(txn->comparisons), keys_with_sizes->str);
+    g_string_free(keys_with_sizes, TRUE);
 }
 
 static struct {
     pthread_mutex_t lock;
     struct store_write_counts counts;
-} written = {.lock = PTHREAD_MUTEX_INITIALIZER};
+} write_counter = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-static unsigned *count_of(struct store_change change) {
-    if (g_str_has_prefix(change.key, STORE_PREFIX_JOB)) return &written.counts.jobs;
+static unsigned *counter_for(struct store_change change) {
+    if (g_str_has_prefix(change.key, STORE_PREFIX_JOB)) return &write_counter.counts.jobs;
     if (g_str_has_prefix(change.key, STORE_PREFIX_ALLOCATIONS))
-        return change.data ? &written.counts.allocations : &written.counts.releases;
-    if (g_str_has_prefix(change.key, STORE_PREFIX_MACHINE_PAGE)) return &written.counts.pages;
-    if (g_str_has_prefix(change.key, STORE_PREFIX_MACHINE)) return &written.counts.pages;
-    return &written.counts.others;
+        return change.data ? &write_counter.counts.allocations : &write_counter.counts.removed_allocations;
+    if (g_str_has_prefix(change.key, STORE_PREFIX_MACHINE_PAGE)) return &write_counter.counts.machine_records;
+    if (g_str_has_prefix(change.key, STORE_PREFIX_MACHINE)) return &write_counter.counts.machine_records;
+    return &write_counter.counts.other_records;
 }
 
 static void count_writes(const struct store_txn *txn) {
     const cJSON *operation;
-    pthread_mutex_lock(&written.lock);
-    cJSON_ArrayForEach(operation, txn->operations)++ *count_of(store_change_read(operation));
-    pthread_mutex_unlock(&written.lock);
+    pthread_mutex_lock(&write_counter.lock);
+    cJSON_ArrayForEach(operation, txn->operations)++ *counter_for(store_change_read(operation));
+    pthread_mutex_unlock(&write_counter.lock);
 }
 
-struct store_write_counts store_writes_counted(void) {
-    pthread_mutex_lock(&written.lock);
-    struct store_write_counts counts = written.counts;
-    pthread_mutex_unlock(&written.lock);
+struct store_write_counts store_get_write_counts(void) {
+    pthread_mutex_lock(&write_counter.lock);
+    struct store_write_counts counts = write_counter.counts;
+    pthread_mutex_unlock(&write_counter.lock);
     return counts;
 }
 
-static char *transaction_body(const struct store_txn *txn) {
+static char *format_transaction(const struct store_txn *txn) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddItemReferenceToObject(object, "if", txn->comparisons);
     if (txn->writes) cJSON_AddItemReferenceToObject(object, "then", txn->operations);
@@ -87,11 +90,11 @@
     return body;
 }
 
-static enum store_result read_conflict(const cJSON *answer, struct store_response *response) {
+static enum store_result read_conflict(const cJSON *answer_body, struct store_response *response) {
     const cJSON *key;
-    json_get_int64(answer, "epoch", &response->revision);
+    json_get_int64(answer_body, "epoch", &response->revision);
     response->conflicts = g_ptr_array_new_with_free_func(g_free);
-    cJSON_ArrayForEach(key, cJSON_GetObjectItemCaseSensitive(answer, "failed")) {
+    cJSON_ArrayForEach(key, cJSON_GetObjectItemCaseSensitive(answer_body, "failed")) {
         if (cJSON_IsString(key)) g_ptr_array_add(response->conflicts, g_strdup(key->valuestring));
     }
     return STORE_CONFLICT;
@@ -101,18 +104,19 @@
                                struct store_response *response) {
     *response = (struct store_response){0};
     if (!store_budget_take(priority, txn->writes)) return STORE_REJECTED;
-    char *text = transaction_body(txn);
-    struct store_request request = {.method = "POST", .path = "/multi", .body = text};
+    char *request_body = format_transaction(txn);
+    struct store_request request = {.method = "POST", .path = "/multi", .body = request_body};
     request.timeout_ms = txn->writes ? COMMIT_TIMEOUT_MS : CHECK_TIMEOUT_MS;
     request.rate = txn->writes ? STORE_RATE_CHANGES : STORE_RATE_REQUESTS;
-    cJSON *body;
-    enum store_answer answer = store_request_send(client, &request, &body);
-    enum store_result result = answer == STORE_ANSWER_CONFLICT ? read_conflict(body, response) : result_of(answer);
-    if (result == STORE_OK && !json_get_int64(body, "epoch", &response->revision)) result = STORE_UNKNOWN;
+    cJSON *answer_body;
+    enum store_answer answer = store_request_send(client, &request, &answer_body);
+    enum store_result result =
+        answer == STORE_ANSWER_CONFLICT ? read_conflict(answer_body, response) : result_from_answer(answer);
+    if (result == STORE_OK && !json_get_int64(answer_body, "epoch", &response->revision)) result = STORE_UNKNOWN;
     if (result == STORE_INVALID) log_invalid(txn);
     if (result == STORE_OK) count_writes(txn);
-    free(text);
-    cJSON_Delete(body);
+    free(request_body);
+    cJSON_Delete(answer_body);
     return result;
 }
 
@@ -127,31 +131,32 @@
     if (!store_budget_take(STORE_PRIORITY_CANCEL, 0)) return STORE_REJECTED;
     snprintf(path, sizeof path, "/kv/%s", key);
     const struct store_request request = {.method = "GET", .path = path, .timeout_ms = READ_TIMEOUT_MS};
-    cJSON *body;
-    enum store_answer answer = store_request_send(client, &request, &body);
-    enum store_result result = STORE_REJECTED; /* a read that brought nothing changed nothing */
-    if (answer == STORE_ANSWER_OK && json_get_int64(body, "stamp", mod_revision)) {
-        *data = cJSON_DetachItemFromObjectCaseSensitive(body, "data");
+    cJSON *answer_body;
+    enum store_answer answer = store_request_send(client, &request, &answer_body);
+    enum store_result result = STORE_REJECTED; /* a failed read has changed nothing */
+    if (answer == STORE_ANSWER_OK && json_get_int64(answer_body, "stamp", mod_revision)) {
+        *data = cJSON_DetachItemFromObjectCaseSensitive(answer_body, "data");
         result = STORE_OK;
-    } else if (answer == STORE_ANSWER_NOT_FOUND && json_get_int64(body, "epoch", revision)) {
+    } else if (answer == STORE_ANSWER_NOT_FOUND && json_get_int64(answer_body, "epoch", revision)) {
         result = STORE_OK;
     }
-    cJSON_Delete(body);
+    cJSON_Delete(answer_body);
     return result;
 }
 
 /* ---- leases ---- */
 
 enum store_result store_lease_grant(struct http_client *client, struct timespec ttl, int64_t *lease) {
-    char text[GRANT_BODY_BYTES];
-    snprintf(text, sizeof text, "{\"ttl_ms\":%lld}", (long long)(clock_to_seconds(ttl) * MS_PER_SECOND));
+    char request_body[GRANT_BODY_BYTES];
+    snprintf(request_body, sizeof request_body, "{\"ttl_ms\":%lld}",
+             (long long)(clock_to_seconds(ttl) * MS_PER_SECOND));
     const struct store_request request = {
-        .method = "POST", .path = "/grants", .body = text, .timeout_ms = GRANT_TIMEOUT_MS};
-    cJSON *body;
+        .method = "POST", .path = "/grants", .body = request_body, .timeout_ms = GRANT_TIMEOUT_MS};
+    cJSON *answer_body;
     store_budget_take(STORE_PRIORITY_LEASE, 0);
-    enum store_result result = result_of(store_request_send(client, &request, &body));
-    if (result == STORE_OK && !json_get_int64(body, "lease", lease)) result = STORE_UNKNOWN;
-    cJSON_Delete(body);
+    enum store_result result = result_from_answer(store_request_send(client, &request, &answer_body));
+    if (result == STORE_OK && !json_get_int64(answer_body, "lease", lease)) result = STORE_UNKNOWN;
+    cJSON_Delete(answer_body);
     return result;
 }
 
@@ -160,9 +165,9 @@
     snprintf(path, sizeof path, "/grants/%lld/renew", (long long)lease);
     const struct store_request request = {
         .method = "POST", .path = path, .body = "{}", .timeout_ms = RENEWAL_TIMEOUT_MS};
-    cJSON *body;
+    cJSON *answer_body;
     store_budget_take(STORE_PRIORITY_LEASE, 0);
-    enum store_answer answer = store_request_send(client, &request, &body);
-    cJSON_Delete(body);
-    return answer == STORE_ANSWER_NOT_FOUND ? STORE_CONFLICT : result_of(answer);
+    enum store_answer answer = store_request_send(client, &request, &answer_body);
+    cJSON_Delete(answer_body);
+    return answer == STORE_ANSWER_NOT_FOUND ? STORE_CONFLICT : result_from_answer(answer);
 }
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -1,7 +1,7 @@
 /* Requests to the store: transactions, reads of one key, leases.
  *
- * All of them block, for 2 s at most, so they are called without store_lock, each thread with an HTTP client of its
- * own. Each takes what it needs from the rate budget first. */
+ * Each request takes what it needs from the rate budget and then blocks for at most 2 s. Requests are sent without
+ * store_lock, and each thread uses its own HTTP client. */
 #ifndef FF_STORE_CLIENT_H
 #define FF_STORE_CLIENT_H
 #include <stdint.h>
@@ -12,27 +12,28 @@
 #include "rate_budget.h"
 #include "transaction.h"
 
-/* Sends a transaction; one without operations only reads whether its comparisons hold. Fills the response, which is to
- * be cleared whatever the result. */
+/* Sends a transaction. A transaction without operations only checks its comparisons. The caller clears the response,
+ * whatever the result. */
 enum store_result store_commit(struct http_client *client, enum store_priority priority, struct store_txn *txn,
                                struct store_response *response);
 
-/* Reads one key. STORE_OK with *data, which the caller frees, and its mod revision; STORE_OK with *data NULL, and the
- * store's revision in *revision, where the key does not exist; else STORE_REJECTED. */
+/* Reads one key. If the key exists, returns STORE_OK and sets *data, which the caller frees, and *mod_revision. If it
+ * doesn't exist, returns STORE_OK and sets *data to NULL and *revision to the store's revision. Otherwise returns
+ * STORE_REJECTED. */
 enum store_result store_get(struct http_client *client, const char *key, cJSON **data, int64_t *mod_revision,
                             int64_t *revision);
 
-/* *lease is set on STORE_OK only. */
+/* Requests a lease that expires after ttl without a renewal. *lease is set on STORE_OK only. */
 enum store_result store_lease_grant(struct http_client *client, struct timespec ttl, int64_t *lease);
-/* STORE_CONFLICT: the lease has expired. */
+/* Renews a lease. Returns STORE_CONFLICT if the lease has expired. */
 enum store_result store_lease_renew(struct http_client *client, int64_t lease);
 
-/* Changes that were carried out since the start, by what they change. */
+/* Numbers of changes that this controller has written since its start, by kind of record. */
 struct store_write_counts {
     unsigned jobs, allocations;
-    unsigned releases; /* records of allocations that were removed */
-    unsigned pages;    /* records of machines, in pages or alone */
-    unsigned others;
+    unsigned removed_allocations; /* removals of records of allocations */
+    unsigned machine_records;     /* pages of machines, and records of single machines */
+    unsigned other_records;
 };
-struct store_write_counts store_writes_counted(void);
+struct store_write_counts store_get_write_counts(void);
 #endif
--- a/src/store/keys.c
+++ b/src/store/keys.c
@@ -38,7 +38,7 @@
     return key;
 }
 
-static struct store_key key_of_name(const char *prefix, const char *name) {
+static struct store_key key_with_name(const char *prefix, const char *name) {
     struct store_key key;
     g_strlcpy(key.text, prefix, sizeof key.text);
     g_strlcat(key.text, name, sizeof key.text);
@@ -46,15 +46,15 @@
 }
 
 struct store_key store_key_node(const char *node) {
-    return key_of_name(STORE_PREFIX_NODE, node);
+    return key_with_name(STORE_PREFIX_NODE, node);
 }
 struct store_key store_key_schema_version(const char *node) {
-    return key_of_name(STORE_PREFIX_SCHEMA_VERSION, node);
+    return key_with_name(STORE_PREFIX_SCHEMA_VERSION, node);
 }
 struct store_key store_key_quota(const char *team) {
-    return key_of_name(STORE_PREFIX_QUOTA, team);
+    return key_with_name(STORE_PREFIX_QUOTA, team);
 }
 
 struct store_key store_key_quota_view(const char *node) {
-    return key_of_name(STORE_PREFIX_QUOTA_VIEW, node);
+    return key_with_name(STORE_PREFIX_QUOTA_VIEW, node);
 }
--- a/src/store/keys_test.c
+++ b/src/store/keys_test.c
@@ -1,4 +1,4 @@
-/* Keys of records. */
+/* Tests the keys of the records. */
 #include "store/keys.h"
 
 #include <glib.h>
@@ -7,7 +7,7 @@
 
 #include "../../tests/standin/site.h"
 
-static void each_kind_of_record_has_its_key(void **state) {
+static void keys_have_the_prefix_of_their_kind(void **state) {
     (void)state;
     const struct {
         struct store_key key;
@@ -25,7 +25,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) assert_string_equal(cases[i].key.text, cases[i].want);
 }
 
-static void the_longest_id_fits_whole(void **state) {
+static void longest_id_is_not_truncated(void **state) {
     (void)state;
     char id[64];
     memset(id, '9', sizeof id - 1);
@@ -34,7 +34,7 @@
     assert_int_equal(strlen(store_key_machine(id).text), strlen("machine/") + strlen(id));
 }
 
-static void a_name_that_does_not_fit_is_cut(void **state) {
+static void name_that_does_not_fit_is_truncated(void **state) {
     (void)state;
     char name[2 * STORE_KEY_BYTES];
     memset(name, 'x', sizeof name - 1);
@@ -46,9 +46,9 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(each_kind_of_record_has_its_key),
-        cmocka_unit_test(the_longest_id_fits_whole),
-        cmocka_unit_test(a_name_that_does_not_fit_is_cut),
+        cmocka_unit_test(keys_have_the_prefix_of_their_kind),
+        cmocka_unit_test(longest_id_is_not_truncated),
+        cmocka_unit_test(name_that_does_not_fit_is_truncated),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/store/mirror.c
+++ b/src/store/mirror.c
@@ -13,8 +13,9 @@
 #include "client.h"
 #include "mirror_updates.h"
 
-/* For so many revisions a removed key is remembered: a slow read that began before must not bring it back. */
-enum { REMOVED_KEYS_KEPT_REVISIONS = 5000 };
+/* Number of revisions for which a removed key is remembered, so that a slow read that was sent before the removal
+ * doesn't restore the key. */
+enum { REMOVED_KEY_RETENTION_REVISIONS = 5000 };
 enum { MS_PER_SECOND = 1000 };
 
 struct observer {
@@ -31,10 +32,10 @@
 static struct {
     pthread_mutex_t lock; /* store_lock */
     GArray *observers;
-    GHashTable *key_revisions; /* key -> struct key_revision, also of keys that were removed lately */
-    int64_t revision;
+    GHashTable *key_revisions; /* key -> struct key_revision; includes recently removed keys */
+    int64_t revision;          /* all changes up to this revision of the store are applied */
     bool synced;
-    struct timespec read_at;
+    struct timespec last_read_sent_at;
 } mirror = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
 void store_mirror_init(const struct settings *settings) { cfg = settings; }
@@ -47,13 +48,13 @@
 void store_observe_prefix(const char *prefix, store_observer observer) {
     if (!mirror.observers) mirror.observers = g_array_new(FALSE, FALSE, sizeof(struct observer));
     if (!mirror.key_revisions) mirror.key_revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    struct observer added = {g_strdup(prefix), observer};
-    g_array_append_val(mirror.observers, added);
+    struct observer new_observer = {g_strdup(prefix), observer};
+    g_array_append_val(mirror.observers, new_observer);
 }
 
 void store_apply(const char *key, const cJSON *data, int64_t mod_revision) {
     struct key_revision *known = g_hash_table_lookup(mirror.key_revisions, key);
-    /* What a late watch or read brings must not undo what a newer one, or our own write, has shown. */
+    /* The result of a late watch or read must not replace that of a newer one or of this controller's own write. */
     if (known && known->mod_revision >= mod_revision) return;
     if (!known) {
         known = g_new0(struct key_revision, 1);
@@ -100,13 +101,13 @@
 
 int64_t store_revision(void) { return mirror.revision; }
 bool store_synced(void) { return mirror.synced; }
-struct timespec store_last_read(void) {
-    return mirror.read_at;
+struct timespec store_last_read_sent(void) {
+    return mirror.last_read_sent_at;
 }
 
 int store_watch_hold_ms(void) {
     static const double hold_min_s = 0.1, hold_max_s = 0.7;
-    /* An idle watch must return well within the time for which a read entitles to answer workers. */
+    /* An idle watch must return well before the last read becomes too old to answer workers. */
     double validity_s = clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease);
     return (int)(CLAMP(validity_s / 8, hold_min_s, hold_max_s) * MS_PER_SECOND);
 }
@@ -116,46 +117,46 @@
 }
 
 bool store_unreachable(void) {
-    static const double answer_margin_s = 0.9;
-    /* Just before an idle watch returns, the last one that did was sent two holds ago. */
-    double longest_s =
-        2 * store_watch_hold_ms() / (double)MS_PER_SECOND + clock_to_seconds(cfg->tuning.watch_gap) + answer_margin_s;
-    return !mirror.synced || clock_seconds_since(mirror.read_at) > longest_s;
+    static const double answer_delay_max_s = 0.9;
+    /* Just before an idle watch returns, the previous watch was sent two hold times and one gap ago. */
+    double idle_read_age_max_s = 2 * store_watch_hold_ms() / (double)MS_PER_SECOND +
+                                 clock_to_seconds(cfg->tuning.watch_gap) + answer_delay_max_s;
+    return !mirror.synced || clock_seconds_since(mirror.last_read_sent_at) > idle_read_age_max_s;
 }
 
-/* ---- what the watch brings ---- */
+/* ---- updates by the watch thread ---- */
 
-static gboolean forgettable(gpointer key, gpointer value, gpointer data) {
+static gboolean is_expired_removal(gpointer key, gpointer value, gpointer data) {
     (void)key;
     (void)data;
     const struct key_revision *known = value;
-    return known->removed && known->mod_revision + REMOVED_KEYS_KEPT_REVISIONS <= mirror.revision;
+    return known->removed && known->mod_revision + REMOVED_KEY_RETENTION_REVISIONS <= mirror.revision;
 }
 
-void store_mirror_watched(int64_t revision, struct timespec sent) {
+void store_mirror_apply_watch(int64_t revision, struct timespec sent_at) {
     if (revision > mirror.revision) mirror.revision = revision;
-    g_hash_table_foreach_remove(mirror.key_revisions, forgettable, NULL);
-    mirror.read_at = sent;
+    g_hash_table_foreach_remove(mirror.key_revisions, is_expired_removal, NULL);
+    mirror.last_read_sent_at = sent_at;
 }
 
-/* After a gap in the watch, the keys that were removed meanwhile are those that are not listed any more. */
-static void remove_unlisted(GHashTable *listed, int64_t revision) {
-    GPtrArray *removed = g_ptr_array_new_with_free_func(g_free);
+/* Applies the removal of the keys that a full read no longer listed. They were removed while there was no watch. */
+static void remove_unlisted_keys(GHashTable *listed_keys, int64_t revision) {
+    GPtrArray *removed_keys = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iterator;
     gpointer key, value;
     g_hash_table_iter_init(&iterator, mirror.key_revisions);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         const struct key_revision *known = value;
-        if (!known->removed && known->mod_revision <= revision && !g_hash_table_contains(listed, key))
-            g_ptr_array_add(removed, g_strdup(key));
+        if (!known->removed && known->mod_revision <= revision && !g_hash_table_contains(listed_keys, key))
+            g_ptr_array_add(removed_keys, g_strdup(key));
     }
-    for (guint i = 0; i < removed->len; i++) store_apply(removed->pdata[i], NULL, revision);
-    g_ptr_array_free(removed, TRUE);
+    for (guint i = 0; i < removed_keys->len; i++) store_apply(removed_keys->pdata[i], NULL, revision);
+    g_ptr_array_free(removed_keys, TRUE);
 }
 
-void store_mirror_read_in_full(GHashTable *listed, int64_t revision, struct timespec sent) {
-    remove_unlisted(listed, revision);
+void store_mirror_finish_full_read(GHashTable *listed_keys, int64_t revision, struct timespec sent_at) {
+    remove_unlisted_keys(listed_keys, revision);
     mirror.revision = revision;
-    mirror.read_at = sent;
+    mirror.last_read_sent_at = sent_at;
     mirror.synced = true;
 }
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -1,8 +1,8 @@
-/* The mirror: what this controller knows of the store's records, kept current by a watch (watch.c).
+/* The mirror: the state of the store as this controller has last read it, kept current by a watch (watch.c).
  *
- * The mirror itself keeps the mod revision of each key; the records are kept by the packages that they concern, which
- * observe the prefixes of their keys. store_lock is the lock of all that: it guards the mirror and the state that
- * observers and their packages keep of it. It is held for a moment at a time, never during I/O. */
+ * The mirror itself keeps only the mod revision of each key. The packages that use the records keep their contents;
+ * they register observers for the prefixes of their keys. store_lock guards both the mirror and the state that
+ * observers and their packages derive from it. */
 #ifndef FF_STORE_MIRROR_H
 #define FF_STORE_MIRROR_H
 #include <stdbool.h>
@@ -14,43 +14,46 @@
 #include "../settings/settings.h"
 #include "transaction.h"
 
-/* Before the threads start. */
+/* The functions below are called before the threads start. */
 
-/* Called with store_lock held, with the key without its prefix; data NULL: the key was removed. The data belong to the
- * caller. Observers are called in the order of their registration. */
-typedef void (*store_observer)(const char *rest, const cJSON *data, int64_t mod_revision);
+/* Called for each record that is applied, in the order of registration and with store_lock held. key_suffix is the key
+ * without the prefix; data is NULL if the key was removed. The caller owns the data. */
+typedef void (*store_observer)(const char *key_suffix, const cJSON *data, int64_t mod_revision);
 void store_observe_prefix(const char *prefix, store_observer observer);
-/* The settings are kept. */
+/* Keeps the pointer to the settings. */
 void store_mirror_init(const struct settings *settings);
 
-/* The lock of the mirror and of all that is derived from it. Held for short, never across I/O; not recursive. */
+/* Locks the mirror and all state that is derived from it. The lock is held only briefly, never during I/O, and isn't
+ * recursive. */
 void store_lock(void);
 void store_unlock(void);
 
-/* With store_lock held. */
+/* The functions below are called with store_lock held. */
 
-/* Tells the observers of a record, or of a removal where data is NULL. Serves the watch, full reads and this
- * controller's own writes alike, and drops what is older than what is known. */
+/* Passes a record to the observers of its key; data is NULL if the key was removed. Used for the results of the watch,
+ * of other reads, and of this controller's own writes. Does nothing if the mirror already has this mod revision of the
+ * key, or a later one. */
 void store_apply(const char *key, const cJSON *data, int64_t mod_revision);
-/* Applies what a transaction of this controller has written, at the revision of its response. */
+/* Applies the operations of a committed transaction of this controller; revision is that of the store's response. */
 void store_apply_committed(const struct store_txn *txn, int64_t revision);
-/* The key's mod revision; 0: it does not exist. */
+/* Returns the key's mod revision, or 0 if the key doesn't exist. */
 int64_t store_key_revision(const char *key);
-/* All changes up to this revision of the store are applied. */
+/* Returns the revision of the store up to which all changes are applied. */
 int64_t store_revision(void);
-/* Whether the store was read in full once. */
+/* Returns whether the store has been read in full at least once. */
 bool store_synced(void);
-/* When the last read that was answered, by watch or in full, was sent. */
-struct timespec store_last_read(void);
-/* Whether no read has succeeded lately. */
+/* Returns when the request of the last successful read (a watch or a full read) was sent. */
+struct timespec store_last_read_sent(void);
+/* Returns whether the store counts as unreachable: it was never read in full, or the last successful read is older than
+ * it can be while an idle watch is held. */
 bool store_unreachable(void);
 
-/* Without store_lock. */
+/* The functions below are called without store_lock. */
 
-/* Reads one key and applies it; false: no answer. */
+/* Reads one key and applies the result. Returns false if the read failed. */
 bool store_refresh(struct http_client *client, const char *key);
-/* Starts the thread that reads the store in full, then watches it. */
+/* Starts the thread that reads the store in full and then watches it. */
 void store_mirror_start(void);
-/* Lets the next watch be sent at once. May be called with store_lock held as well. */
+/* Ends the pause before the next watch. May also be called with store_lock held. */
 void store_wake_watch(void);
 #endif
--- a/src/store/mirror_updates.h
+++ b/src/store/mirror_updates.h
@@ -1,22 +1,23 @@
-/* How the watch's thread (watch.c) brings the mirror up to date. Used inside the package only. */
+/* Functions by which the watch thread (watch.c) updates the mirror. Used inside the package only. */
 #ifndef FF_STORE_MIRROR_UPDATES_H
 #define FF_STORE_MIRROR_UPDATES_H
 #include <glib.h>
 #include <stdint.h>
 #include <time.h>
 
-/* With or without store_lock. */
+/* The functions below are called with or without store_lock. */
 
-/* For how long the store is to hold a watch that finds no changes. */
+/* Returns for how long the store should hold a watch while there are no changes. */
 int store_watch_hold_ms(void);
-/* How long to wait between a watch and the next. */
+/* Returns the pause between two watches. */
 struct timespec store_watch_gap(void);
 
-/* With store_lock held. */
+/* The functions below are called with store_lock held. */
 
-/* All changes up to the revision are applied, by a watch that was sent at that time. */
-void store_mirror_watched(int64_t revision, struct timespec sent);
-/* All records were read and applied: `listed` holds the keys, the first page of the list was sent at that time, and the
- * store was at the revision then. */
-void store_mirror_read_in_full(GHashTable *listed, int64_t revision, struct timespec sent);
+/* Called after all changes of a watch are applied: records the revision up to which the mirror is now current, and when
+ * the watch was sent. */
+void store_mirror_apply_watch(int64_t revision, struct timespec sent_at);
+/* Called after all records of a full read are applied: removes the keys that aren't in listed_keys and marks the mirror
+ * as synced. revision and sent_at belong to the first page: the store's revision, and when the request was sent. */
+void store_mirror_finish_full_read(GHashTable *listed_keys, int64_t revision, struct timespec sent_at);
 #endif
--- a/src/store/rate_budget.h
+++ b/src/store/rate_budget.h
@@ -1,46 +1,50 @@
-/* Rate budget: how many requests and changes this controller may send to the store now.
+/* Rate budget: limits the requests and changes that this controller sends to the store.
  *
- * The store bounds two rates, of requests and of changes (operations in transactions), for all controllers together.
- * Each controller keeps to its part, in a token bucket for either rate, and leaves a reserve for the more urgent
- * classes. Parts are not used evenly: each controller takes more than its own while the store does not refuse, and
- * falls back when it does.
+ * The store limits two rates, of requests and of changes (operations in transactions), for all controllers together.
+ * Each controller keeps a token bucket for each rate, refilled at its share of the rate. Less urgent priorities leave a
+ * reserve in the buckets for the more urgent ones. Since the load is uneven, a controller may use a multiple of its
+ * share: this factor grows with time, and is reduced when the store rejects a request as over the rate.
  *
- * May be called from any thread, with or without store_lock; the budget has a lock of its own. Rates are a second. */
+ * The functions may be called from any thread, with or without store_lock; the budget has its own lock. All rates are
+ * per second. */
 #ifndef FF_STORE_RATE_BUDGET_H
 #define FF_STORE_RATE_BUDGET_H
 #include <stdbool.h>
 
 #include "../settings/settings.h"
 
-/* Classes of requests, the most urgent first. The first is never held back. */
+/* Priorities of requests, the most urgent first. Requests of the first are never held back. */
 enum store_priority {
     STORE_PRIORITY_LEASE,
     STORE_PRIORITY_CANCEL,
     STORE_PRIORITY_ACCEPT,
     STORE_PRIORITY_ALLOCATE,
     STORE_PRIORITY_PROGRESS,
-    STORE_PRIORITIES
+    STORE_PRIORITY_COUNT
 };
 
-/* What the store bounds the rate of. */
+/* The rates that the store limits. */
 enum store_rate { STORE_RATE_REQUESTS, STORE_RATE_CHANGES };
 
-/* Before any other function, once. The settings are kept. */
+/* Called once, before any other function of this file. Keeps the pointer to the settings. */
 void store_budget_init(const struct settings *settings);
-/* How many controllers are live, and this one's part of the changes, from 0 to 1. */
-void store_budget_set_fraction(int controllers, double changes_part);
+/* Sets the number of live controllers, by which the rate of requests is divided, and the fraction (0 to 1) of the rate
+ * of changes that this controller may use. */
+void store_budget_set_change_fraction(int n_live, double change_fraction);
 
-/* Takes one request with so many changes; false, and nothing taken, where the budget has too little for the class. */
-bool store_budget_take(enum store_priority priority, int changes);
-/* The store has refused a request as over this rate: slows down, and holds all classes but the first for a moment. */
-void store_budget_refused(enum store_rate rate);
+/* Takes one request with this number of changes from the budget. Returns false, and takes nothing, if the budget
+ * doesn't allow that for the priority. */
+bool store_budget_take(enum store_priority priority, int n_changes);
+/* Called when the store has rejected a request as over this rate. Slows down, and briefly holds back all priorities but
+ * the first. */
+void store_budget_record_refusal(enum store_rate rate);
 
-/* How many changes the budget allows to the class now. */
+/* Returns how many changes the budget currently allows for the priority. */
 int store_budget_available(enum store_priority priority);
-/* How many times its part of the rate this controller takes now. */
+/* Returns the multiple of its share of the rate that this controller may currently use. */
 double store_budget_rate_factor(enum store_rate rate);
-/* Whether requests should be gathered into fewer. */
+/* Returns whether few requests are left in the budget, so that callers should combine theirs. */
 bool store_budget_requests_scarce(void);
-/* Since the start. */
+/* Returns the number of requests taken from the budget since the start. */
 unsigned store_budget_requests_sent(void);
 #endif
--- a/src/store/request.c
+++ b/src/store/request.c
@@ -13,7 +13,7 @@
 
 void store_request_init(const struct settings *settings) { cfg = settings; }
 
-static enum store_answer answer_of_status(long status) {
+static enum store_answer answer_from_status(long status) {
     static const struct {
         long status;
         enum store_answer answer;
@@ -44,7 +44,7 @@
         default:
             break;
     }
-    enum store_answer answer = answer_of_status(status);
-    if (answer == STORE_ANSWER_OVER_RATE) store_budget_refused(request->rate);
+    enum store_answer answer = answer_from_status(status);
+    if (answer == STORE_ANSWER_OVER_RATE) store_budget_record_refusal(request->rate);
     return answer;
 }
--- a/src/store/request.h
+++ b/src/store/request.h
@@ -1,6 +1,6 @@
-/* One HTTP request to the store. Used by client.c and watch.c only.
+/* Sends one HTTP request to the store. Used by client.c and watch.c only.
  *
- * Blocks for up to the time-out, so it is never called with store_lock held. */
+ * store_request_send blocks for up to the request's timeout, so it must not be called with store_lock held. */
 #ifndef FF_STORE_REQUEST_H
 #define FF_STORE_REQUEST_H
 #include "../http/client.h"
@@ -8,20 +8,21 @@
 #include "../settings/settings.h"
 #include "rate_budget.h"
 
-#define STORE_PATH_BYTES 400 /* of a request's path with its query */
+#define STORE_PATH_BYTES 400 /* size of a request's path with its query, including the terminating null byte */
 
 struct store_request {
     const char *method, *path;
-    const char *body; /* NULL: none */
+    const char *body; /* NULL: no body */
     long timeout_ms;
-    enum store_rate rate; /* which of the store's rates it counts against first */
+    enum store_rate rate; /* reported to the rate budget if the store rejects the request as over the rate */
 };
 
-/* What the store answered, by the HTTP status, or that it did not.
+/* The store's answer to a request, by its HTTP status, or the reason for which there is none.
  *
- * NOT_SENT, OVER_RATE, UNAVAILABLE: surely not carried out. MALFORMED: surely not carried out, nor would it be if sent
- * again. NO_ANSWER: it may have been carried out, or may be yet. What OK, CONFLICT, NOT_FOUND and COMPACTED mean
- * depends on the request; COMPACTED: the store no longer holds the events that a watch asks for. */
+ * NOT_SENT, OVER_RATE, UNAVAILABLE: the request was definitely not carried out. MALFORMED: it was definitely not
+ * carried out, and won't be if it is sent again. NO_ANSWER: it may have been carried out, or may still be. COMPACTED:
+ * the store no longer holds the events that a watch requests. The meaning of OK, CONFLICT and NOT_FOUND depends on the
+ * request. */
 enum store_answer {
     STORE_ANSWER_OK,
     STORE_ANSWER_CONFLICT,
@@ -35,9 +36,9 @@
     STORE_ANSWER_UNEXPECTED
 };
 
-/* Before any other function, once. The settings are kept. */
+/* Called once, before any other function of this file. Keeps the pointer to the settings. */
 void store_request_init(const struct settings *settings);
-/* Sends the request and tells the rate budget of a refusal. *body is the answer's body, for the caller to free; NULL
- * where there is none. */
+/* Sends the request. If the store rejects it as over the rate, the rate budget is informed. Sets *body to the answer's
+ * body, which the caller frees, or to NULL if there is none. */
 enum store_answer store_request_send(struct http_client *client, const struct store_request *request, cJSON **body);
 #endif
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,11 +1,11 @@
-/* The store: the service that holds the records which controllers share, with compare-and-swap transactions, leases and
- * watches.
+/* Access to the store, the service that holds the records shared by the controllers. It offers compare-and-swap
+ * transactions, leases and watches.
  *
  * keys.h          keys of the records
  * transaction.h   transactions and their results
  * client.h        requests: transactions, reads of one key, leases
- * rate_budget.h   how many requests and changes may be sent now
- * mirror.h        store_lock, and what is known of the records */
+ * rate_budget.h   limits on the requests and changes that this controller sends
+ * mirror.h        store_lock, and the state that this controller has read from the store */
 #ifndef FF_STORE_H
 #define FF_STORE_H
 #include "../settings/settings.h"
@@ -15,6 +15,7 @@
 #include "rate_budget.h"
 #include "transaction.h"
 
-/* Before any other function of the package, once, from the program's main thread. The settings are kept. */
+/* Called once, from the program's main thread, before any other function of the package. Keeps the pointer to the
+ * settings. */
 void store_init(const struct settings *settings);
 #endif
--- a/src/store/transaction.c
+++ b/src/store/transaction.c
@@ -19,9 +19,9 @@
 }
 
 void store_txn_compare(struct store_txn *txn, const char *key, int64_t mod_revision) {
-    const cJSON *present;
-    cJSON_ArrayForEach(present, txn->comparisons) {
-        if (strcmp(json_get_string(present, "path"), key) == 0) return;
+    const cJSON *existing;
+    cJSON_ArrayForEach(existing, txn->comparisons) {
+        if (strcmp(json_get_string(existing, "path"), key) == 0) return;
     }
     cJSON *comparison = cJSON_CreateObject();
     cJSON_AddStringToObject(comparison, "path", key);
@@ -54,7 +54,7 @@
 }
 
 struct store_change store_change_read(const cJSON *operation) {
-    const char *put = json_get_string(operation, "set");
-    if (put) return (struct store_change){put, cJSON_GetObjectItemCaseSensitive(operation, "data")};
+    const char *put_key = json_get_string(operation, "set");
+    if (put_key) return (struct store_change){put_key, cJSON_GetObjectItemCaseSensitive(operation, "data")};
     return (struct store_change){json_get_string(operation, "remove"), NULL};
 }
--- a/src/workers/directives_test.c
+++ b/src/workers/directives_test.c
@@ -77,7 +77,7 @@
         clock_sleep(clock_from_seconds(0.05));
         store_lock();
         may_start = membership_may_start_tasks();
-        may_answer = membership_may_answer();
+        may_answer = membership_may_answer_workers();
         store_unlock();
     }
     assert_false(may_start);
--- a/src/workers/dispatcher.c
+++ b/src/workers/dispatcher.c
@@ -61,7 +61,7 @@
     const struct machine_commands *commands = &machine->commands;
     if (!machine->address[0] || commands->in_flight || machine->retirement.released) return false;
     if (!commands->needs_token_probe && (commands->outcome_unknown || !machine->liveness.up)) return false;
-    return membership_may_answer();
+    return membership_may_answer_workers();
 }
 
 /* Tells whether the machine must be probed before it is sent directives. A machine with an unanswered command must be:
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -124,7 +124,7 @@
     update_address(machine, heartbeat->address);
     /* The machine has already received a later owner's fencing token. */
     if (heartbeat->fencing_token > machines_fencing_token(machine)) return other_controller_response(NULL);
-    return membership_may_answer() ? apply_and_respond(machine, heartbeat) : retry_response();
+    return membership_may_answer_workers() ? apply_and_respond(machine, heartbeat) : retry_response();
 }
 
 /* Decides the response to the heartbeat. With store_lock held. */
--- a/src/workers/proxy.c
+++ b/src/workers/proxy.c
@@ -17,8 +17,8 @@
 
 bool proxy_may_answer(const struct machine *machine) {
     const char *owner = machine->shard < 0 ? "" : membership_shard(machine->shard)->owner;
-    return store_unreachable() && membership_may_answer() && strcmp(machine->zone, settings->area) == 0 &&
-           strcmp(owner, settings->node) != 0 && !peers_reach(owner);
+    return store_unreachable() && membership_may_answer_workers() && strcmp(machine->zone, settings->area) == 0 &&
+           strcmp(owner, settings->node) != 0 && !peers_is_reachable(owner);
 }
 
 static int count_cancelled_allocations(const struct machine *machine) {
