--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -130,7 +130,7 @@
 void submit_add_record(const struct api_request *request, struct store_txn *txn, const char *key) {
     if (is_refused(request)) return;
     enum job_state state = dependencies_any_cancelled(request->prerequisites) ? JOB_CANCELLED : JOB_QUEUED;
-    int shard = request->team < 0 ? -1 : quota_shard_of_new(request->team, request->job_id);
+    int shard = request->team < 0 ? -1 : quota_shard_for_new_job(request->team, request->job_id);
     store_txn_put(txn, key, jobs_accepted_value(request->spec_text, state, clock_time_of_day(), shard), 0);
 }
 
--- a/src/autoscaler/rental_choice.c
+++ b/src/autoscaler/rental_choice.c
@@ -19,7 +19,7 @@
 /* Machines of the shard by zone, counted once a plan. */
 static struct {
     const struct settings *settings;
-    int n_machines[SETTINGS_ZONES];
+    int n_machines[SETTINGS_ZONES_MAX];
     int lot; /* machines that go to one zone before another is preferred */
 } zones = {.lot = 1};
 
--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -48,7 +48,7 @@
 }
 
 static void add_owned(struct return_list *list, bool busy) {
-    for (int shard = 0; shard < autoscaler_settings->size; shard++)
+    for (int shard = 0; shard < autoscaler_settings->n_shards; shard++)
         if (membership_owns(shard)) add_of_shard(list, shard, busy);
 }
 
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -50,7 +50,7 @@
 
 static void count_machine(struct occupancy_summary *summary, struct machine *machine,
                           const struct machine *reception_machine) {
-    int window = (int)autoscaler_settings->tuning.window;
+    int window = (int)autoscaler_settings->tuning.occupancy_window;
     struct candidate candidate = {machine, placement_occupancy(machine, window)};
     summary->occupied += candidate.occupancy;
     if (machine->retirement.draining) {
@@ -96,9 +96,11 @@
 static void run_kind(int shard, bool spot) {
     const struct settings_tuning *tuning = &autoscaler_settings->tuning;
     struct occupancy_summary summary = summarize_occupancy(shard, spot);
-    double headroom = placement_headroom(summary.n, summary.occupied, spot ? tuning->admission : tuning->reception,
-                                         tuning->admission);
-    int n_drains = scale_in_drains(summary.n, headroom, tuning->margin, tuning->admission, summary.n_draining);
+    double headroom = placement_headroom(summary.n, summary.occupied,
+                                         spot ? tuning->admission_threshold : tuning->reception_threshold,
+                                         tuning->admission_threshold);
+    int n_drains =
+        scale_in_drains(summary.n, headroom, tuning->headroom_margin, tuning->admission_threshold, summary.n_draining);
     if (n_drains > 0 && may_drain(shard, &summary)) {
         g_array_sort(summary.candidates, least_occupied_first);
         for (guint i = 0; i < summary.candidates->len && (int)i < n_drains; i++) {
@@ -106,7 +108,7 @@
             drain(machine);
             log_info("machine %s: draining (shard %d, %s, machines %d, occupancy %.2f, headroom %.2f)", machine->id,
                      shard, spot ? "spot" : "on-demand", summary.n - (int)i, summary.occupied, headroom);
-            headroom -= tuning->admission;
+            headroom -= tuning->admission_threshold;
         }
     }
     g_array_free(summary.candidates, TRUE);
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -92,7 +92,7 @@
     const struct job_spec *spec = &rental->job->spec;
     if (!spec->allows_spot) return RENTAL_SPOT_FIRST;
     plan->backlog_gpu_s += fmax(spec->runtime_s, RUNTIME_MIN_S) * spec->gpus;
-    double wanted_s = settings_objective_within(settings, OBJECTIVE_FINISHED, spec->job_class, FINISHED_DEFAULT_S);
+    double wanted_s = settings_shortest_objective_s(settings, OBJECTIVE_FINISHED, spec->job_class, FINISHED_DEFAULT_S);
     bool too_slow =
         plan->backlog_gpus > 0 && plan->backlog_gpu_s / plan->backlog_gpus > settings->tuning.spot_backlog * wanted_s;
     return rental->within_guarantee || too_slow ? RENTAL_SPOT_FIRST : RENTAL_SPOT_ONLY;
@@ -174,8 +174,8 @@
     if (plan->n_requested > 0 || plan->booting || !reception || plan->below_admission || shard_plan_room(plan) <= 0)
         return;
     const struct job *job = on_demand_job_on(reception);
-    double occupancy = placement_occupancy(reception, (int)settings->tuning.window);
-    bool lone_below_threshold = plan->n_steady == 1 && occupancy <= settings->tuning.reception;
+    double occupancy = placement_occupancy(reception, (int)settings->tuning.occupancy_window);
+    bool lone_below_threshold = plan->n_steady == 1 && occupancy <= settings->tuning.reception_threshold;
     struct rental_request request = {0};
     if (job && !lone_below_threshold && rental_choice_find(plan->shard, job, NULL, RENTAL_SPOT_FIRST, &request))
         planned_machine_add(plan->machines, request.type_name, request.zone, request.spot);
@@ -269,7 +269,7 @@
  * go before as many for arrays, but not before fifty. */
 int scale_out_plan(struct rental_request *out, int most) {
     struct request_list list = {out, 0, most};
-    for (int shard = 0; shard < settings->size; shard++) {
+    for (int shard = 0; shard < settings->n_shards; shard++) {
         if (membership_owns(shard) && membership_may_answer_workers() &&
             clock_seconds_since(shard_states[shard].owned_since) > OWNED_S)
             rent_for_shard(shard, &list);
--- a/src/autoscaler/shard_plan.c
+++ b/src/autoscaler/shard_plan.c
@@ -53,7 +53,7 @@
         if (planned) planned->kept_for_gangs = true;
     }
     if (machine != plan->reception_machine &&
-        placement_occupancy(machine, (int)settings->tuning.window) < settings->tuning.admission)
+        placement_occupancy(machine, (int)settings->tuning.occupancy_window) < settings->tuning.admission_threshold)
         plan->below_admission = true;
 }
 
--- a/src/autoscaler/shard_status.c
+++ b/src/autoscaler/shard_status.c
@@ -41,7 +41,7 @@
     status->n_draining += machine->retirement.draining;
     if (!machine->liveness.up || !machine->type) return;
     kind->gpus += machine->type->gpus;
-    status->occupied += placement_occupancy(machine, (int)autoscaler_settings->tuning.window);
+    status->occupied += placement_occupancy(machine, (int)autoscaler_settings->tuning.occupancy_window);
     count_allocated(status, machine);
 }
 
@@ -61,7 +61,7 @@
     struct shard_status status = count_shard(shard);
     const struct kind_status *on_demand = &status.on_demand, *spot = &status.spot;
     double headroom = placement_headroom(on_demand->n_up + spot->n_up - status.n_draining, status.occupied,
-                                         tuning->reception, tuning->admission);
+                                         tuning->reception_threshold, tuning->admission_threshold);
     log_info(
         "shard %d: pending %d/%d/%d/%d tasks (production to idle), up %d on-demand %d spot, booting %d+%d, draining "
         "%d, gpus allocated %.0f of %.0f on-demand (%.0f by preemptible work), %.0f of %.0f spot, occupancy %.2f, "
--- a/src/cloud/client.c
+++ b/src/cloud/client.c
@@ -44,7 +44,7 @@
     const struct settings *settings = client.settings;
     int n_owned = 0;
     store_lock();
-    int n_shards = quota_any_divided() ? settings->size : MIN(settings->size, settings->n_teams);
+    int n_shards = quota_any_divided() ? settings->n_shards : MIN(settings->n_shards, settings->n_teams);
     for (int shard = 0; shard < n_shards; shard++) n_owned += membership_owns(shard);
     double least = OWNERLESS_CALL_PART / membership_live_controllers();
     store_unlock();
@@ -82,7 +82,7 @@
 struct cloud_answer cloud_client_call(const char *method, const char *path, const char *body) {
     char url[URL_MAX];
     struct cloud_answer answer = {HTTP_NOT_SENT, 0, NULL};
-    snprintf(url, sizeof url, "http://%s%s", client.settings->cloud, path);
+    snprintf(url, sizeof url, "http://%s%s", client.settings->cloud_address, path);
     answer.outcome = http_call(cloud_client_http(), method, url, body, CALL_TIMEOUT_MS, &answer.status, &answer.body);
     slow_down(&answer);
     return answer;
--- a/src/jobs/job_record.c
+++ b/src/jobs/job_record.c
@@ -40,7 +40,7 @@
 
 static int read_shard(const cJSON *data) {
     int64_t shard;
-    return json_get_int64(data, FIELD_SHARD, &shard) && shard < settings->size ? (int)shard : -1;
+    return json_get_int64(data, FIELD_SHARD, &shard) && shard < settings->n_shards ? (int)shard : -1;
 }
 
 struct job_record job_record_read(const cJSON *data) {
--- a/src/liveness/isolation.c
+++ b/src/liveness/isolation.c
@@ -38,7 +38,7 @@
 struct liveness_summary liveness_summary(void) {
     struct liveness_summary summary = {.shortest_silence_s = HUGE_VAL};
     double recent_s = silence_heard_recently_s();
-    for (int shard = 0; shard < liveness_settings->size; shard++) {
+    for (int shard = 0; shard < liveness_settings->n_shards; shard++) {
         for (guint i = 0; membership_owns(shard) && i < machines_of_shard(shard)->len; i++)
             add_to_summary(&summary, machines_of_shard(shard)->pdata[i], recent_s);
     }
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -136,14 +136,14 @@
     if (machine->allocations->len == 0) {
         log_info("machine %s: drained, returning it", machine->id);
         retirement->return_wanted = true;
-    } else if (clock_has_elapsed(retirement->drain_since, liveness_settings->tuning.drain_reopen)) {
+    } else if (clock_has_elapsed(retirement->drain_since, liveness_settings->tuning.drain_timeout)) {
         log_info("machine %s: still busy, drain cancelled", machine->id);
         retirement->draining = false;
     }
 }
 
 void liveness_check_machines(int shard, const struct liveness_summary *summary) {
-    struct zone_contact contacts[SETTINGS_ZONES];
+    struct zone_contact contacts[SETTINGS_ZONES_MAX];
     for (guint i = 0; i < jobs_active_of(shard)->len; i++)
         ((struct job *)jobs_active_of(shard)->pdata[i])->replicas_at_risk = 0;
     zones_update(shard, contacts);
--- a/src/liveness/return_checks.c
+++ b/src/liveness/return_checks.c
@@ -69,7 +69,7 @@
 static bool silent_for_long(const struct machine *machine) {
     return clock_seconds_since(machine->liveness.last_heard) > silence_limit_s() ||
            clock_seconds_since(machine->liveness.last_heartbeat) >
-               clock_to_seconds(liveness_settings->lease) + silence_limit_s();
+               clock_to_seconds(liveness_settings->worker_lease) + silence_limit_s();
 }
 
 static bool has_been_silent(const struct machine *machine, const struct shard_check *check) {
@@ -119,7 +119,7 @@
         if (!allocation->released && allocation->seen && allocation->job->state == JOB_CANCELLED &&
             return_checks_stop_overdue(
                 clock_seconds_since(allocation->job->ended), clock_seconds_since(machine->liveness.last_heartbeat),
-                clock_to_seconds(liveness_settings->lease), clock_to_seconds(liveness_settings->cancel)))
+                clock_to_seconds(liveness_settings->worker_lease), clock_to_seconds(liveness_settings->cancel_timeout)))
             return true;
     }
     return false;
--- a/src/liveness/silence.c
+++ b/src/liveness/silence.c
@@ -15,7 +15,8 @@
 
 /* A shorter limit led to the return of hundreds of healthy machines that sent a heartbeat every 8 s. */
 double silence_limit_s(void) {
-    return fmax(clock_to_seconds(liveness_settings->tuning.silent_return), silence_heartbeat_due_s() + PROBING_TIME_S);
+    return fmax(clock_to_seconds(liveness_settings->tuning.silence_timeout),
+                silence_heartbeat_due_s() + PROBING_TIME_S);
 }
 
 /* Shorter than every silence that has a consequence. With one limit for both, a controller that lost contact with all
--- a/src/liveness/zones.c
+++ b/src/liveness/zones.c
@@ -22,8 +22,8 @@
 #define PROXY_RESPONSE_MARGIN_S 1 /* for the last response of a controller in the zone to reach the worker */
 
 static struct {
-    bool unreachable[SHARDS_MAX][SETTINGS_ZONES];                /* as of the last zones_update */
-    struct timespec reachable_again[SHARDS_MAX][SETTINGS_ZONES]; /* when the zone was last found reachable again */
+    bool unreachable[SHARDS_MAX][SETTINGS_ZONES_MAX];                /* as of the last zones_update */
+    struct timespec reachable_again[SHARDS_MAX][SETTINGS_ZONES_MAX]; /* when the zone was last found reachable again */
 } zones;
 
 void zones_reset(void) { memset(&zones, 0, sizeof zones); }
@@ -49,13 +49,13 @@
  * answers the machine's heartbeats, which renews the lease, for as long as its last read of the store is valid. */
 double zones_task_survival_s(const char *zone) {
     const struct settings *settings = liveness_settings;
-    bool controller_in_zone = strcmp(settings->area, zone) == 0;
-    for (int i = 0; i < settings->n_seeds; i++) controller_in_zone |= strcmp(settings->seeds[i].area, zone) == 0;
-    return clock_to_seconds(settings->lease) +
+    bool controller_in_zone = strcmp(settings->zone, zone) == 0;
+    for (int i = 0; i < settings->n_seeds; i++) controller_in_zone |= strcmp(settings->seeds[i].zone, zone) == 0;
+    return clock_to_seconds(settings->worker_lease) +
            (controller_in_zone ? membership_read_validity_s() + PROXY_RESPONSE_MARGIN_S : 0);
 }
 
-static void count_machines(int shard, struct zone_contact contacts[SETTINGS_ZONES]) {
+static void count_machines(int shard, struct zone_contact contacts[SETTINGS_ZONES_MAX]) {
     double recent_s = silence_heard_recently_s();
     for (int i = 0; i < liveness_settings->n_zones; i++) contacts[i] = (struct zone_contact){0, 0, NEVER_S};
     for (guint i = 0; i < machines_of_shard(shard)->len; i++) {
@@ -80,7 +80,7 @@
 }
 
 /* A zone from which no machine is heard is treated as unreachable, rather than each of its machines as failed. */
-void zones_update(int shard, struct zone_contact contacts[SETTINGS_ZONES]) {
+void zones_update(int shard, struct zone_contact contacts[SETTINGS_ZONES_MAX]) {
     double interval_s = clock_to_seconds(liveness_settings->heartbeat_interval);
     count_machines(shard, contacts);
     for (int i = 0; i < liveness_settings->n_zones; i++)
--- a/src/liveness/zones.h
+++ b/src/liveness/zones.h
@@ -16,7 +16,7 @@
 /* Marks all zones as reachable. */
 void zones_reset(void);
 /* Fills contacts, one per zone, and updates which zones are unreachable for the shard. */
-void zones_update(int shard, struct zone_contact contacts[SETTINGS_ZONES]);
+void zones_update(int shard, struct zone_contact contacts[SETTINGS_ZONES_MAX]);
 /* Whether the last zones_update of the shard found the zone unreachable. */
 bool zones_unreachable(int shard, int zone);
 /* Time since the zone was last found reachable again. */
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -47,7 +47,7 @@
         return jobs_shard(allocation->job);
     }
     const char *dash = strrchr(id, '-');
-    return dash ? (int)(g_ascii_strtoull(dash + 1, NULL, 10) % (guint64)machines_settings->size) : 0;
+    return dash ? (int)(g_ascii_strtoull(dash + 1, NULL, 10) % (guint64)machines_settings->n_shards) : 0;
 }
 
 struct machine *machines_find_or_stub(const char *id) {
--- a/src/machines/records.c
+++ b/src/machines/records.c
@@ -83,7 +83,7 @@
     if (!slash) return false;
     *shard = (int)g_ascii_strtoll(rest, NULL, 10);
     *number = (int)g_ascii_strtoll(slash + 1, NULL, 10);
-    return *shard >= 0 && *shard < machines_settings->size && *number >= 0 && *number < MACHINE_PAGES_MAX;
+    return *shard >= 0 && *shard < machines_settings->n_shards && *number >= 0 && *number < MACHINE_PAGES_MAX;
 }
 
 static void apply_page(const char *rest, const cJSON *data, int64_t mod_revision) {
@@ -142,7 +142,7 @@
         return;
     }
     if (result == MACHINE_SINGLE_MALFORMED || strlen(id) >= MACHINE_ID_SIZE || shard < 0 ||
-        shard >= machines_settings->size) {
+        shard >= machines_settings->n_shards) {
         log_error("machine/%s: can't be read", id);
         return;
     }
--- a/src/membership/lease.c
+++ b/src/membership/lease.c
@@ -44,14 +44,14 @@
 
 bool lease_join(struct http_client *client) {
     int64_t granted_lease;
-    if (store_lease_grant(client, cfg->tuning.node_lease, &granted_lease) == STORE_OK)
+    if (store_lease_grant(client, cfg->tuning.controller_lease, &granted_lease) == STORE_OK)
         write_node_record(client, granted_lease);
     lease.renewed_at = clock_now();
     return lease.id != 0;
 }
 
 bool lease_renew_if_due(struct http_client *client) {
-    if (clock_seconds_since(lease.renewed_at) <= clock_to_seconds(cfg->tuning.node_lease) / 4) return true;
+    if (clock_seconds_since(lease.renewed_at) <= clock_to_seconds(cfg->tuning.controller_lease) / 4) return true;
     enum store_result result = store_lease_renew(client, lease.id);
     if (result == STORE_OK) lease.renewed_at = clock_now();
     if (result != STORE_CONFLICT) return true;
--- a/src/membership/read_validity.c
+++ b/src/membership/read_validity.c
@@ -23,9 +23,9 @@
 double membership_read_validity_s(void) {
     static const double timer_margin_max_s = 0.5, timer_margin_fraction = 0.1;
     static const double drift_margin_fraction = 0.002;
-    double validity_without_margin_s = clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease);
+    double validity_without_margin_s = clock_to_seconds(cfg->cancel_timeout) - clock_to_seconds(cfg->worker_lease);
     return validity_without_margin_s - MIN(timer_margin_max_s, validity_without_margin_s * timer_margin_fraction) -
-           drift_margin_fraction * clock_to_seconds(cfg->cancel);
+           drift_margin_fraction * clock_to_seconds(cfg->cancel_timeout);
 }
 
 bool membership_may_answer_workers(void) {
--- a/src/membership/records.c
+++ b/src/membership/records.c
@@ -113,10 +113,10 @@
  * shards have changed. */
 static void update_write_fraction(void) {
     int n_owned = 0;
-    for (int i = 0; i < cfg->size; i++)
+    for (int i = 0; i < cfg->n_shards; i++)
         n_owned += is_this_incarnation(records.shards[i].owner, records.shards[i].incarnation);
     int n_live = membership_live_controllers();
-    store_budget_set_change_fraction(n_live, membership_write_fraction(n_live, cfg->size, n_owned));
+    store_budget_set_change_fraction(n_live, membership_write_fraction(n_live, cfg->n_shards, n_owned));
 }
 
 static struct node *find_or_add_node(const char *name) {
--- a/src/membership/shard_assignment.c
+++ b/src/membership/shard_assignment.c
@@ -56,7 +56,7 @@
 }
 
 bool shard_assignment_reclaim(struct store_txn *txn) {
-    for (int i = 0; i < cfg->size; i++) {
+    for (int i = 0; i < cfg->n_shards; i++) {
         const struct shard *shard = membership_shard(i);
         if (strcmp(shard->owner, cfg->node) != 0 || strcmp(shard->incarnation, membership_incarnation()) == 0) continue;
         add_assignment(txn, i, records_own_node());
@@ -92,7 +92,7 @@
 }
 
 static void list_owners(struct ownership *ownership) {
-    for (int i = 0; i < cfg->size; i++) {
+    for (int i = 0; i < cfg->n_shards; i++) {
         const struct node *owner = records_find_node(membership_shard(i)->owner);
         ownership->owners[i] = eligible_index(ownership, owner);
         if (ownership->owners[i] == NO_OWNER) ownership->has_orphans = true;
@@ -103,7 +103,7 @@
  * for half of lease_s. This keeps shards from flapping when a controller comes and goes, and lets the restart or
  * recovery that brought the controller back finish first, since a new owner has to query all machines again. */
 static bool may_move_for_balance(const struct node *new_owner, const struct shard *shard) {
-    double wait_s = clock_to_seconds(cfg->lease) / 2;
+    double wait_s = clock_to_seconds(cfg->worker_lease) / 2;
     return clock_seconds_since(new_owner->live_since) >= wait_s &&
            clock_seconds_since(shard->owner_changed_at) >= wait_s;
 }
@@ -113,7 +113,7 @@
     int new_owner_index = 0;
     list_eligible(&ownership);
     list_owners(&ownership);
-    int index = membership_plan_assignment(cfg->size, ownership.owners, ownership.n_nodes, &new_owner_index);
+    int index = membership_plan_assignment(cfg->n_shards, ownership.owners, ownership.n_nodes, &new_owner_index);
     if (index == NO_SHARD) return false;
     const struct shard *shard = membership_shard(index);
     const struct node *new_owner = ownership.nodes[new_owner_index], *previous_owner = records_find_node(shard->owner);
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -32,7 +32,7 @@
     pthread_mutex_t lock;
     pthread_cond_t hint_added;
     unsigned n_hints; /* calls of peers_notify_store_change; each thread compares it with the number it has handled */
-    struct peer peers[SETTINGS_SEEDS];
+    struct peer peers[SETTINGS_SEEDS_MAX];
 } shared = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
 /* ---- requests from peers ---- */
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -41,7 +41,8 @@
 
 struct placement_rules placement_rules(int shard) {
     const struct settings_tuning *tuning = &placement_settings->tuning;
-    return (struct placement_rules){tuning->reception, tuning->admission, placement_reception(shard)};
+    return (struct placement_rules){tuning->reception_threshold, tuning->admission_threshold,
+                                    placement_reception(shard)};
 }
 
 /* Counts what is allocated on the machine. What is over takes no room, and is to be written. */
@@ -87,7 +88,7 @@
         machine->round.dirty = machine->round.leaves_page = false;
         machine->round.next_token = 0;
         machine->round.next_page = -1;
-        machine->round.occupancy = placement_occupancy(machine, (int)placement_settings->tuning.window);
+        machine->round.occupancy = placement_occupancy(machine, (int)placement_settings->tuning.occupancy_window);
         count_used(machine);
         machine->round.schedulable = is_schedulable(machine, shard, overdue_s);
     }
--- a/src/preemption/gang_zone.c
+++ b/src/preemption/gang_zone.c
@@ -40,7 +40,7 @@
 
 struct gang_zone preemption_gang_zone(const struct priority_entry *entry, const GPtrArray *machines) {
     const struct job *job = entry->job;
-    struct zone_room rooms[SETTINGS_ZONES] = {{0, 0}};
+    struct zone_room rooms[SETTINGS_ZONES_MAX] = {{0, 0}};
     for (guint i = 0; i < machines->len; i++) {
         const struct machine *machine = machines->pdata[i];
         if (!machine->round.schedulable || !machine->type || !placement_allowed(machine, job, NULL, NULL)) continue;
--- a/src/preemption/make_room.c
+++ b/src/preemption/make_room.c
@@ -68,7 +68,7 @@
 static void preempt_until_fits(struct machine *machine, const struct priority_entry *entry,
                                enum preempted_tasks which) {
     double wait_s =
-        settings_objective_within(preemption_settings, OBJECTIVE_WAIT, entry->job->spec.job_class, WAIT_ACCEPTED_S);
+        settings_shortest_objective_s(preemption_settings, OBJECTIVE_WAIT, entry->job->spec.job_class, WAIT_ACCEPTED_S);
     for (guint i = machine->allocations->len; i-- > 0;) {
         struct allocation *allocation = machine->allocations->pdata[i];
         if (placement_fits(machine, &entry->job->spec)) return;
--- a/src/preemption/preemptible.c
+++ b/src/preemption/preemptible.c
@@ -57,5 +57,5 @@
     if (!machine->type || g_hash_table_contains(machine->images, job->spec.image)) return false;
     double rate = machine->type->fetch_rate > FETCH_RATE_LEAST ? machine->type->fetch_rate : FETCH_RATE_LEAST;
     return job->spec.image_gb / rate >
-           settings_objective_within(preemption_settings, OBJECTIVE_WAIT, job->spec.job_class, NO_OBJECTIVE_S);
+           settings_shortest_objective_s(preemption_settings, OBJECTIVE_WAIT, job->spec.job_class, NO_OBJECTIVE_S);
 }
--- a/src/preemption/preemption_test.c
+++ b/src/preemption/preemption_test.c
@@ -77,7 +77,7 @@
         struct priority_entry entry = {.job = owned_job(job_id, "batch", "high", 1, 8, 2, false, false, 5)};
         entry.job->spec.gpus = rows[i].gpus;
         placement_prepare_machines(0);
-        struct team_usage usage[SETTINGS_TEAMS] = {{0, 0}};
+        struct team_usage usage[SETTINGS_TEAMS_MAX] = {{0, 0}};
         g_autoptr(GPtrArray) candidates = g_ptr_array_new();
         for (int k = rows[i].machines - 1; k >= 0; k--) g_ptr_array_add(candidates, machines[k]);
         bool made = preemption_make_room(&entry, candidates, NULL, usage);
--- a/src/preemption/team_usage.c
+++ b/src/preemption/team_usage.c
@@ -7,7 +7,7 @@
 #include "../quota/quota.h"
 #include "internal.h"
 
-static struct team_usage held[SETTINGS_TEAMS]; /* in all shards, as preemption_refresh counted it */
+static struct team_usage held[SETTINGS_TEAMS_MAX]; /* in all shards, as preemption_refresh counted it */
 
 bool preemption_quota_left(const struct team_usage *usage, const struct job *job, int tasks) {
     const struct quota_bound limit = quota_bound(job->spec.team, jobs_shard(job));
--- a/src/priority/due.c
+++ b/src/priority/due.c
@@ -58,7 +58,7 @@
     }
     if (missed_s > 0) return job->ready + next_after_missed_s(missed_s, earliest_end_s);
     if (due_has_objective(settings, job))
-        return job->ready + settings_objective_within(settings, OBJECTIVE_WAIT, job->spec.job_class, 0);
+        return job->ready + settings_shortest_objective_s(settings, OBJECTIVE_WAIT, job->spec.job_class, 0);
     /* A job without an objective ranks like a job that has missed the longest objective. Treated as due at once, a
      * guest team's arrays without an objective kept arrays with an objective waiting for 400 s. */
     return job->ready + next_after_missed_s(longest_objective_s(settings), earliest_end_s);
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -19,7 +19,7 @@
 
 /* Resources requested by each team's unfinished jobs, summed over the jobs visited so far. */
 struct team_demand {
-    double vcpus[SETTINGS_TEAMS], gpus[SETTINGS_TEAMS];
+    double vcpus[SETTINGS_TEAMS_MAX], gpus[SETTINGS_TEAMS_MAX];
 };
 
 static int compare_entries(gconstpointer left, gconstpointer right) {
--- a/src/quota/allotments.c
+++ b/src/quota/allotments.c
@@ -5,12 +5,15 @@
 #include <stdint.h>
 #include <string.h>
 
-#define STEPS 16 /* an allotment changes by a sixteenth of the limit at least, so that it need not change often */
+/* Allotments change by at least 1/16 of the limit where possible, so that they change seldom. */
+#define STEPS_PER_LIMIT 16
 
-int quota_shard_at(int home, int size, int index) { return (home + index) % size; }
+int quota_shard_by_index(int home_shard, int cluster_shards, int index) {
+    return (home_shard + index) % cluster_shards;
+}
 
-int quota_shard_for(const char *job_id, int home, int size, int shards) {
-    return quota_shard_at(home, size, (int)(g_str_hash(job_id) % (guint)MAX(shards, 1)));
+int quota_shard_for_job(const char *job_id, int home_shard, int cluster_shards, int team_shards) {
+    return quota_shard_by_index(home_shard, cluster_shards, (int)(g_str_hash(job_id) % (guint)MAX(team_shards, 1)));
 }
 
 int quota_allotment_index(const struct quota_record *record, int shard) {
@@ -19,33 +22,33 @@
     return -1;
 }
 
-struct quota_allotment *quota_allotment_of(struct quota_record *record, int shard) {
+struct quota_allotment *quota_find_allotment(struct quota_record *record, int shard) {
     int index = quota_allotment_index(record, shard);
     return index < 0 ? NULL : &record->allotments[index];
 }
 
-bool quota_allotment_closing(const struct quota_record *record, int home, int size, int shard) {
-    return (shard - home + size) % size >= record->shards;
+bool quota_allotment_closing(const struct quota_record *record, int home_shard, int cluster_shards, int shard) {
+    return (shard - home_shard + cluster_shards) % cluster_shards >= record->n_shards;
 }
 
-static const struct quota_amount nothing;
+static const struct quota_amount zero_amount;
 
-static bool negative(struct quota_amount amount) {
-    return !quota_amount_equal(quota_amount_least(amount, nothing), nothing);
+static bool is_negative(struct quota_amount amount) {
+    return !quota_amount_equal(quota_amount_min(amount, zero_amount), zero_amount);
 }
 
-const char *quota_record_fault(const struct quota_record *record) {
+const char *quota_record_violation(const struct quota_record *record) {
     struct quota_amount limit = record->unassigned, guarantee = record->guarantee_unassigned;
-    if (record->n_allotments < 1 || record->n_allotments > QUOTA_SHARDS_MAX) return "its number of parts";
-    if (record->shards < 1 || record->shards > QUOTA_SHARDS_MAX) return "its number of shares";
-    if (record->epoch < 1) return "its epoch";
-    if (negative(record->limit) || negative(record->guarantee) || negative(record->guarantee_unassigned))
+    if (record->n_allotments < 1 || record->n_allotments > QUOTA_SHARDS_MAX) return "invalid number of parts";
+    if (record->n_shards < 1 || record->n_shards > QUOTA_SHARDS_MAX) return "invalid number of shares";
+    if (record->epoch < 1) return "invalid epoch";
+    if (is_negative(record->limit) || is_negative(record->guarantee) || is_negative(record->guarantee_unassigned))
         return "a negative amount";
     for (int i = 0; i < record->n_allotments; i++) {
         const struct quota_allotment *allotment = &record->allotments[i];
-        if (negative(allotment->limit) || negative(allotment->guarantee)) return "a negative part";
+        if (is_negative(allotment->limit) || is_negative(allotment->guarantee)) return "a negative part";
         for (int other = 0; other < i; other++)
-            if (record->allotments[other].shard == allotment->shard) return "a share with two parts";
+            if (record->allotments[other].shard == allotment->shard) return "two parts for one share";
         limit = quota_amount_sum(limit, allotment->limit);
         guarantee = quota_amount_sum(guarantee, allotment->guarantee);
     }
@@ -54,57 +57,58 @@
     return NULL;
 }
 
-/* The guarantee lies in equal allotments with the shards that take new jobs, the rest of the division with the first.
- * These allotments need not follow the demand: see quota_over_guarantee. */
-static void divide_guarantee(struct quota_record *record, int home, int size) {
-    record->guarantee_unassigned = nothing;
+/* Divides the guarantee equally among the shards that take new jobs; the home shard also gets the remainder of the
+ * division. These allotments need not follow the demand: see quota_over_guarantee. */
+static void divide_guarantee(struct quota_record *record, int home_shard, int cluster_shards) {
+    record->guarantee_unassigned = zero_amount;
     for (int i = 0; i < record->n_allotments; i++) {
-        struct quota_allotment *allotment = &record->allotments[i];
-        allotment->guarantee = nothing;
-        if (quota_allotment_closing(record, home, size, allotment->shard)) continue;
+        struct quota_allotment *entry = &record->allotments[i];
+        entry->guarantee = zero_amount;
+        if (quota_allotment_closing(record, home_shard, cluster_shards, entry->shard)) continue;
         for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
-            allotment->guarantee.of[dimension] = record->guarantee.of[dimension] / record->shards;
-            if (allotment->shard == home)
-                allotment->guarantee.of[dimension] += record->guarantee.of[dimension] % record->shards;
+            entry->guarantee.thousandths[dimension] = record->guarantee.thousandths[dimension] / record->n_shards;
+            if (entry->shard == home_shard)
+                entry->guarantee.thousandths[dimension] += record->guarantee.thousandths[dimension] % record->n_shards;
         }
     }
 }
 
-static void add_missing_allotments(struct quota_record *record, int home, int size) {
-    for (int i = 0; i < record->shards; i++) {
-        int shard = quota_shard_at(home, size, i);
-        if (quota_allotment_of(record, shard) || record->n_allotments == QUOTA_SHARDS_MAX) continue;
+static void add_missing_allotments(struct quota_record *record, int home_shard, int cluster_shards) {
+    for (int i = 0; i < record->n_shards; i++) {
+        int shard = quota_shard_by_index(home_shard, cluster_shards, i);
+        if (quota_find_allotment(record, shard) || record->n_allotments == QUOTA_SHARDS_MAX) continue;
         record->allotments[record->n_allotments++] = (struct quota_allotment){.shard = shard};
     }
 }
 
-struct quota_record quota_record_create(int home, int size, int shards, struct quota_amount limit,
+struct quota_record quota_record_create(int home_shard, int cluster_shards, int team_shards, struct quota_amount limit,
                                         struct quota_amount guarantee) {
-    struct quota_record record = {.epoch = 1, .shards = shards, .limit = limit, .guarantee = guarantee};
-    add_missing_allotments(&record, home, size);
-    quota_allotment_of(&record, home)->limit = limit;
-    divide_guarantee(&record, home, size);
+    struct quota_record record = {.epoch = 1, .n_shards = team_shards, .limit = limit, .guarantee = guarantee};
+    add_missing_allotments(&record, home_shard, cluster_shards);
+    quota_find_allotment(&record, home_shard)->limit = limit;
+    divide_guarantee(&record, home_shard, cluster_shards);
     return record;
 }
 
-void quota_record_change(struct quota_record *record, int home, int size, int shards, struct quota_amount limit,
-                         struct quota_amount guarantee) {
+void quota_record_reconfigure(struct quota_record *record, int home_shard, int cluster_shards, int team_shards,
+                              struct quota_amount limit, struct quota_amount guarantee) {
     record->epoch++;
-    record->shards = shards;
+    record->n_shards = team_shards;
     record->unassigned = quota_amount_sum(record->unassigned, quota_amount_difference(limit, record->limit));
     record->limit = limit;
     record->guarantee = guarantee;
-    add_missing_allotments(record, home, size);
-    divide_guarantee(record, home, size);
+    add_missing_allotments(record, home_shard, cluster_shards);
+    divide_guarantee(record, home_shard, cluster_shards);
 }
 
-bool quota_record_prune(struct quota_record *record, int home, int size, const struct quota_amount *used) {
+bool quota_record_prune(struct quota_record *record, int home_shard, int cluster_shards,
+                        const struct quota_amount *used) {
     int kept = 0;
     for (int i = 0; i < record->n_allotments; i++) {
         const struct quota_allotment *allotment = &record->allotments[i];
-        bool empty = quota_amount_equal(allotment->limit, nothing) &&
-                     quota_amount_equal(allotment->guarantee, nothing) && quota_amount_equal(used[i], nothing);
-        if (!empty || !quota_allotment_closing(record, home, size, allotment->shard))
+        bool empty = quota_amount_equal(allotment->limit, zero_amount) &&
+                     quota_amount_equal(allotment->guarantee, zero_amount) && quota_amount_equal(used[i], zero_amount);
+        if (!empty || !quota_allotment_closing(record, home_shard, cluster_shards, allotment->shard))
             record->allotments[kept++] = *allotment;
     }
     bool pruned = kept < record->n_allotments;
@@ -112,42 +116,47 @@
     return pruned;
 }
 
-bool quota_record_move(struct quota_record *record, int shard, struct quota_amount change) {
-    struct quota_allotment *allotment = quota_allotment_of(record, shard);
+bool quota_record_resize_allotment(struct quota_record *record, int shard, struct quota_amount change) {
+    struct quota_allotment *allotment = quota_find_allotment(record, shard);
     if (!allotment) return false;
-    struct quota_amount part = quota_amount_sum(allotment->limit, change),
-                        rest = quota_amount_difference(record->unassigned, change);
-    if (negative(part)) return false;
+    struct quota_amount allotted = quota_amount_sum(allotment->limit, change),
+                        unassigned = quota_amount_difference(record->unassigned, change);
+    if (is_negative(allotted)) return false;
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
-        if (change.of[dimension] > 0 && rest.of[dimension] < 0) return false;
-    allotment->limit = part;
-    record->unassigned = rest;
+        if (change.thousandths[dimension] > 0 && unassigned.thousandths[dimension] < 0) return false;
+    allotment->limit = allotted;
+    record->unassigned = unassigned;
     return true;
 }
 
-/* A limit of 0 is none. */
-static bool bounded(const struct quota_record *record, int dimension) { return record->limit.of[dimension] > 0; }
+/* A limit of 0 means that there is none. */
+static bool has_limit(const struct quota_record *record, int dimension) {
+    return record->limit.thousandths[dimension] > 0;
+}
 
-/* How many of the demand's tasks fit into what is free. */
+/* How many of the demand's tasks fit into the available amount. */
 static int tasks_that_fit(const struct quota_record *record, const struct quota_demand *demand,
-                          struct quota_amount free) {
-    int64_t n = demand->tasks;
+                          struct quota_amount available) {
+    int64_t tasks = demand->tasks;
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
-        if (bounded(record, dimension) && demand->each.of[dimension] > 0)
-            n = MIN(n, MAX(free.of[dimension], 0) / demand->each.of[dimension]);
+        if (has_limit(record, dimension) && demand->per_task.thousandths[dimension] > 0)
+            tasks = MIN(tasks, MAX(available.thousandths[dimension], 0) / demand->per_task.thousandths[dimension]);
     }
-    return (int)n;
+    return (int)tasks;
 }
 
-static struct quota_amount times(struct quota_amount each, int tasks) {
-    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) each.of[dimension] *= tasks;
-    return each;
+static struct quota_amount multiply(struct quota_amount per_task, int tasks) {
+    for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) per_task.thousandths[dimension] *= tasks;
+    return per_task;
 }
 
-/* What the demand lacks in all, or for its next task, can't come together beside work that does not end by itself. */
-static bool can_be_reserved(const struct quota_record *record, struct quota_amount lasting, struct quota_amount need) {
+/* Whether the claimed amount fits under the limit beside the team's work that does not end by itself. If it does not,
+ * waiting never frees enough capacity for it. */
+static bool fits_beside_lasting(const struct quota_record *record, struct quota_amount lasting,
+                                struct quota_amount claimed) {
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
-        if (bounded(record, dimension) && lasting.of[dimension] + need.of[dimension] > record->limit.of[dimension])
+        if (has_limit(record, dimension) &&
+            lasting.thousandths[dimension] + claimed.thousandths[dimension] > record->limit.thousandths[dimension])
             return false;
     }
     return true;
@@ -155,143 +164,151 @@
 
 struct quota_targets quota_targets(const struct quota_record *record, const struct quota_amount *used,
                                    struct quota_amount lasting, const struct quota_demand *demands, int n) {
-    struct quota_targets targets = {.reservation_holder = -1};
-    struct quota_amount free = record->limit;
+    struct quota_targets result = {.reserved_demand_index = -1};
+    struct quota_amount available = record->limit;
     for (int i = 0; i < record->n_allotments; i++) {
-        targets.of[i] = used[i];
-        free = quota_amount_difference(free, used[i]);
+        result.amounts[i] = used[i];
+        available = quota_amount_difference(available, used[i]);
     }
-    for (int i = 0; i < n && targets.reservation_holder < 0; i++) {
+    for (int i = 0; i < n && result.reserved_demand_index < 0; i++) {
         const struct quota_demand *demand = &demands[i];
-        int at = quota_allotment_index(record, demand->shard), fit = tasks_that_fit(record, demand, free);
-        if (at < 0) continue;
-        if (fit < demand->tasks) {
+        int index = quota_allotment_index(record, demand->shard),
+            fitting_tasks = tasks_that_fit(record, demand, available);
+        if (index < 0) continue;
+        if (fitting_tasks < demand->tasks) {
             for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
-                targets.scarce[dimension] |= bounded(record, dimension) && demand->each.of[dimension] > 0;
+                result.scarce[dimension] |= has_limit(record, dimension) && demand->per_task.thousandths[dimension] > 0;
         }
-        if (demand->whole && fit < demand->tasks) fit = 0;
-        int least = demand->whole ? demand->tasks : 1;
-        struct quota_amount need = times(demand->each, MAX(fit, least));
-        bool reserves = fit == 0 && demand->may_reserve && (demand->whole || demand->tasks > 0) &&
-                        can_be_reserved(record, lasting, need);
-        if (fit == 0 && !reserves) continue;
-        if (reserves) targets.reservation_holder = i;
-        targets.of[at] = quota_amount_sum(targets.of[at], need);
-        free = quota_amount_difference(free, need);
+        if (demand->all_or_nothing && fitting_tasks < demand->tasks) fitting_tasks = 0;
+        int tasks_min = demand->all_or_nothing ? demand->tasks : 1;
+        struct quota_amount claimed = multiply(demand->per_task, MAX(fitting_tasks, tasks_min));
+        bool reserve = fitting_tasks == 0 && demand->may_reserve && (demand->all_or_nothing || demand->tasks > 0) &&
+                       fits_beside_lasting(record, lasting, claimed);
+        if (fitting_tasks == 0 && !reserve) continue;
+        if (reserve) result.reserved_demand_index = i;
+        result.amounts[index] = quota_amount_sum(result.amounts[index], claimed);
+        available = quota_amount_difference(available, claimed);
     }
-    return targets;
+    return result;
 }
 
-/* How much more all shards should hold than they do. */
-static struct quota_amount shortage(const struct quota_record *record, const struct quota_targets *targets) {
-    struct quota_amount sum = nothing;
+/* The sum of the amounts by which allotments are below their targets. */
+static struct quota_amount total_shortage(const struct quota_record *record, const struct quota_targets *targets) {
+    struct quota_amount sum = zero_amount;
     for (int i = 0; i < record->n_allotments; i++) {
-        struct quota_amount lacks = quota_amount_difference(targets->of[i], record->allotments[i].limit);
-        sum = quota_amount_sum(sum, quota_amount_most(lacks, nothing));
+        struct quota_amount missing = quota_amount_difference(targets->amounts[i], record->allotments[i].limit);
+        sum = quota_amount_sum(sum, quota_amount_max(missing, zero_amount));
     }
     return sum;
 }
 
-/* By how much an allotment is lowered: what is wanted elsewhere and not there already, a step at least, as far as the
- * shard can spare it. A closing allotment goes as a whole. */
-static int64_t surplus(int64_t part, int64_t keep, int64_t wanted, int64_t step, bool closing) {
-    int64_t spare = MAX(part - keep, 0);
+/* By how much an allotment is lowered: the shortage that the unassigned amount does not cover, at least one
+ * step, but no more than the allotment exceeds `keep`. A closing allotment releases all that exceeds `keep`. */
+static int64_t amount_to_release(int64_t allotted, int64_t keep, int64_t shortage, int64_t step, bool closing) {
+    int64_t spare = MAX(allotted - keep, 0);
     if (closing) return spare;
-    return wanted > 0 ? MIN(spare, MAX(wanted, step)) : 0;
+    return shortage > 0 ? MIN(spare, MAX(shortage, step)) : 0;
 }
 
-/* By how much an owned allotment is lowered for the others. */
-static struct quota_amount lowering(const struct quota_record *record, int index, bool closing,
-                                    const struct quota_amount *used, const struct quota_targets *targets) {
-    struct quota_amount wanted = quota_amount_difference(shortage(record, targets), record->unassigned);
-    struct quota_amount change = nothing;
+/* The change, zero or negative, that lowers an owned allotment in favour of other shards. */
+static struct quota_amount decrease_for_others(const struct quota_record *record, int index, bool closing,
+                                               const struct quota_amount *used, const struct quota_targets *targets) {
+    struct quota_amount shortage = quota_amount_difference(total_shortage(record, targets), record->unassigned);
+    struct quota_amount change = zero_amount;
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
-        int64_t in_use = used[index].of[dimension], target = targets->of[index].of[dimension];
+        int64_t in_use = used[index].thousandths[dimension], target = targets->amounts[index].thousandths[dimension];
         int64_t keep = closing ? in_use : MAX(in_use, target);
-        /* Where the limit was lowered, the allotments come down to it, whatever waits. */
-        if (record->unassigned.of[dimension] < 0) keep = in_use;
-        int64_t held = record->allotments[index].limit.of[dimension], step = record->limit.of[dimension] / STEPS;
-        change.of[dimension] = -surplus(held, keep, wanted.of[dimension], step, closing);
+        /* After the limit was lowered, the allotments shrink towards it even if jobs wait. */
+        if (record->unassigned.thousandths[dimension] < 0) keep = in_use;
+        int64_t allotted = record->allotments[index].limit.thousandths[dimension],
+                step = record->limit.thousandths[dimension] / STEPS_PER_LIMIT;
+        change.thousandths[dimension] =
+            -amount_to_release(allotted, keep, shortage.thousandths[dimension], step, closing);
     }
     return change;
 }
 
-/* By how much an owned allotment is raised from what is unassigned. */
-static struct quota_amount raising(const struct quota_record *record, int index, const struct quota_targets *targets) {
-    struct quota_amount wanted = shortage(record, targets), change = nothing;
+/* The change, zero or positive, that raises an owned allotment from the unassigned amount. */
+static struct quota_amount increase_from_unassigned(const struct quota_record *record, int index,
+                                                    const struct quota_targets *targets) {
+    struct quota_amount shortage = total_shortage(record, targets), change = zero_amount;
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
-        int64_t lacks = targets->of[index].of[dimension] - record->allotments[index].limit.of[dimension];
-        int64_t unassigned = record->unassigned.of[dimension];
-        if (lacks <= 0 || unassigned <= 0) continue;
-        /* What nobody else waits for may come in a step: the next job then finds it here. */
-        int64_t others = wanted.of[dimension] - lacks, spare = unassigned - others;
-        int64_t step = MIN(spare, record->limit.of[dimension] / STEPS);
-        change.of[dimension] = MIN(unassigned, MAX(lacks, step));
+        int64_t missing =
+            targets->amounts[index].thousandths[dimension] - record->allotments[index].limit.thousandths[dimension];
+        int64_t unassigned = record->unassigned.thousandths[dimension];
+        if (missing <= 0 || unassigned <= 0) continue;
+        /* Adds at least one step if other shards do not need it, so that the next job needs no change. */
+        int64_t others = shortage.thousandths[dimension] - missing, spare = unassigned - others;
+        int64_t step = MIN(spare, record->limit.thousandths[dimension] / STEPS_PER_LIMIT);
+        change.thousandths[dimension] = MIN(unassigned, MAX(missing, step));
     }
     return change;
 }
 
-static bool move_if_any(struct quota_record *record, int index, struct quota_amount change) {
-    if (quota_amount_equal(change, nothing)) return false;
-    return quota_record_move(record, record->allotments[index].shard, change);
+static bool resize_if_nonzero(struct quota_record *record, int index, struct quota_amount change) {
+    if (quota_amount_equal(change, zero_amount)) return false;
+    return quota_record_resize_allotment(record, record->allotments[index].shard, change);
 }
 
-bool quota_rebalance(struct quota_record *record, int home, int size, const struct quota_amount *used,
+bool quota_rebalance(struct quota_record *record, int home_shard, int cluster_shards, const struct quota_amount *used,
                      const struct quota_targets *targets, const bool *owned) {
     bool changed = false;
     for (int i = 0; i < record->n_allotments; i++) {
-        bool closing = quota_allotment_closing(record, home, size, record->allotments[i].shard);
-        if (owned[i]) changed |= move_if_any(record, i, lowering(record, i, closing, used, targets));
+        bool closing = quota_allotment_closing(record, home_shard, cluster_shards, record->allotments[i].shard);
+        if (owned[i]) changed |= resize_if_nonzero(record, i, decrease_for_others(record, i, closing, used, targets));
     }
     for (int i = 0; i < record->n_allotments; i++) {
-        bool closing = quota_allotment_closing(record, home, size, record->allotments[i].shard);
-        if (owned[i] && !closing) changed |= move_if_any(record, i, raising(record, i, targets));
+        bool closing = quota_allotment_closing(record, home_shard, cluster_shards, record->allotments[i].shard);
+        if (owned[i] && !closing) changed |= resize_if_nonzero(record, i, increase_from_unassigned(record, i, targets));
     }
     return changed;
 }
 
-/* What the allotments hold beyond the limit, and the other shards beyond their allotments: they started it before there
- * was a limit. Each owner leaves all of that free by itself, so that no start leads above the limit whatever the others
- * do meanwhile. */
-static int64_t to_leave_free(const struct quota_record *record, int index, int dimension, int64_t limit,
-                             const struct quota_amount *used) {
-    int64_t held = 0, beyond = 0;
+/* The excess of all allotments over the limit, plus the excess of the other shards' use over their allotments (tasks
+ * that they started before there was a limit). Each owner leaves this whole amount free in its own shard, so that no
+ * task that starts takes the team above the limit, whatever the other owners do at the same time. */
+static int64_t amount_to_leave_free(const struct quota_record *record, int index, int dimension, int64_t limit,
+                                    const struct quota_amount *used) {
+    int64_t allotted = 0, overuse = 0;
     for (int i = 0; i < record->n_allotments; i++) {
-        held += record->allotments[i].limit.of[dimension];
-        if (i != index) beyond += MAX(used[i].of[dimension] - record->allotments[i].limit.of[dimension], 0);
+        allotted += record->allotments[i].limit.thousandths[dimension];
+        if (i != index)
+            overuse += MAX(used[i].thousandths[dimension] - record->allotments[i].limit.thousandths[dimension], 0);
     }
-    return MAX(held - limit, 0) + beyond;
+    return MAX(allotted - limit, 0) + overuse;
 }
 
 struct quota_amount quota_allowance(const struct quota_record *record, int index, struct quota_amount limit,
                                     const struct quota_amount *used, const struct quota_targets *targets,
                                     bool closing) {
-    struct quota_amount out;
+    struct quota_amount result;
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
-        bool named = limit.of[dimension] > 0;
-        /* Where a limit is named for the first time, nothing starts before the record has it. */
-        out.of[dimension] = named ? 0 : INT64_MAX;
-        if (!bounded(record, dimension)) continue;
-        int64_t least = named ? MIN(record->limit.of[dimension], limit.of[dimension]) : record->limit.of[dimension];
-        int64_t may =
-            record->allotments[index].limit.of[dimension] - to_leave_free(record, index, dimension, least, used);
-        if (targets && targets->scarce[dimension]) may = MIN(may, targets->of[index].of[dimension]);
-        if (closing) may = MIN(may, used[index].of[dimension]);
-        out.of[dimension] = MAX(may, 0);
+        bool limit_set = limit.thousandths[dimension] > 0;
+        /* After a limit was set for the first time, nothing starts until the record contains it. */
+        result.thousandths[dimension] = limit_set ? 0 : INT64_MAX;
+        if (!has_limit(record, dimension)) continue;
+        int64_t lowest_limit = limit_set ? MIN(record->limit.thousandths[dimension], limit.thousandths[dimension])
+                                         : record->limit.thousandths[dimension];
+        int64_t allowed = record->allotments[index].limit.thousandths[dimension] -
+                          amount_to_leave_free(record, index, dimension, lowest_limit, used);
+        if (targets && targets->scarce[dimension])
+            allowed = MIN(allowed, targets->amounts[index].thousandths[dimension]);
+        if (closing) allowed = MIN(allowed, used[index].thousandths[dimension]);
+        result.thousandths[dimension] = MAX(allowed, 0);
     }
-    return out;
+    return result;
 }
 
 struct quota_amount quota_over_guarantee(const struct quota_record *record, int index,
                                          const struct quota_amount *used) {
-    struct quota_amount floor = record->guarantee, out;
-    /* Another shard stops nothing that lies within its own allotment: its own floor is never below that. So both
-     * together leave the team its whole guarantee, though neither knows what the other decides. */
+    struct quota_amount floor = record->guarantee, over;
+    /* Every other shard keeps its work within its own allotment of the guarantee, since its floor is at least that
+     * allotment. So all shards together leave the team its guarantee without knowing each other's decisions. */
     for (int i = 0; i < record->n_allotments; i++) {
         if (i != index)
-            floor = quota_amount_difference(floor, quota_amount_least(used[i], record->allotments[i].guarantee));
+            floor = quota_amount_difference(floor, quota_amount_min(used[i], record->allotments[i].guarantee));
     }
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++)
-        out.of[dimension] = MAX(used[index].of[dimension] - MAX(floor.of[dimension], 0), 0);
-    return out;
+        over.thousandths[dimension] = MAX(used[index].thousandths[dimension] - MAX(floor.thousandths[dimension], 0), 0);
+    return over;
 }
--- a/src/quota/allotments.h
+++ b/src/quota/allotments.h
@@ -1,8 +1,12 @@
-/* The allotments of a divided team's limit and guarantee: escrow. Each shard holds an allotment of the limit and
- * allocates against it without asking. Pure: no I/O, no clock, no state.
+/* Splits a divided team's limit and guarantee into allotments, one per shard (escrow). A shard's owner allocates
+ * against its allotment without asking the other owners. Pure: no I/O, no clock, no state.
  *
- * Invariant of every record: allotments plus unassigned = limit, and the same for the guarantee. Allotments are never
- * negative; `unassigned` of the limit is, where the limit was lowered below what the shards hold. */
+ * Invariant of every record: the allotments plus the unassigned amount add up to the limit, and likewise for the
+ * guarantee. Allotments are never negative. The unassigned part of the limit is negative after the limit was lowered
+ * below the sum of the allotments, until the owners have lowered these.
+ *
+ * The arguments `home_shard` and `cluster_shards` of the functions below are the team's home shard and the number of
+ * shards in the cluster. */
 #ifndef FF_QUOTA_ALLOTMENTS_H
 #define FF_QUOTA_ALLOTMENTS_H
 #include <stdbool.h>
@@ -10,80 +14,93 @@
 
 #include "amount.h"
 
-#define QUOTA_SHARDS_MAX 16 /* of a team: its record stays below 1 KiB */
+#define QUOTA_SHARDS_MAX 16 /* shards of one team; keeps the team's record below 1 KiB */
 
+/* The parts of a team's limit and guarantee that one shard holds. */
 struct quota_allotment {
     int shard;
     struct quota_amount limit, guarantee;
 };
 
+/* The record of a divided team, `quota/TEAM` in the state service. */
 struct quota_record {
     int64_t epoch; /* rises with every change of the limit, the guarantee or the number of shards */
-    int shards;    /* the first so many of the team's shards take new jobs; allotments of others are closing */
+    int n_shards;  /* new jobs go to this many shards, counted from the home shard; other allotments are closing */
     struct quota_amount limit, guarantee;
     struct quota_amount unassigned, guarantee_unassigned;
     struct quota_allotment allotments[QUOTA_SHARDS_MAX];
     int n_allotments;
 };
 
-/* The shard that holds the i-th part of a team: the first is the team's home, its only one where it is undivided. */
-int quota_shard_at(int home, int size, int index);
-/* The shard of a new job, by its id. */
-int quota_shard_for(const char *job_id, int home, int size, int shards);
+/* The team's shard with this index; index 0 is the home shard, the only shard of an undivided team. */
+int quota_shard_by_index(int home_shard, int cluster_shards, int index);
+/* The shard of a new job, chosen by a hash of the job's id among the first `team_shards` shards of the team. */
+int quota_shard_for_job(const char *job_id, int home_shard, int cluster_shards, int team_shards);
 
-/* NULL, or what contradicts the invariant. */
-const char *quota_record_fault(const struct quota_record *record);
-/* Where the shard stands among the record's allotments; -1: it has none. */
+/* Returns NULL if the record satisfies the invariant, otherwise a description of the violation. */
+const char *quota_record_violation(const struct quota_record *record);
+/* The index of the shard's allotment in the record; -1 if the shard has none. */
 int quota_allotment_index(const struct quota_record *record, int shard);
-struct quota_allotment *quota_allotment_of(struct quota_record *record, int shard); /* NULL: none */
-bool quota_allotment_closing(const struct quota_record *record, int home, int size, int shard);
+/* The shard's allotment, or NULL if it has none. */
+struct quota_allotment *quota_find_allotment(struct quota_record *record, int shard);
+/* Whether the shard's allotment is closing: the shard takes no new jobs of the team and releases unused amounts. */
+bool quota_allotment_closing(const struct quota_record *record, int home_shard, int cluster_shards, int shard);
 
-/* The first record of a team: its home holds the whole limit, as it did before. */
-struct quota_record quota_record_create(int home, int size, int shards, struct quota_amount limit,
+/* The first record of a team. The home shard holds the whole limit, as it did while the team was undivided. */
+struct quota_record quota_record_create(int home_shard, int cluster_shards, int team_shards, struct quota_amount limit,
                                         struct quota_amount guarantee);
-/* A new epoch with another limit, guarantee or number of shards. No part of the limit changes: what is unassigned
- * does, and may fall below zero until the owners have lowered their allotments. */
-void quota_record_change(struct quota_record *record, int home, int size, int shards, struct quota_amount limit,
-                         struct quota_amount guarantee);
-/* Removes closing allotments that hold nothing, of shards that use nothing; true if there were any. */
-bool quota_record_prune(struct quota_record *record, int home, int size, const struct quota_amount *used);
-/* Raises (or lowers) a shard's part from (or to) what is unassigned; false, and no change, if either would fall below
- * zero by it. */
-bool quota_record_move(struct quota_record *record, int shard, struct quota_amount change);
+/* Starts a new epoch with another limit, guarantee or number of shards. The allotments of the limit stay as they are;
+ * the unassigned amount takes up the difference, and may become negative until the owners have lowered their
+ * allotments. The guarantee is divided anew. */
+void quota_record_reconfigure(struct quota_record *record, int home_shard, int cluster_shards, int team_shards,
+                              struct quota_amount limit, struct quota_amount guarantee);
+/* Removes the closing allotments that are zero and whose shards use nothing. Returns whether it removed any. */
+bool quota_record_prune(struct quota_record *record, int home_shard, int cluster_shards,
+                        const struct quota_amount *used);
+/* Adds `change`, which may be negative, to the shard's allotment of the limit and subtracts it from the unassigned
+ * amount. Returns false and changes nothing if the shard has no allotment, if the allotment would become negative, or
+ * if an increase would make the unassigned amount negative. */
+bool quota_record_resize_allotment(struct quota_record *record, int shard, struct quota_amount change);
 
-/* What one waiting job asks for, in the order in which the team's jobs are served whatever shard they are in. */
+/* The demand of one waiting job. Demands are passed in the order in which the team's jobs are served across all its
+ * shards. */
 struct quota_demand {
     int shard, tasks;
-    struct quota_amount each;
-    bool whole;       /* all tasks or none */
-    bool may_reserve; /* what gets free may be reserved for it until all of it fits */
+    struct quota_amount per_task;
+    bool all_or_nothing; /* the job starts all its tasks at once or none */
+    bool may_reserve;    /* capacity that becomes free may be reserved for this job until its demand fits */
 };
 
+/* The amounts that the shards should hold. */
 struct quota_targets {
-    struct quota_amount of[QUOTA_SHARDS_MAX]; /* in the order of the record's allotments */
-    bool scarce[QUOTA_DIMENSIONS];            /* not all that waits fits under the limit */
-    int reservation_holder;                   /* index of the demand that room is reserved for; -1: none */
+    struct quota_amount amounts[QUOTA_SHARDS_MAX]; /* in the order of the record's allotments */
+    bool scarce[QUOTA_DIMENSIONS];                 /* the limit does not cover all waiting demands */
+    int reserved_demand_index;                     /* index of the demand that capacity is reserved for; -1: none */
 };
 
-/* What each shard's part should come to: what it uses, and what waits there as far as the limit goes, in order. All
- * controllers compute the same from the same records. `used` is in the order of the allotments. `lasting` is what the
- * team uses for work that does not end by itself: nothing is reserved for a job that does not fit beside that. */
+/* Computes the target of each allotment: what its shard uses, plus the shard's waiting demands as far as they fit under
+ * the limit, in the given order. The first demand that does not fit and may reserve counts as well, and no demand after
+ * it. All controllers compute the same targets from the same records. `used` is in the order of the record's
+ * allotments. `lasting` is what the team uses for work that does not end by itself. No capacity is reserved for a
+ * demand that exceeds the limit together with `lasting`. */
 struct quota_targets quota_targets(const struct quota_record *record, const struct quota_amount *used,
                                    struct quota_amount lasting, const struct quota_demand *demands, int n);
 
-/* What one owner changes of its own shards' allotments towards the targets: lowers those from which others need
- * something, raises those that need something from what is unassigned. No part falls below what the shard uses. Changes
- * the record and says whether it did. `owned` says of each allotment whether its shard is the caller's. */
-bool quota_rebalance(struct quota_record *record, int home, int size, const struct quota_amount *used,
+/* Moves the allotments of the caller's shards towards the targets: lowers them if another shard needs more, or to what
+ * is used if they are closing, and raises them from the unassigned amount. An allotment is never lowered below what its
+ * shard uses. Returns whether the record changed. `owned` tells for each allotment whether the caller owns its shard.
+ */
+bool quota_rebalance(struct quota_record *record, int home_shard, int cluster_shards, const struct quota_amount *used,
                      const struct quota_targets *targets, const bool *owned);
 
-/* What a shard may use in all: its allotment, less what the limit lacks to all allotments, and no more than its target
- * where the limit is scarce. `limit` is the lowest that any controller's settings name, 0 where none does. Dimensions
- * without a limit: INT64_MAX. */
+/* The total amount that the shard may use: its allotment of the limit, minus the excess of all allotments over the
+ * limit and the excess of other shards' use over their allotments. Where the limit is scarce, the shard's target caps
+ * it; a closing shard gets no more than it uses. `limit` is the lowest limit in any controller's settings, 0 where none
+ * sets one. INT64_MAX in dimensions without a limit. `targets` may be NULL. */
 struct quota_amount quota_allowance(const struct quota_record *record, int index, struct quota_amount limit,
                                     const struct quota_amount *used, const struct quota_targets *targets, bool closing);
 
-/* How much of the team's work in a shard may be stopped for others: what the team uses beyond its whole guarantee, as
- * far as the other shards surely keep their allotments of it. */
+/* The amount of the team's work in the shard that may be preempted for other teams: the team's use beyond its
+ * guarantee. Of each other shard's use, only the part within that shard's allotment of the guarantee is counted. */
 struct quota_amount quota_over_guarantee(const struct quota_record *record, int index, const struct quota_amount *used);
 #endif
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -1,4 +1,4 @@
-/* The changes that an owner writes of divided teams: their records, and the shards of waiting jobs. */
+/* The changes that a shard's owner writes for divided teams: to their records, and to the shards of waiting jobs. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdio.h>
@@ -13,40 +13,41 @@
 #include "demand.h"
 #include "views.h"
 
-/* All controllers' changes of allotments together stay below this fraction of the store's rate: they only move what is
- * not used yet, and must not take from allocations. */
-#define CHANGES_FRACTION 0.15
-#define CHANGES_BURST 3.0
-#define MOVE_EVERY_S 0.2 /* between searches for jobs that wait in another shard than they should */
+/* All controllers together spend at most this fraction of the store's write rate on changes of records. These only move
+ * capacity that is not in use yet, and must not take writes from allocations. */
+#define CHANGES_RATE_FRACTION 0.15
+#define CHANGES_BURST 3.0   /* changes that the full budget allows */
+#define MOVE_INTERVAL_S 0.2 /* between searches for waiting jobs that belong in another shard */
 
-/* What this controller may change now, counted under store_lock. */
+/* Token bucket that limits this controller's changes of records. Protected by store_lock. */
 static struct {
-    double left;
-    struct timespec counted;
-} budget = {.left = CHANGES_BURST};
+    double tokens;
+    struct timespec refilled_at;
+} budget = {.tokens = CHANGES_BURST};
 
-static bool may_change(void) {
+/* Refills the budget and returns whether it allows a change. */
+static bool budget_allows_change(void) {
     struct timespec now = clock_now();
-    double rate = quota_settings->state_write_rps * CHANGES_FRACTION / membership_live_controllers();
-    double refilled = budget.left + (clock_to_seconds(now) - clock_to_seconds(budget.counted)) * rate;
-    budget.left = refilled < CHANGES_BURST ? refilled : CHANGES_BURST;
-    budget.counted = now;
-    return budget.left >= 1;
+    double rate = quota_settings->state_write_rps * CHANGES_RATE_FRACTION / membership_live_controllers();
+    double refilled = budget.tokens + (clock_to_seconds(now) - clock_to_seconds(budget.refilled_at)) * rate;
+    budget.tokens = refilled < CHANGES_BURST ? refilled : CHANGES_BURST;
+    budget.refilled_at = now;
+    return budget.tokens >= 1;
 }
 
-/* The shard is owned here, and all that was written of it is in the mirror: what it uses is known. */
-static bool settled(int shard) {
+/* Whether this controller owns the shard and the mirror holds all writes to it, so that its use is known. */
+static bool usage_known(int shard) {
     const struct shard_state *state = &shard_states[shard];
     return membership_owns(shard) && !state->barrier_pending &&
            state->fencing_token == membership_shard(shard)->fencing_token &&
            state->conflict_revision <= store_revision();
 }
 
-/* A change of one team's record on its way. */
+/* A transaction that changes one team's record or moves jobs out of one shard. */
 struct change {
     struct store_txn txn;
     struct store_key key;
-    int shards[QUOTA_SHARDS_MAX]; /* those that it is conditional on */
+    int shards[QUOTA_SHARDS_MAX]; /* the shards whose records it requires to be unchanged */
     int n_shards;
 };
 
@@ -73,85 +74,86 @@
     return false;
 }
 
-/* Nothing is left in shards beside the home. */
-static bool undivided_again(const struct quota_team *team_quota) {
-    if (team_quota->record.shards > 1 || team_quota->record.n_allotments > 1) return false;
-    for (int shard = 0; shard < quota_settings->size; shard++) {
-        if (shard == team_quota->home) continue;
+/* Whether the team has allotments and jobs in its home shard only, so that its record can be deleted. */
+static bool division_ended(const struct quota_team *team_quota) {
+    if (team_quota->record.n_shards > 1 || team_quota->record.n_allotments > 1) return false;
+    for (int shard = 0; shard < quota_settings->n_shards; shard++) {
+        if (shard == team_quota->home_shard) continue;
         if (has_job_of(jobs_active_of(shard), team_quota->team)) return false;
         if (has_job_of(jobs_ended_of(shard), team_quota->team)) return false;
     }
     return true;
 }
 
-/* The limit while controllers' settings differ: lowered as soon as one of them names less, raised once all name more.
- */
-static struct quota_amount limit_while_unknown(const struct quota_team *team_quota) {
-    struct quota_amount limit = quota_view_least_limit(team_quota->team);
+/* The limit while the controllers have not all recorded their views: lowered as soon as one view has a lower limit, but
+ * not raised. */
+static struct quota_amount limit_until_agreed(const struct quota_team *team_quota) {
+    struct quota_amount limit = quota_view_lowest_limit(team_quota->team);
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
-        int64_t present = team_quota->record.limit.of[dimension], named = limit.of[dimension];
-        if (present > 0 && (named == 0 || named > present)) limit.of[dimension] = present;
+        int64_t current = team_quota->record.limit.thousandths[dimension], lowest_view = limit.thousandths[dimension];
+        if (current > 0 && (lowest_view == 0 || lowest_view > current)) limit.thousandths[dimension] = current;
     }
     return limit;
 }
 
-/* Follows the settings: false where the record says the same already and nothing is left to be removed from it. */
-static bool follow_settings(const struct quota_team *team_quota, const struct quota_view *agreed,
-                            struct quota_record *next) {
+/* Applies the settings to the record and removes empty allotments. Returns whether the record changed. */
+static bool apply_settings(const struct quota_team *team_quota, const struct quota_view *agreed,
+                           struct quota_record *next) {
     const struct quota_record *record = &team_quota->record;
-    struct quota_amount limit = agreed ? agreed->limit : limit_while_unknown(team_quota);
+    struct quota_amount limit = agreed ? agreed->limit : limit_until_agreed(team_quota);
     struct quota_amount guarantee = agreed ? agreed->guarantee : record->guarantee;
-    int shards = agreed && agreed->shards > 0 ? agreed->shards : record->shards;
-    bool same = quota_amount_equal(limit, record->limit) && quota_amount_equal(guarantee, record->guarantee) &&
-                shards == record->shards;
-    if (same) return quota_record_prune(next, team_quota->home, quota_settings->size, team_quota->used);
-    quota_record_change(next, team_quota->home, quota_settings->size, shards, limit, guarantee);
+    int n_shards = agreed && agreed->n_shards > 0 ? agreed->n_shards : record->n_shards;
+    bool unchanged = quota_amount_equal(limit, record->limit) && quota_amount_equal(guarantee, record->guarantee) &&
+                     n_shards == record->n_shards;
+    if (unchanged) return quota_record_prune(next, team_quota->home_shard, quota_settings->n_shards, team_quota->used);
+    quota_record_reconfigure(next, team_quota->home_shard, quota_settings->n_shards, n_shards, limit, guarantee);
     return true;
 }
 
 static void begin_home_change(struct change *change, const struct quota_team *team_quota) {
     begin_change(change, team_quota);
-    require_shard(change, team_quota->home);
+    require_shard(change, team_quota->home_shard);
 }
 
 static bool divide_team(struct change *change, const struct quota_team *team_quota, const struct quota_view *agreed) {
-    if (!agreed || agreed->shards <= 1 || !schema_version_divided_quota_active()) return false;
-    struct quota_record record =
-        quota_record_create(team_quota->home, quota_settings->size, agreed->shards, agreed->limit, agreed->guarantee);
+    if (!agreed || agreed->n_shards <= 1 || !schema_version_divided_quota_active()) return false;
+    struct quota_record record = quota_record_create(team_quota->home_shard, quota_settings->n_shards, agreed->n_shards,
+                                                     agreed->limit, agreed->guarantee);
     begin_home_change(change, team_quota);
     store_txn_put(&change->txn, change->key.text, quota_record_value(&record), 0);
     return true;
 }
 
-/* The duties of the home's owner: it divides the team, follows the settings, and takes the division back. */
+/* The changes that the home shard's owner makes: it creates the record, applies the settings to it, and deletes it. */
 static bool change_division(struct change *change, struct quota_team *team_quota) {
     struct quota_view view;
     const struct quota_view *agreed = quota_view_agreed(team_quota->team, &view) ? &view : NULL;
-    if (team_quota->damaged || !settled(team_quota->home)) return false;
+    if (team_quota->unreadable || !usage_known(team_quota->home_shard)) return false;
     if (!team_quota->recorded) return divide_team(change, team_quota, agreed);
     quota_measure_demand(team_quota);
-    if (undivided_again(team_quota)) {
+    if (division_ended(team_quota)) {
         begin_home_change(change, team_quota);
         store_txn_delete(&change->txn, change->key.text);
         return true;
     }
     struct quota_record next = team_quota->record;
-    if (!follow_settings(team_quota, agreed, &next)) return false;
+    if (!apply_settings(team_quota, agreed, &next)) return false;
     begin_home_change(change, team_quota);
     store_txn_put(&change->txn, change->key.text, quota_record_value(&next), 0);
     return true;
 }
 
-/* The allotments of owned shards, towards what is due to each. */
+/* Moves the allotments of owned shards towards their targets. */
 static bool change_allotments(struct change *change, struct quota_team *team_quota) {
-    bool owned[QUOTA_SHARDS_MAX], any = false;
+    bool owned[QUOTA_SHARDS_MAX], any_owned = false;
     if (!team_quota->recorded) return false;
     for (int i = 0; i < team_quota->record.n_allotments; i++)
-        any |= owned[i] = settled(team_quota->record.allotments[i].shard);
-    if (!any) return false;
+        any_owned |= owned[i] = usage_known(team_quota->record.allotments[i].shard);
+    if (!any_owned) return false;
     quota_measure_demand(team_quota);
     struct quota_record next = team_quota->record;
-    if (!quota_rebalance(&next, team_quota->home, quota_settings->size, team_quota->used, &team_quota->targets, owned))
+    if (!quota_rebalance(&next, team_quota->home_shard, quota_settings->n_shards, team_quota->used,
+                         &team_quota->targets, owned))
         return false;
     begin_change(change, team_quota);
     for (int i = 0; i < next.n_allotments; i++) {
@@ -173,82 +175,83 @@
         store_refresh(client, change->key.text);
         store_wake_watch();
     } else if (result == STORE_UNKNOWN) {
-        /* It may yet be carried out: nothing is allocated in these shards before their mod revisions have moved. */
+        /* The transaction may still be applied: nothing is allocated in these shards until their mod revisions rise. */
         for (int i = 0; i < change->n_shards; i++) shard_states[change->shards[i]].barrier_pending = true;
     }
     store_response_clear(&response);
 }
 
-/* The job has nothing allocated, and by its id its team's number of shards puts it into another shard now. */
-static bool waits_elsewhere(const struct job *job, int shard) {
+/* Whether the job has nothing allocated, and its id now maps to another shard of its team. */
+static bool belongs_elsewhere(const struct job *job, int shard) {
     if (job->allocations->len > 0 || job->n_dirty_chunks > 0 || !job->spec_text || job->spec.team < 0) return false;
-    const struct quota_team *team_quota = quota_team_at(job->spec.team);
-    bool damaged = team_quota && team_quota->damaged;
-    return !damaged && quota_shard_of_new(job->spec.team, job->spec.job_id) != shard;
+    const struct quota_team *team_quota = quota_team_find(job->spec.team);
+    bool unreadable = team_quota && team_quota->unreadable;
+    return !unreadable && quota_shard_for_new_job(job->spec.team, job->spec.job_id) != shard;
 }
 
-/* Jobs that wait follow the number of their team's shards: they leave one that closes, and divide among new ones. Late
- * allocations of theirs fail, since their records have changed. */
-static bool move_jobs(struct change *change, int shard, int most) {
-    int moved = 0;
+/* Moves up to `moves_max` waiting jobs from this shard to the one that they belong in after their team's number of
+ * shards has changed. An allocation of such a job that is still in flight fails, since the job's record has changed. */
+static bool move_jobs(struct change *change, int shard, int moves_max) {
+    int n_moved = 0;
     GPtrArray *jobs = jobs_active_of(shard);
-    if (!settled(shard)) return false;
+    if (!usage_known(shard)) return false;
     memset(change, 0, sizeof *change);
     store_txn_init(&change->txn);
-    for (guint i = 0; i < jobs->len && moved < most; i++) {
+    for (guint i = 0; i < jobs->len && n_moved < moves_max; i++) {
         const struct job *job = jobs->pdata[i];
-        if (!waits_elsewhere(job, shard)) continue;
+        if (!belongs_elsewhere(job, shard)) continue;
         struct store_key key = store_key_job(job->spec.job_id);
         store_txn_compare(&change->txn, key.text, store_key_revision(key.text));
         store_txn_put(&change->txn, key.text,
-                      jobs_moved_value(job, quota_shard_of_new(job->spec.team, job->spec.job_id)), 0);
-        moved++;
+                      jobs_moved_value(job, quota_shard_for_new_job(job->spec.team, job->spec.job_id)), 0);
+        n_moved++;
     }
-    if (moved > 0) require_shard(change, shard);
-    return moved > 0;
+    if (n_moved > 0) require_shard(change, shard);
+    return n_moved > 0;
 }
 
-static void run_change(struct http_client *client, struct change *change, bool wanted) {
+static void finish_change(struct http_client *client, struct change *change, bool wanted) {
     if (wanted) send_change(client, change);
     if (change->txn.comparisons) store_txn_free(&change->txn);
 }
 
-static void change_teams(struct http_client *client) {
+static void change_records(struct http_client *client) {
     struct change change;
     for (int team = 0; team < quota_settings->n_teams; team++) {
         store_lock();
-        struct quota_team *team_quota = quota_team_for(team);
+        struct quota_team *team_quota = quota_team_find_or_create(team);
         memset(&change, 0, sizeof change);
-        bool wanted = team_quota && may_change() &&
+        bool wanted = team_quota && budget_allows_change() &&
                       (change_division(&change, team_quota) || change_allotments(&change, team_quota));
-        budget.left -= wanted;
+        budget.tokens -= wanted;
         store_unlock();
-        run_change(client, &change, wanted);
+        finish_change(client, &change, wanted);
     }
 }
 
-/* What waits in a closing shard is not served there: it moves as fast as the store lets it beside allocations. */
-static void move_all_jobs(struct http_client *client) {
+/* Jobs that wait in a closing shard are not served there, so they are moved as fast as the store's write budget for
+ * this priority allows. */
+static void move_waiting_jobs(struct http_client *client) {
     struct change change;
-    for (int shard = 0; shard < quota_settings->size; shard++) {
-        int most = MIN(store_budget_available(STORE_PRIORITY_PROGRESS), quota_settings->txn_ops);
-        if (most < 1) return;
+    for (int shard = 0; shard < quota_settings->n_shards; shard++) {
+        int moves_max = MIN(store_budget_available(STORE_PRIORITY_PROGRESS), quota_settings->txn_ops);
+        if (moves_max < 1) return;
         store_lock();
         memset(&change, 0, sizeof change);
-        bool wanted = move_jobs(&change, shard, most);
+        bool wanted = move_jobs(&change, shard, moves_max);
         store_unlock();
-        run_change(client, &change, wanted);
+        finish_change(client, &change, wanted);
     }
 }
 
 void quota_commit_changes(struct http_client *client) {
-    static struct timespec moved;
+    static struct timespec last_move;
     store_lock();
     bool in_use = quota_in_use(), foreign = jobs_any_foreign();
     store_unlock();
-    if (in_use) change_teams(client);
-    if ((in_use || foreign) && clock_seconds_since(moved) > MOVE_EVERY_S) {
-        moved = clock_now();
-        move_all_jobs(client);
+    if (in_use) change_records(client);
+    if ((in_use || foreign) && clock_seconds_since(last_move) > MOVE_INTERVAL_S) {
+        last_move = clock_now();
+        move_waiting_jobs(client);
     }
 }
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -11,18 +11,20 @@
 #include "../priority/priority.h"
 #include "../quarantine/quarantine.h"
 
-#define DEMANDS_MAX 512 /* jobs that wait, in order; what comes after them gets its turn when these have begun */
+#define DEMANDS_MAX 512 /* waiting jobs of a team that are measured, the first ones in the order of service */
 
-static struct quota_amount stopping_of(const struct job *job) {
+static struct quota_amount stopping_amount(const struct job *job) {
     int n = 0;
     for (guint i = 0; i < job->allocations->len; i++) {
         const struct allocation *allocation = job->allocations->pdata[i];
         n += allocation->stop_requested && !allocation->released;
     }
-    return quota_amount_used(&job->spec, n);
+    return quota_amount_of_tasks(&job->spec, n);
 }
 
-/* What has not been proven gone counts: tasks of cancelled jobs and on lost machines, too. */
+/* Sums up, for the shard of each allotment, what the team uses and which part of it is stopping, and in *lasting what
+ * its unfinished services use. Tasks of cancelled jobs and on lost machines count until they are known to have ended.
+ */
 static void count_used(struct quota_team *team_quota, struct quota_amount *lasting) {
     memset(team_quota->used, 0, sizeof team_quota->used);
     memset(team_quota->stopping, 0, sizeof team_quota->stopping);
@@ -34,9 +36,9 @@
             for (guint n = 0; n < lists[list]->len; n++) {
                 const struct job *job = lists[list]->pdata[n];
                 if (job->spec.team != team_quota->team) continue;
-                struct quota_amount uses = quota_amount_used(&job->spec, allocations_count(job));
+                struct quota_amount uses = quota_amount_of_tasks(&job->spec, allocations_count(job));
                 team_quota->used[i] = quota_amount_sum(team_quota->used[i], uses);
-                team_quota->stopping[i] = quota_amount_sum(team_quota->stopping[i], stopping_of(job));
+                team_quota->stopping[i] = quota_amount_sum(team_quota->stopping[i], stopping_amount(job));
                 if (job->spec.kind == JOB_SERVICE && job->state == JOB_QUEUED)
                     *lasting = quota_amount_sum(*lasting, uses);
             }
@@ -44,49 +46,51 @@
     }
 }
 
-/* Jobs for which room was reserved in vain, until when none is again. */
+/* A job whose reservation timed out. */
 struct timed_out {
     char job_id[JOB_ID_SIZE];
-    struct timespec until;
+    struct timespec until; /* no capacity is reserved for the job before this instant */
 };
-#define TIMED_OUT_MAX 64
+#define TIMED_OUT_MAX 64 /* the oldest entry is overwritten */
 static struct timed_out timed_out[TIMED_OUT_MAX];
 static unsigned n_timed_out;
 
-static bool timed_out_lately(const char *job_id) {
+static bool timed_out_recently(const char *job_id) {
     for (unsigned i = 0; i < MIN(n_timed_out, TIMED_OUT_MAX); i++)
         if (strcmp(timed_out[i].job_id, job_id) == 0 && clock_seconds_since(timed_out[i].until) < 0) return true;
     return false;
 }
 
-#define PAUSE_TIMES 2 /* as long as room was reserved, so many times it is not after that */
+/* After a reservation has timed out, the job gets none for this many times the reservation timeout. */
+#define RESERVATION_PAUSE_TIMEOUTS 2
 
-/* Room is reserved for one job at a time and not for long: a job that waits for its reservation in vain must not idle
- * its team. */
-static void keep_reservation(struct quota_team *team_quota, const struct job *job) {
-    double most = clock_to_seconds(quota_settings->quota.reservation_timeout);
+/* Updates the team's reservation to the job, NULL for none. Capacity is reserved for one job at a time, and no
+ * longer than the timeout, which restarts when the number of the job's tasks changes. A job that never fits must not
+ * keep its team's capacity idle. */
+static void update_reservation(struct quota_team *team_quota, const struct job *job) {
+    double timeout_s = clock_to_seconds(quota_settings->quota.reservation_timeout);
     if (!job) {
-        team_quota->reservation_holder[0] = 0;
+        team_quota->reserved_job_id[0] = 0;
         return;
     }
     int allocated = allocations_count(job);
-    if (strcmp(team_quota->reservation_holder, job->spec.job_id) != 0 ||
-        team_quota->reservation_holder_allocated != allocated) {
-        g_strlcpy(team_quota->reservation_holder, job->spec.job_id, sizeof team_quota->reservation_holder);
-        team_quota->reservation_since = clock_now();
-        team_quota->reservation_holder_allocated = allocated;
+    if (strcmp(team_quota->reserved_job_id, job->spec.job_id) != 0 || team_quota->reserved_job_tasks != allocated) {
+        g_strlcpy(team_quota->reserved_job_id, job->spec.job_id, sizeof team_quota->reserved_job_id);
+        team_quota->reservation_started_at = clock_now();
+        team_quota->reserved_job_tasks = allocated;
         return;
     }
-    if (clock_seconds_since(team_quota->reservation_since) < most) return;
+    if (clock_seconds_since(team_quota->reservation_started_at) < timeout_s) return;
     struct timed_out *entry = &timed_out[n_timed_out++ % TIMED_OUT_MAX];
     g_strlcpy(entry->job_id, job->spec.job_id, sizeof entry->job_id);
-    entry->until = clock_now_plus(clock_from_seconds(PAUSE_TIMES * most));
-    team_quota->reservation_holder[0] = 0;
+    entry->until = clock_now_plus(clock_from_seconds(RESERVATION_PAUSE_TIMEOUTS * timeout_s));
+    team_quota->reserved_job_id[0] = 0;
     log_info("quota: team %s: reservation for job %s timed out", quota_settings->teams[team_quota->team].name,
              job->spec.job_id);
 }
 
-/* How many more tasks of the job may start now. */
+/* How many more tasks of the job may start now: none while it waits to be retried, at most one if it is suspect and no
+ * gang. */
 static int tasks_waiting(const struct job *job) {
     if (clock_seconds_since(job->retry_at) < 0) return 0;
     if (job->spec.kind == JOB_GANG && allocations_count(job) > 0)
@@ -106,18 +110,20 @@
         const struct job *job = g_array_index(order, struct priority_entry, i).job;
         int waiting = tasks_waiting(job);
         if (waiting <= 0 || quota_allotment_index(&team_quota->record, jobs_shard(job)) < 0) continue;
-        if (quota_allotment_closing(&team_quota->record, team_quota->home, quota_settings->size, jobs_shard(job)))
+        if (quota_allotment_closing(&team_quota->record, team_quota->home_shard, quota_settings->n_shards,
+                                    jobs_shard(job)))
             continue;
         jobs[n] = job;
         demands[n++] = (struct quota_demand){.shard = jobs_shard(job),
                                              .tasks = waiting,
-                                             .each = quota_amount_used(&job->spec, 1),
-                                             .whole = job->spec.kind == JOB_GANG,
-                                             .may_reserve = !timed_out_lately(job->spec.job_id)};
+                                             .per_task = quota_amount_of_tasks(&job->spec, 1),
+                                             .all_or_nothing = job->spec.kind == JOB_GANG,
+                                             .may_reserve = !timed_out_recently(job->spec.job_id)};
     }
     g_array_free(order, TRUE);
     team_quota->targets = quota_targets(&team_quota->record, team_quota->used, lasting, demands, n);
-    keep_reservation(team_quota,
-                     team_quota->targets.reservation_holder >= 0 ? jobs[team_quota->targets.reservation_holder] : NULL);
+    update_reservation(team_quota, team_quota->targets.reserved_demand_index >= 0
+                                       ? jobs[team_quota->targets.reserved_demand_index]
+                                       : NULL);
     team_quota->measured = true;
 }
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -1,7 +1,7 @@
-/* Teams divided over several shards with different owners, their limit and guarantee still exact (docs/quota.md).
+/* Divides a team over several shards with different owners while its limit and guarantee stay exact (docs/quota.md).
  *
- * A team is undivided unless its record `quota/TEAM` exists: then everything here answers as if this package were not
- * there. */
+ * A team is divided if its record `quota/TEAM` exists. For an undivided team all functions give the answers that apply
+ * without this package. */
 #ifndef FF_QUOTA_H
 #define FF_QUOTA_H
 #include <stdbool.h>
@@ -10,46 +10,53 @@
 #include "../machines/machines.h"
 #include "../store/store.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Called once, before the threads start. The settings stay owned by the caller. */
 void quota_init(const struct settings *settings);
 
-/* All with store_lock held. */
+/* The functions up to quota_log_status are called with store_lock held. */
 
-/* Whether the team, or any team, is divided over several shards. */
+/* Whether the team is divided over several shards. */
 bool quota_divided(int team);
+/* Whether any team was divided at the last quota_refresh. */
 bool quota_any_divided(void);
-/* The shard of a job that is accepted now. */
-int quota_shard_of_new(int team, const char *job_id);
-/* Measures the divided teams' jobs anew: before a scheduling round asks. */
+/* The shard of a job of the team that is accepted now. */
+int quota_shard_for_new_job(int team, const char *job_id);
+/* Measures the demand of all divided teams. A scheduling round calls it before it plans. */
 void quota_refresh(void);
 
-/* How much a team's tasks in a shard may use in all; INFINITY: no limit. */
+/* How much a team's tasks in one shard may use in total; INFINITY: no limit. */
 struct quota_bound {
     double vcpus, gpus;
 };
 struct quota_bound quota_bound(int team, int shard);
 
-/* Capacity is reserved for the job until all of it fits. What comes after it in order, and counts against what is
- * scarce, starts nothing meanwhile. */
+/* Whether capacity is reserved for the job until all of it fits. Until then the scheduler starts no tasks of later jobs
+ * of the team that use scarce capacity. */
 bool quota_reserves_for(const struct job *job);
-bool quota_counts_scarce(const struct job *job);
+/* Whether the job uses a resource that is scarce: the team's limit does not cover the demand of all its waiting jobs.
+ */
+bool quota_uses_scarce_capacity(const struct job *job);
 
-/* Whether a task of a divided team may be preempted for another team's guarantee. */
+/* Whether preempting the task for another team's guarantee leaves its own team the guarantee. Always true for a task of
+ * an undivided team. */
 bool quota_may_preempt(const struct allocation *allocation);
-/* The same for all tasks on a machine that are not preempted by priority alone. */
-bool quota_may_preempt_all(const struct machine *machine, enum job_priority priority);
-/* Counts the task as stopping from now on. */
+/* Whether preempting all tasks on the machine together leaves their teams the guarantees. Tasks below `priority` are
+ * allowed in any case. */
+bool quota_may_preempt_machine(const struct machine *machine, enum job_priority priority);
+/* Counts the task as stopping until the next measurement. */
 void quota_note_preempted(const struct allocation *allocation);
 
-/* The shard's allotment has room for so many more tasks of the job: machines would help it. */
-bool quota_waits_for_machines(const struct job *job, int tasks);
+/* Whether the bound of the job's shard allows this many more tasks of the job, so that more machines would help it. */
+bool quota_allows_tasks(const struct job *job, int tasks);
 
-/* Adds the record of what our own settings say to the transaction; false if there is nothing to write. */
-bool quota_announce(struct store_txn *txn);
-/* Logs the status lines of the teams whose home shard is owned here. */
+/* Adds the record of the divided teams in this controller's settings to the transaction. Returns false if there is
+ * nothing to write. */
+bool quota_publish_views(struct store_txn *txn);
+/* Logs a status line for each divided team whose home shard this controller owns. */
 void quota_log_status(void);
 
-/* Without the lock. Writes at most one change for each divided team, and moves what is left in closing shards. Called
- * between an owner's scheduling rounds, on their thread, so that no allocation of ours is under way meanwhile. */
+/* Called without store_lock. Writes at most one change of each team's record, and moves waiting jobs to the shards
+ * that they now belong in. Called between scheduling rounds and on their thread, so that this controller has no
+ * allocation in flight. */
 void quota_commit_changes(struct http_client *client);
 #endif
--- a/src/quota/record.h
+++ b/src/quota/record.h
@@ -1,5 +1,5 @@
-/* The record of a divided team's allotments in the state service, `quota/TEAM`, and what each controller's settings say
- * of the divided teams, `quota-view/NODE`. Only the forms: pure. */
+/* JSON codecs of two records in the state service: `quota/TEAM`, the allotments of a divided team, and
+ * `quota-view/NODE`, the divided teams in one controller's settings. Pure. */
 #ifndef FF_QUOTA_RECORD_H
 #define FF_QUOTA_RECORD_H
 #include <stdbool.h>
@@ -7,17 +7,19 @@
 #include "../json/json.h"
 #include "allotments.h"
 
-/* The value, which belongs to the caller. */
+/* Returns the record as JSON, owned by the caller. */
 cJSON *quota_record_value(const struct quota_record *record);
-/* False, with the fault named, where the value is of another form or breaks the invariant. */
-bool quota_record_read(const cJSON *value, int size, struct quota_record *out, const char **fault);
+/* Reads a record of a cluster with `cluster_shards` shards. Returns false and sets *fault to a description if the value
+ * has another form or the record violates the invariant. */
+bool quota_record_read(const cJSON *value, int cluster_shards, struct quota_record *out, const char **fault);
 
-/* What one controller's settings say of a team. */
+/* One team in one controller's settings. */
 struct quota_view {
-    int shards; /* 0: nothing is known */
+    int n_shards; /* 0: nothing is known */
     struct quota_amount limit, guarantee;
 };
-/* Adds to, or reads from, the object of all teams. False: nothing is said of the team, or not in this form. */
+/* Adds the team's view to `views`, the object of all teams. */
 void quota_view_add(cJSON *views, const char *team, const struct quota_view *view);
+/* Reads the team's view from `views`. Returns false and zeroes *out if `views` has none or it has another form. */
 bool quota_view_read(const cJSON *views, const char *team, struct quota_view *out);
 #endif
--- a/src/rebalancing/donation.c
+++ b/src/rebalancing/donation.c
@@ -67,7 +67,7 @@
 static bool can_be_cleared(const struct machine *machine, const struct priority_entry *entry) {
     for (guint i = 0; i < machine->allocations->len; i++)
         if (!preemption_allowed(machine->allocations->pdata[i], entry)) return false;
-    return quota_may_preempt_all(machine, entry->job->priority);
+    return quota_may_preempt_machine(machine, entry->job->priority);
 }
 
 static double cost_of(const struct machine *machine, const struct job *job) {
--- a/src/rebalancing/needy_job.c
+++ b/src/rebalancing/needy_job.c
@@ -80,7 +80,7 @@
 
 /* A limit of the team, or of its part, would keep the tasks from starting whatever machines there are. */
 static bool held_by_limit(const struct settings *settings, const struct job *job, int tasks) {
-    if (!quota_waits_for_machines(job, tasks)) return true;
+    if (!quota_allows_tasks(job, tasks)) return true;
     const struct settings_team *team = &settings->teams[job->spec.team];
     return team->gpus_max > 0 &&
            preemption_over_guarantee(job->spec.team) + team->gpus + tasks * job->spec.gpus > team->gpus_max;
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -71,7 +71,7 @@
 void rebalancing_plan(int shard) {
     cancel_overdue_transfers(shard);
     if (!search_due(shard)) return;
-    for (int other = 0; other < rebalancing_settings->size; other++)
+    for (int other = 0; other < rebalancing_settings->n_shards; other++)
         if (other != shard && jobs_active_of(other)->len > 0) serve_shard(shard, other);
 }
 
--- a/src/scheduler/loop.c
+++ b/src/scheduler/loop.c
@@ -35,13 +35,13 @@
 /* Runs a round for each shard. Returns true if another round should follow at once. */
 static bool run_rounds(struct http_client *client) {
     bool again = false;
-    for (int shard = 0; shard < scheduler_settings->size; shard++) again |= scheduling_round_run(client, shard);
+    for (int shard = 0; shard < scheduler_settings->n_shards; shard++) again |= scheduling_round_run(client, shard);
     return again;
 }
 
 /* Called with store_lock held. */
 static void check_owned_machines(const struct liveness_summary *summary) {
-    for (int shard = 0; shard < scheduler_settings->size; shard++) {
+    for (int shard = 0; shard < scheduler_settings->n_shards; shard++) {
         if (!membership_owns(shard) || !membership_may_answer_workers()) continue;
         liveness_check_machines(shard, summary);
         scale_in_run(shard);
@@ -50,7 +50,7 @@
 
 /* Called with store_lock held. */
 static void log_status(void) {
-    for (int shard = 0; shard < scheduler_settings->size; shard++)
+    for (int shard = 0; shard < scheduler_settings->n_shards; shard++)
         if (membership_owns(shard)) scale_in_log_status(shard);
 }
 
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -193,7 +193,7 @@
  * job. */
 static bool is_skipped(const struct planning_pass *pass, const struct job *job, int missing) {
     return missing <= 0 || is_retry_delayed(job) ||
-           (pass->scarce_quota_reserved[job->spec.team] && quota_counts_scarce(job));
+           (pass->scarce_quota_reserved[job->spec.team] && quota_uses_scarce_capacity(job));
 }
 
 /* Marks the machines of the round's plans as changed. Gang plans that were undone change no machine. */
--- a/src/scheduler/planning.h
+++ b/src/scheduler/planning.h
@@ -39,9 +39,10 @@
     int *missing_tasks; /* tasks to place, for each entry of `order`; owned by the pass */
     struct free_capacity capacity_left;
     struct unplaceable_specs unplaceable;
-    int jobs_planned;                           /* jobs with planned tasks; each takes at least one write */
-    struct team_usage usage[SETTINGS_TEAMS];    /* each team's usage of the shard, plans included */
-    bool scarce_quota_reserved[SETTINGS_TEAMS]; /* the team's scarce quota is reserved for a job earlier in the order */
+    int jobs_planned;                               /* jobs with planned tasks; each takes at least one write */
+    struct team_usage usage[SETTINGS_TEAMS_MAX];    /* each team's usage of the shard, plans included */
+    bool scarce_quota_reserved[SETTINGS_TEAMS_MAX]; /* the team's scarce quota is reserved for a job earlier in the
+                                                       order */
 };
 
 /* Returns the highest attempt number issued under the shard's fencing token. */
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -250,7 +250,7 @@
 int main(void) {
     char *text = site_json();
     char *next_limits = site_with(text, "\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4}");
-    if (!settings_parse(next_limits, "f.json", &cfg, NULL) || !standin_store_start(cfg.state)) return 1;
+    if (!settings_parse(next_limits, "f.json", &cfg, NULL) || !standin_store_start(cfg.state_address)) return 1;
     g_free(text);
     g_free(next_limits);
     owned_start(&cfg);
--- a/src/schema_version/schema_version.c
+++ b/src/schema_version/schema_version.c
@@ -16,7 +16,7 @@
 static const struct settings *cfg;
 static struct {
     struct controller_versions self;
-    struct controller_versions peers[SETTINGS_SEEDS]; /* same index as settings.seeds */
+    struct controller_versions peers[SETTINGS_SEEDS_MAX]; /* same index as settings.seeds */
     bool active;
     bool store_unreadable;
 } versions;
@@ -65,7 +65,7 @@
 /* Returns the version that the record of this controller should contain, by its settings. */
 static int wanted_version(void) {
     for (int i = 0; i < cfg->n_teams; i++)
-        if (cfg->teams[i].shards > 1) return SCHEMA_VERSION_DIVIDED_QUOTA;
+        if (cfg->teams[i].n_shards > 1) return SCHEMA_VERSION_DIVIDED_QUOTA;
     return SCHEMA_VERSION;
 }
 
--- a/src/schema_version/schema_version_test.c
+++ b/src/schema_version/schema_version_test.c
@@ -82,7 +82,7 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct store_txn txn;
-        cfg.teams[0].shards = cases[i].shards;
+        cfg.teams[0].n_shards = cases[i].shards;
         apply_record(cases[i].key, cases[i].record);
         store_txn_init(&txn);
         int64_t version = 0;
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -65,7 +65,7 @@
 
 /* What lower packages need of upper ones. */
 static void connect_packages(void) {
-    membership_add_announcement(quota_announce);
+    membership_add_announcement(quota_publish_views);
     membership_add_announcement(schema_version_announce);
     membership_set_worker_probe(liveness_probe_workers);
     cloud_set_planner((struct cloud_planner){scale_out_plan, scale_in_plan_returns});
@@ -92,12 +92,12 @@
 /* Both addresses, before any thread of the packages runs: a program that ends because it cannot listen, while threads
  * of its libraries are starting, once ended by a segmentation fault instead of its status. */
 static bool listen_on_addresses(const struct settings *settings) {
-    unsigned connections = server_connections(settings->sockets);
+    unsigned connections = server_connections(settings->sockets_max);
     return http_server_start(settings->bind, connections, on_request, NULL) && peers_listen();
 }
 
 bool service_start(const struct settings *settings) {
-    raise_open_files(settings->sockets);
+    raise_open_files(settings->sockets_max);
     if (!listen_on_addresses(settings)) return false;
     api_start();
     dependencies_start();
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -217,7 +217,7 @@
 
 /* Two runs of this test on one machine once shared the ports of SITE_JSON, and each other's requests. */
 static bool use_free_ports(void) {
-    char **addresses[] = {&settings.bind, &settings.cluster_listen, &settings.cloud, &settings.state};
+    char **addresses[] = {&settings.bind, &settings.cluster_listen, &settings.cloud_address, &settings.state_address};
     if (!ports_claim()) return false;
     for (size_t i = 0; i < G_N_ELEMENTS(addresses); i++) {
         char address[32];
@@ -239,12 +239,12 @@
     g_free(quick);
     settings.state_rps = 1000;
     settings.state_write_rps = 500;
-    settings.tuning.silent_return = clock_from_seconds(1);
+    settings.tuning.silence_timeout = clock_from_seconds(1);
     settings.n_seeds = 0;
     settings.teams[0].gpus_max = 0;
     if (!use_free_ports()) return 1;
     standin_workers_start(settings.bind);
-    if (!standin_store_start(settings.state) || !standin_cloud_start(settings.cloud)) return 1;
+    if (!standin_store_start(settings.state_address) || !standin_cloud_start(settings.cloud_address)) return 1;
     logging_init("error");
     client = http_client_new();
     service_init(&settings);
--- a/src/settings/platform_file.c
+++ b/src/settings/platform_file.c
@@ -1,4 +1,4 @@
-/* The settings file (JSON) that the platform hands over. Its names stand here, beside the members that they go to. */
+/* Reads the platform's settings file (JSON): maps its field names to the members of struct settings. */
 #include <stdio.h>
 #include <string.h>
 
@@ -7,56 +7,56 @@
 #include "reader.h"
 
 #define FIELD_NAME_BYTES 128
-#define AMOUNT_MAX 1e9
-#define LIMIT_MAX 1e6 /* of rates and sizes */
+#define TEAM_AMOUNT_MAX 1e9 /* processors or GPUs */
+#define RATE_OR_SIZE_MAX 1e6
 #define HOUR_S 3600
 #define DAY_S 86400
 #define PORT_MAX 65535
-#define SHARDS_LIMIT 64
+#define CLUSTER_SHARDS_MAX 64
 #define TRANSACTION_OPERATIONS_MIN 2
 #define TRANSACTION_OPERATIONS_MAX 10000
 #define SOCKETS_MIN 64
 #define SOCKETS_DEFAULT 1000
 #define HEARTBEAT_INTERVAL_MIN_S 0.01
 #define LEASE_MIN_S 0.1
-#define CLOUD_RATE_MIN 0.01
+#define CLOUD_RPS_MIN 0.01
 #define OBJECTIVE_WITHIN_DEFAULT_S 60
 
-/* An object of the file, and the path that names its members in messages: "settings.state.". */
+/* An object of the file, and the prefix of its members' names in messages, such as "settings.state.". */
 struct section {
     const cJSON *object;
-    const char *path;
+    const char *prefix;
 };
 
-static struct section subsection(struct section parent, const char *name, const char *path) {
-    return (struct section){cJSON_GetObjectItemCaseSensitive(parent.object, name), path};
+static struct section subsection(struct section parent, const char *name, const char *prefix) {
+    return (struct section){cJSON_GetObjectItemCaseSensitive(parent.object, name), prefix};
 }
 
 static void fail_member(struct settings_reader *reader, enum settings_error code, struct section section,
                         const char *name, const char *what) {
     char field[FIELD_NAME_BYTES];
-    snprintf(field, sizeof field, "%s%s", section.path, name);
+    snprintf(field, sizeof field, "%s%s", section.prefix, name);
     settings_reader_fail(reader, code, field, what);
 }
 
-/* A copy of the text, never NULL. */
-static char *read_text(struct settings_reader *reader, struct section section, const char *name) {
+/* Returns a copy of the string, never NULL. */
+static char *read_string(struct settings_reader *reader, struct section section, const char *name) {
     const char *value = json_get_string(section.object, name);
     if (!value || !*value) fail_member(reader, SETTINGS_ERROR_MISSING, section, name, "a non-empty string is needed");
     return g_strdup(value ? value : "");
 }
 
-static double read_number(struct settings_reader *reader, struct section section, const char *name, double at_least,
-                          double at_most) {
+static double read_number(struct settings_reader *reader, struct section section, const char *name, double minimum,
+                          double maximum) {
     double value = json_get_double(section.object, name, -1);
-    if (!(value >= at_least && value <= at_most))
+    if (!(value >= minimum && value <= maximum))
         fail_member(reader, SETTINGS_ERROR_OUT_OF_RANGE, section, name, "missing or out of range");
     return value;
 }
 
 static struct timespec read_duration(struct settings_reader *reader, struct section section, const char *name,
-                                     double at_least, double at_most) {
-    return clock_from_seconds(read_number(reader, section, name, at_least, at_most));
+                                     double minimum, double maximum) {
+    return clock_from_seconds(read_number(reader, section, name, minimum, maximum));
 }
 
 static void check_address(struct settings_reader *reader, const char *field, const char *address) {
@@ -67,25 +67,25 @@
 }
 
 static void read_node(struct settings_reader *reader, struct section root, struct settings *settings) {
-    settings->node = read_text(reader, root, "node");
-    settings->area = read_text(reader, root, "area");
-    settings->bind = read_text(reader, root, "bind");
-    settings->cluster_listen = read_text(reader, root, "cluster_listen");
+    settings->node = read_string(reader, root, "node");
+    settings->zone = read_string(reader, root, "area");
+    settings->bind = read_string(reader, root, "bind");
+    settings->cluster_listen = read_string(reader, root, "cluster_listen");
     check_address(reader, "bind", settings->bind);
     check_address(reader, "cluster_listen", settings->cluster_listen);
     struct section services = subsection(root, "services", "services.");
-    settings->cloud = read_text(reader, services, "cloud");
-    settings->state = read_text(reader, services, "state");
-    check_address(reader, "services.cloud", settings->cloud);
-    check_address(reader, "services.state", settings->state);
+    settings->cloud_address = read_string(reader, services, "cloud");
+    settings->state_address = read_string(reader, services, "state");
+    check_address(reader, "services.cloud", settings->cloud_address);
+    check_address(reader, "services.state", settings->state_address);
 }
 
 static void read_seed(struct settings_reader *reader, const cJSON *object, struct settings *settings) {
     struct section section = {object, "seeds."};
     struct settings_seed *seed = &settings->seeds[settings->n_seeds++];
-    seed->node = read_text(reader, section, "node");
-    seed->area = read_text(reader, section, "area");
-    seed->address = read_text(reader, section, "address");
+    seed->node = read_string(reader, section, "node");
+    seed->zone = read_string(reader, section, "area");
+    seed->address = read_string(reader, section, "address");
     check_address(reader, "seeds.address", seed->address);
     if (strcmp(seed->node, settings->node) == 0)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "seeds.node", "names this node itself");
@@ -93,7 +93,7 @@
 
 static void read_seeds(struct settings_reader *reader, const cJSON *list, struct settings *settings) {
     const cJSON *seed;
-    if (list && (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > SETTINGS_SEEDS))
+    if (list && (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > SETTINGS_SEEDS_MAX))
         settings_reader_fail(reader, SETTINGS_ERROR_INVALID, "seeds", "not a list of at most 16");
     if (reader->failed) return;
     cJSON_ArrayForEach(seed, list) read_seed(reader, seed, settings);
@@ -101,7 +101,7 @@
 
 static void read_zones(struct settings_reader *reader, const cJSON *list, struct settings *settings) {
     const cJSON *zone;
-    if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > SETTINGS_ZONES)
+    if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > SETTINGS_ZONES_MAX)
         settings_reader_fail(reader, SETTINGS_ERROR_INVALID, "settings.zones", "a list of at most 32 is needed");
     if (reader->failed) return;
     cJSON_ArrayForEach(zone, list) {
@@ -128,25 +128,25 @@
 static void read_team(struct settings_reader *reader, const cJSON *object, struct settings *settings) {
     struct section section = {object, "settings.teams."};
     struct settings_team *team = &settings->teams[settings->n_teams++];
-    team->name = read_text(reader, section, "name");
-    team->shards = 1;
-    team->cpus = read_number(reader, section, "cpus", 0, AMOUNT_MAX);
-    team->cpus_max = read_number(reader, section, "cpus_max", 0, AMOUNT_MAX);
-    team->gpus = read_number(reader, section, "gpus", 0, AMOUNT_MAX);
-    team->gpus_max = read_number(reader, section, "gpus_max", 0, AMOUNT_MAX);
+    team->name = read_string(reader, section, "name");
+    team->n_shards = 1;
+    team->cpus = read_number(reader, section, "cpus", 0, TEAM_AMOUNT_MAX);
+    team->cpus_max = read_number(reader, section, "cpus_max", 0, TEAM_AMOUNT_MAX);
+    team->gpus = read_number(reader, section, "gpus", 0, TEAM_AMOUNT_MAX);
+    team->gpus_max = read_number(reader, section, "gpus_max", 0, TEAM_AMOUNT_MAX);
     check_team(reader, settings, team);
 }
 
 static void read_teams(struct settings_reader *reader, const cJSON *list, struct settings *settings) {
     const cJSON *team;
-    if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) < 1 || cJSON_GetArraySize(list) > SETTINGS_TEAMS) {
+    if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) < 1 || cJSON_GetArraySize(list) > SETTINGS_TEAMS_MAX) {
         settings_reader_fail(reader, SETTINGS_ERROR_INVALID, "settings.teams", "a list of 1 to 256 teams is needed");
         return;
     }
     cJSON_ArrayForEach(team, list) read_team(reader, team, settings);
 }
 
-/* An objective of a kind that is not known here is passed over: new ones may be added. */
+/* Objectives of an unknown kind are skipped, because the platform may add new kinds. */
 static void read_objective(const cJSON *object, struct settings *settings) {
     static const char *const kinds[] = {
         [OBJECTIVE_WAIT] = "wait",
@@ -155,11 +155,11 @@
         [OBJECTIVE_DEADLINE] = "deadline",
     };
     const char *kind = json_get_string(object, "kind"), *job_class = json_get_string(object, "class");
-    size_t known = 0;
-    while (known < G_N_ELEMENTS(kinds) && g_strcmp0(kind, kinds[known]) != 0) known++;
-    if (known == G_N_ELEMENTS(kinds) || settings->n_objectives == SETTINGS_OBJECTIVES) return;
+    size_t kind_index = 0;
+    while (kind_index < G_N_ELEMENTS(kinds) && g_strcmp0(kind, kinds[kind_index]) != 0) kind_index++;
+    if (kind_index == G_N_ELEMENTS(kinds) || settings->n_objectives == SETTINGS_OBJECTIVES_MAX) return;
     struct settings_objective *objective = &settings->objectives[settings->n_objectives++];
-    objective->kind = (enum settings_objective_kind)known;
+    objective->kind = (enum settings_objective_kind)kind_index;
     objective->job_class = g_strdup(job_class ? job_class : "");
     objective->within_s = json_get_double(object, "within_s", OBJECTIVE_WITHIN_DEFAULT_S);
     objective->fraction = json_get_double(object, "share", 1);
@@ -167,27 +167,27 @@
 
 static void read_workers(struct settings_reader *reader, struct section workers, struct settings *settings) {
     settings->heartbeat_interval = read_duration(reader, workers, "report_s", HEARTBEAT_INTERVAL_MIN_S, HOUR_S);
-    settings->lease = read_duration(reader, workers, "lease_s", LEASE_MIN_S, DAY_S);
+    settings->worker_lease = read_duration(reader, workers, "lease_s", LEASE_MIN_S, DAY_S);
     settings->gang_wait = read_duration(reader, workers, "gang_wait_s", 0, DAY_S);
     settings->gang_peer = read_duration(reader, workers, "gang_peer_s", 0, DAY_S);
-    settings->cancel = read_duration(reader, workers, "cancel_s", LEASE_MIN_S, DAY_S);
-    if (clock_to_seconds(settings->cancel) <= clock_to_seconds(settings->lease))
+    settings->cancel_timeout = read_duration(reader, workers, "cancel_s", LEASE_MIN_S, DAY_S);
+    if (clock_to_seconds(settings->cancel_timeout) <= clock_to_seconds(settings->worker_lease))
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "settings.workers.cancel_s", "must be above lease_s");
 }
 
-/* A limit of `state.next`, which may be left out; the smaller of it and the present one. */
-static double read_next_limit(struct settings_reader *reader, struct section next, const char *name, double at_least,
-                              double present) {
-    const cJSON *given = cJSON_GetObjectItemCaseSensitive(next.object, name);
-    if (!given || cJSON_IsNull(given)) return present;
-    double later = read_number(reader, next, name, at_least, LIMIT_MAX);
-    return MIN(present, later);
+/* Reads an optional limit of `state.next`. Returns the lower of it and the current limit. */
+static double read_next_limit(struct settings_reader *reader, struct section next, const char *name, double minimum,
+                              double current) {
+    const cJSON *value = cJSON_GetObjectItemCaseSensitive(next.object, name);
+    if (!value || cJSON_IsNull(value)) return current;
+    double next_limit = read_number(reader, next, name, minimum, RATE_OR_SIZE_MAX);
+    return MIN(current, next_limit);
 }
 
 static void read_state_limits(struct settings_reader *reader, struct section state, struct settings *settings) {
-    settings->state_rps = read_number(reader, state, "rps", 1, LIMIT_MAX);
-    settings->state_write_rps = read_number(reader, state, "write_rps", 1, LIMIT_MAX);
-    settings->value_kb = read_number(reader, state, "value_kb", 1, LIMIT_MAX);
+    settings->state_rps = read_number(reader, state, "rps", 1, RATE_OR_SIZE_MAX);
+    settings->state_write_rps = read_number(reader, state, "write_rps", 1, RATE_OR_SIZE_MAX);
+    settings->value_kb = read_number(reader, state, "value_kb", 1, RATE_OR_SIZE_MAX);
     settings->txn_ops =
         (int)read_number(reader, state, "txn_ops", TRANSACTION_OPERATIONS_MIN, TRANSACTION_OPERATIONS_MAX);
     struct section next = subsection(state, "next", "settings.state.next.");
@@ -202,11 +202,11 @@
 static void read_limits(struct settings_reader *reader, struct section section, struct settings *settings) {
     read_state_limits(reader, subsection(section, "state", "settings.state."), settings);
     struct section cloud = subsection(section, "cloud", "settings.cloud.");
-    settings->cloud_rps = read_number(reader, cloud, "rps", CLOUD_RATE_MIN, LIMIT_MAX);
+    settings->cloud_rps = read_number(reader, cloud, "rps", CLOUD_RPS_MIN, RATE_OR_SIZE_MAX);
     settings->list_lag = read_duration(reader, cloud, "list_lag_s", 0, HOUR_S);
     struct section machine = subsection(section, "machine_limits", "settings.machine_limits.");
-    settings->sockets = (int)json_get_double(machine.object, "sockets", SOCKETS_DEFAULT);
-    if (settings->sockets < SOCKETS_MIN)
+    settings->sockets_max = (int)json_get_double(machine.object, "sockets", SOCKETS_DEFAULT);
+    if (settings->sockets_max < SOCKETS_MIN)
         settings_reader_fail(reader, SETTINGS_ERROR_OUT_OF_RANGE, "settings.machine_limits.sockets", "below 64");
 }
 
@@ -214,7 +214,7 @@
     const cJSON *objective;
     if (!cJSON_IsObject(section.object))
         settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "settings", "an object is needed");
-    settings->size = (int)read_number(reader, section, "size", 1, SHARDS_LIMIT);
+    settings->n_shards = (int)read_number(reader, section, "size", 1, CLUSTER_SHARDS_MAX);
     read_zones(reader, cJSON_GetObjectItemCaseSensitive(section.object, "zones"), settings);
     read_teams(reader, cJSON_GetObjectItemCaseSensitive(section.object, "teams"), settings);
     cJSON_ArrayForEach(objective, cJSON_GetObjectItemCaseSensitive(section.object, "objectives"))
--- a/src/settings/reader.c
+++ b/src/settings/reader.c
@@ -2,7 +2,7 @@
 
 #include <stdio.h>
 
-#define LINE_NAME_BYTES 32
+#define LINE_LABEL_BYTES 32
 
 GQuark settings_error_quark(void) { return g_quark_from_static_string("fieldfield-settings-error"); }
 
@@ -13,11 +13,11 @@
     reader->failed = true;
 }
 
-/* libconfig reads the form: no reader of HCL is packaged for C, and this is its nearest kin. */
+/* Uses libconfig, whose syntax is the closest to HCL: no HCL parser is packaged for C. */
 bool settings_reader_parse_hcl(struct settings_reader *reader, config_t *config, const char *hcl) {
     config_set_options(config, CONFIG_OPTION_AUTOCONVERT);
     if (config_read_string(config, hcl)) return true;
-    char line[LINE_NAME_BYTES];
+    char line[LINE_LABEL_BYTES];
     snprintf(line, sizeof line, "line %d", config_error_line(config));
     settings_reader_fail(reader, SETTINGS_ERROR_SYNTAX, line, config_error_text(config));
     config_destroy(config);
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -1,4 +1,4 @@
-/* What the readers of the settings files have in common: where a fault is noted. Internal to this package. */
+/* Shared by the readers of the settings files: error reporting, and parsing of HCL. Internal to this package. */
 #ifndef FF_SETTINGS_READER_H
 #define FF_SETTINGS_READER_H
 #include <glib.h>
@@ -7,20 +7,20 @@
 
 #include "settings.h"
 
-/* One file being read. After the first fault the rest may be read on, but no later fault is noted. */
+/* The reader of one file. Reading may go on after the first error, but later errors are not reported. */
 struct settings_reader {
-    const char *file; /* its name in messages */
-    GError **error;   /* where the first fault goes; NULL: nowhere */
+    const char *file; /* the file's name in messages */
+    GError **error;   /* receives the first error; may be NULL */
     bool failed;
 };
 
 extern const struct settings_tuning settings_tuning_defaults;
 extern const struct settings_quota settings_quota_defaults;
 
-/* Notes a fault as "FILE: FIELD: WHAT". */
+/* Reports an error as "FILE: FIELD: WHAT" if it is the first one. */
 void settings_reader_fail(struct settings_reader *reader, enum settings_error code, const char *field,
                           const char *what);
-/* Reads HCL's `name = value` lines into an initialised configuration. On failure the line is named, and the
- * configuration is destroyed. */
+/* Parses HCL's `name = value` lines into an initialised configuration. On failure it reports the line and destroys the
+ * configuration. */
 bool settings_reader_parse_hcl(struct settings_reader *reader, config_t *config, const char *hcl);
 #endif
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -4,7 +4,7 @@
 
 #include "reader.h"
 
-/* The file's text, which the caller frees; NULL where it cannot be read. */
+/* Returns the file's text, which the caller frees; NULL and *error set if the file cannot be read. */
 static char *read_file(const char *path, GError **error) {
     char *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, NULL))
@@ -34,7 +34,7 @@
            load_quota(g_getenv("FIELDFIELD_QUOTA"), out, error);
 }
 
-int settings_home_shard(const struct settings *settings, int team) { return team % settings->size; }
+int settings_home_shard(const struct settings *settings, int team) { return team % settings->n_shards; }
 
 int settings_zone(const struct settings *settings, const char *name) {
     for (int i = 0; i < settings->n_zones; i++)
@@ -48,22 +48,22 @@
     return -1;
 }
 
-/* An objective that names no class is one of all classes. */
-static bool concerns(const struct settings_objective *objective, enum settings_objective_kind kind,
-                     const char *job_class) {
+/* Whether the objective is of this kind and applies to the class. One without a class applies to all classes. */
+static bool applies_to(const struct settings_objective *objective, enum settings_objective_kind kind,
+                       const char *job_class) {
     if (objective->kind != kind) return false;
     return !objective->job_class[0] || strcmp(objective->job_class, job_class ? job_class : "") == 0;
 }
 
-double settings_objective_within(const struct settings *settings, enum settings_objective_kind kind,
-                                 const char *job_class, double otherwise) {
-    double shortest = -1;
+double settings_shortest_objective_s(const struct settings *settings, enum settings_objective_kind kind,
+                                     const char *job_class, double default_s) {
+    double shortest_s = -1;
     for (int i = 0; i < settings->n_objectives; i++) {
         const struct settings_objective *objective = &settings->objectives[i];
-        if (!concerns(objective, kind, job_class)) continue;
-        if (shortest < 0 || objective->within_s < shortest) shortest = objective->within_s;
+        if (!applies_to(objective, kind, job_class)) continue;
+        if (shortest_s < 0 || objective->within_s < shortest_s) shortest_s = objective->within_s;
     }
-    return shortest < 0 ? otherwise : shortest;
+    return shortest_s < 0 ? default_s : shortest_s;
 }
 
 bool settings_has_objective(const struct settings *settings, enum settings_objective_kind kind, const char *job_class) {
@@ -75,12 +75,12 @@
 }
 
 void settings_clear(struct settings *settings) {
-    char *const texts[] = {settings->node,           settings->area,  settings->bind,
-                           settings->cluster_listen, settings->cloud, settings->state};
+    char *const texts[] = {settings->node,           settings->zone,          settings->bind,
+                           settings->cluster_listen, settings->cloud_address, settings->state_address};
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) g_free(texts[i]);
     for (int i = 0; i < settings->n_seeds; i++) {
         g_free(settings->seeds[i].node);
-        g_free(settings->seeds[i].area);
+        g_free(settings->seeds[i].zone);
         g_free(settings->seeds[i].address);
     }
     for (int i = 0; i < settings->n_objectives; i++) g_free(settings->objectives[i].job_class);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,113 +1,122 @@
-/* The settings of a controller: the platform's file (JSON), the operators' own file and their file of divided teams
- * (HCL). Read once at the start; afterwards they never change, and any thread reads them without a lock. */
+/* The settings of a controller, from three files: the platform's file (JSON), the operators' tuning file and their file
+ * of divided teams (both HCL). They are read once at the start and never change afterwards, so any thread may read them
+ * without a lock. */
 #ifndef FF_SETTINGS_H
 #define FF_SETTINGS_H
 #include <glib.h>
 #include <stdbool.h>
 #include <time.h>
 
-#define SETTINGS_TEAMS 256
-#define SETTINGS_SEEDS 16
-#define SETTINGS_ZONES 32
-#define SETTINGS_OBJECTIVES 64
+#define SETTINGS_TEAMS_MAX 256
+#define SETTINGS_SEEDS_MAX 16
+#define SETTINGS_ZONES_MAX 32
+#define SETTINGS_OBJECTIVES_MAX 64
 
+/* A team, its guarantee (cpus, gpus) and its limit (cpus_max, gpus_max; 0: no limit). */
 struct settings_team {
     char *name;
-    int shards;                            /* that the team is divided over; 1: it is not */
-    double cpus, cpus_max, gpus, gpus_max; /* guarantee and limit; a maximum of 0: none */
+    int n_shards; /* the number of shards that the team is divided over; 1: undivided */
+    double cpus, cpus_max, gpus, gpus_max;
 };
 
-/* Another controller. */
+/* Another controller: its name, its zone, and its address for other controllers. */
 struct settings_seed {
-    char *node, *area, *address;
+    char *node, *zone, *address;
 };
 
 enum settings_objective_kind { OBJECTIVE_WAIT, OBJECTIVE_FINISHED, OBJECTIVE_GUARANTEE, OBJECTIVE_DEADLINE };
 
-/* A service-level objective: that fraction of the class's jobs is to start, or be done, within a time. */
+/* A service-level objective: this fraction of the class's jobs shall start, or finish, within the time. */
 struct settings_objective {
     enum settings_objective_kind kind;
-    char *job_class; /* empty: all */
+    char *job_class; /* empty: all classes */
     double within_s, fraction;
 };
 
-/* The operators' own settings; the design's values are the defaults. */
+/* The operators' tuning settings. */
 struct settings_tuning {
-    double reception, admission, margin; /* thresholds of occupancy, and the headroom that is kept */
-    double window;                       /* heartbeats in an average of occupancy */
-    struct timespec drain_reopen;        /* a drain that is still busy after that is cancelled */
-    struct timespec silent_return;       /* silence after which a machine is returned */
-    struct timespec node_lease;          /* the controllers' leases */
-    struct timespec watch_gap;           /* pause between two reads of the store's changes */
-    double machines_per_shard;           /* rented at most */
-    double spot_backlog; /* backlog, in wanted times, past which work that allows spot gets on-demand machines */
+    /* Two thresholds of a machine's occupancy, and the headroom to keep free. */
+    double reception_threshold, admission_threshold, headroom_margin;
+    double occupancy_window;          /* number of heartbeats over which occupancy is averaged */
+    struct timespec drain_timeout;    /* a drain whose machine is still busy after this time is cancelled */
+    struct timespec silence_timeout;  /* lower bound of the time without heartbeats after which a machine is returned */
+    struct timespec controller_lease; /* duration of a controller's lease in the store */
+    struct timespec watch_gap;        /* pause between two watch requests to the store */
+    double machines_per_shard;        /* maximum number of a shard's machines, present or requested */
+    /* Jobs that allow spot machines get on-demand machines too when the backlog exceeds this multiple of the time
+     * within which they should finish. */
+    double spot_backlog;
 };
 
 /* The operators' settings of divided teams. */
 struct settings_quota {
-    struct timespec reservation_timeout; /* for so long room is reserved for one job that needs more than is free */
+    struct timespec reservation_timeout; /* how long capacity stays reserved for one job that needs more than is free */
 };
 
+/* All settings of a controller. */
 struct settings {
-    char *node, *area;           /* this controller and its zone */
-    char *bind, *cluster_listen; /* addresses for users and workers, and for the other controllers */
-    char *cloud, *state;         /* addresses of the cloud and of the state service */
-    struct settings_seed seeds[SETTINGS_SEEDS];
+    char *node, *zone;                   /* this controller's name and zone */
+    char *bind, *cluster_listen;         /* listen addresses for users and workers, and for other controllers */
+    char *cloud_address, *state_address; /* addresses of the cloud and of the state service */
+    struct settings_seed seeds[SETTINGS_SEEDS_MAX];
     int n_seeds;
-    int size; /* controllers in all, and the number of shards */
-    char *zones[SETTINGS_ZONES];
+    int n_shards; /* number of shards, equal to the number of controllers */
+    char *zones[SETTINGS_ZONES_MAX];
     int n_zones;
-    struct settings_team teams[SETTINGS_TEAMS];
+    struct settings_team teams[SETTINGS_TEAMS_MAX];
     int n_teams;
-    struct settings_objective objectives[SETTINGS_OBJECTIVES];
+    struct settings_objective objectives[SETTINGS_OBJECTIVES_MAX];
     int n_objectives;
-    struct timespec heartbeat_interval, lease, gang_wait, gang_peer;
-    struct timespec cancel; /* a cancelled job's tasks have to be gone by then */
-    /* The state service's limits. The service may lower them once, without notice, to those of `state.next`: rates and
-     * operations are the smaller of both, since they cost little from the start; a value may have the present size as
+    /* Intervals of the workers. gang_wait and gang_peer are checked when they are read, but not used. */
+    struct timespec heartbeat_interval, worker_lease, gang_wait, gang_peer;
+    struct timespec cancel_timeout; /* tasks of a cancelled job must have ended within this time */
+    /* The state service's limits. The service may lower them once, without notice, to the limits in `state.next`. Rates
+     * and operations are the lower of both from the start, since this costs little. Values may have the current size as
      * long as the layout of the records needs it. */
-    double state_rps, state_write_rps;
-    int txn_ops;
-    double value_kb;      /* at present */
-    double next_value_kb; /* after the change; never above value_kb */
-    double cloud_rps;
-    struct timespec list_lag;
-    int sockets;
+    double state_rps, state_write_rps; /* requests and writes per second, of all controllers together */
+    int txn_ops;                       /* operations per transaction */
+    double value_kb;                   /* the current limit */
+    double next_value_kb;              /* the limit after the change; never above value_kb */
+    double cloud_rps;                  /* requests per second to the cloud, of all controllers together */
+    struct timespec list_lag;          /* lag of the cloud's list of machines; checked when it is read, but not used */
+    int sockets_max;                   /* open sockets of this controller */
     struct settings_tuning tuning;
     struct settings_quota quota;
 };
 
-/* What is wrong with a file; the message names file, field and fault. */
+/* The errors of the settings files. The message names the file, the field and the fault. */
 #define SETTINGS_ERROR settings_error_quark()
 GQuark settings_error_quark(void);
 enum settings_error {
-    SETTINGS_ERROR_UNREADABLE,   /* the file */
-    SETTINGS_ERROR_SYNTAX,       /* not JSON, or not HCL */
-    SETTINGS_ERROR_MISSING,      /* a field that is needed */
-    SETTINGS_ERROR_INVALID,      /* of another form */
-    SETTINGS_ERROR_OUT_OF_RANGE, /* a number */
-    SETTINGS_ERROR_CONFLICT,     /* with another field */
-    SETTINGS_ERROR_UNKNOWN,      /* no such setting or team */
+    SETTINGS_ERROR_UNREADABLE,   /* the file cannot be read */
+    SETTINGS_ERROR_SYNTAX,       /* the file is not valid JSON or HCL */
+    SETTINGS_ERROR_MISSING,      /* a required field is missing */
+    SETTINGS_ERROR_INVALID,      /* a field has another type or form */
+    SETTINGS_ERROR_OUT_OF_RANGE, /* a number is out of range */
+    SETTINGS_ERROR_CONFLICT,     /* a field contradicts another field */
+    SETTINGS_ERROR_UNKNOWN,      /* there is no such setting or team */
 };
 
-/* Reads the platform's file and those that FIELDFIELD_TUNING and FIELDFIELD_QUOTA name. All readers return false, with
- * the first fault in *error, on failure; what was read is then freed with settings_clear, as on success. */
+/* Reads the platform's file, and the files that the environment variables FIELDFIELD_TUNING and FIELDFIELD_QUOTA name.
+ * On failure, this and the functions below return false with the first error in *error. settings_clear frees what was
+ * read, also after a failure. */
 bool settings_load(const char *path, struct settings *out, GError **error);
-/* The same for the text of one file, whose name is told in messages. */
+/* Parses the text of the platform's file. `file` is its name in messages. */
 bool settings_parse(const char *json, const char *file, struct settings *out, GError **error);
+/* Parses the text of the tuning file. */
 bool settings_parse_tuning(const char *hcl, const char *file, struct settings_tuning *out, GError **error);
-/* Reads which teams are divided, into settings that are read already. */
+/* Parses the text of the file of divided teams into settings that settings_parse has filled. */
 bool settings_parse_quota(const char *hcl, const char *file, struct settings *settings, GError **error);
 void settings_clear(struct settings *settings);
 
-/* The shortest time that an objective of this kind names for the class, or for all; `otherwise` where none does. */
-double settings_objective_within(const struct settings *settings, enum settings_objective_kind kind,
-                                 const char *job_class, double otherwise);
-/* Whether an objective of this kind names the class. */
+/* The shortest time in seconds of all objectives of this kind that apply to the class; `default_s` if there is none. */
+double settings_shortest_objective_s(const struct settings *settings, enum settings_objective_kind kind,
+                                     const char *job_class, double default_s);
+/* Whether there is an objective of this kind for this class itself, not for all classes. */
 bool settings_has_objective(const struct settings *settings, enum settings_objective_kind kind, const char *job_class);
-/* The home shard of a team: that of all its jobs, unless the team is divided over several. */
+/* The home shard of a team, which holds all its jobs unless the team is divided over several shards. */
 int settings_home_shard(const struct settings *settings, int team);
-/* The index of a zone or team; -1: unknown. */
+/* The index of a zone or team by name; -1: unknown. */
 int settings_zone(const struct settings *settings, const char *name);
 int settings_team(const struct settings *settings, const char *name);
 #endif
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -1,4 +1,4 @@
-/* The three settings files, good and wrong. */
+/* Tests of the readers of the three settings files, with valid and invalid input. */
 #include "settings/settings.h"
 
 #include <glib.h>
@@ -7,23 +7,23 @@
 
 #include "../../tests/standin/site.h"
 
-static void settings_are_read_with_their_derived_values(void **state) {
+static void valid_settings_are_read(void **state) {
     (void)state;
-    struct settings s;
+    struct settings settings;
     g_autoptr(GError) error = NULL;
-    assert_true(settings_parse(SITE_JSON, "f.json", &s, &error));
-    assert_int_equal(s.n_teams, 3);
-    assert_int_equal(s.n_seeds, 1);
-    assert_int_equal(s.cancel.tv_sec, 40);
-    assert_int_equal(settings_team(&s, "blue"), 1);
-    assert_int_equal(settings_team(&s, "none"), -1);
-    settings_clear(&s);
+    assert_true(settings_parse(SITE_JSON, "f.json", &settings, &error));
+    assert_int_equal(settings.n_teams, 3);
+    assert_int_equal(settings.n_seeds, 1);
+    assert_int_equal(settings.cancel_timeout.tv_sec, 40);
+    assert_int_equal(settings_team(&settings, "blue"), 1);
+    assert_int_equal(settings_team(&settings, "none"), -1);
+    settings_clear(&settings);
 }
 
-static void wrong_setting_is_named(void **state) {
+static void error_names_the_invalid_field(void **state) {
     (void)state;
     static const struct {
-        const char *from, *to, *field;
+        const char *from, *replacement, *field;
     } rows[] = {
         {"\"node\":\"n0\"", "\"node\":7", "node"},
         {"127.0.0.1:18080", "127.0.0.1", "bind"},
@@ -38,28 +38,28 @@
         {"\"sockets\":1000", "\"sockets\":3", "settings.machine_limits.sockets"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct settings s;
+        struct settings settings;
         g_autoptr(GError) error = NULL;
-        char *text = site_with(SITE_JSON, rows[i].from, rows[i].to);
-        assert_false(settings_parse(text, "f.json", &s, &error));
+        char *text = site_with(SITE_JSON, rows[i].from, rows[i].replacement);
+        assert_false(settings_parse(text, "f.json", &settings, &error));
         assert_non_null(strstr(error->message, "f.json: "));
         assert_non_null(strstr(error->message, rows[i].field));
-        settings_clear(&s);
+        settings_clear(&settings);
         g_free(text);
     }
-    struct settings s;
+    struct settings settings;
     g_autoptr(GError) error = NULL;
-    assert_false(settings_parse("[1]", "f.json", &s, &error));
+    assert_false(settings_parse("[1]", "f.json", &settings, &error));
 }
 
-/* Limits that the state service will have some day: each may be left out, and none is above the present one. */
-static void next_limits_are_optional_and_never_above_the_present(void **state) {
+/* Limits that the state service may switch to: each is optional, and one above the current limit has no effect. */
+static void next_limits_are_optional_and_never_above_current(void **state) {
     (void)state;
     static const struct {
         const char *next;
         double write_rps, value_kb, next_value_kb;
         int txn_ops;
-        const char *wrong;
+        const char *expected_error;
     } rows[] = {
         {"{\"write_rps\":15,\"value_kb\":2,\"txn_ops\":4}", 15, 4, 2, 4, NULL},
         {"{\"value_kb\":2}", 20, 4, 2, 8, NULL},
@@ -71,61 +71,62 @@
         {"7", 0, 0, 0, 0, "settings.state.next"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct settings s;
+        struct settings settings;
         g_autoptr(GError) error = NULL;
-        char *to = g_strdup_printf("\"txn_ops\":8,\"next\":%s", rows[i].next);
-        char *text = site_with(SITE_JSON, "\"txn_ops\":8", to);
-        bool ok = settings_parse(text, "f.json", &s, &error);
-        assert_int_equal(ok, rows[i].wrong == NULL);
-        if (rows[i].wrong) assert_non_null(strstr(error->message, rows[i].wrong));
-        if (ok) {
-            assert_float_equal(s.state_write_rps, rows[i].write_rps, 1e-9);
-            assert_float_equal(s.value_kb, rows[i].value_kb, 1e-9);
-            assert_float_equal(s.next_value_kb, rows[i].next_value_kb, 1e-9);
-            assert_int_equal(s.txn_ops, rows[i].txn_ops);
+        char *replacement = g_strdup_printf("\"txn_ops\":8,\"next\":%s", rows[i].next);
+        char *text = site_with(SITE_JSON, "\"txn_ops\":8", replacement);
+        bool valid = settings_parse(text, "f.json", &settings, &error);
+        assert_int_equal(valid, rows[i].expected_error == NULL);
+        if (rows[i].expected_error) assert_non_null(strstr(error->message, rows[i].expected_error));
+        if (valid) {
+            assert_float_equal(settings.state_write_rps, rows[i].write_rps, 1e-9);
+            assert_float_equal(settings.value_kb, rows[i].value_kb, 1e-9);
+            assert_float_equal(settings.next_value_kb, rows[i].next_value_kb, 1e-9);
+            assert_int_equal(settings.txn_ops, rows[i].txn_ops);
         }
-        settings_clear(&s);
+        settings_clear(&settings);
         g_free(text);
-        g_free(to);
+        g_free(replacement);
     }
 }
 
-static void tuning_file_overrides_defaults_or_is_refused(void **state) {
+static void tuning_file_overrides_defaults_or_is_rejected(void **state) {
     (void)state;
     static const struct {
-        const char *text, *wrong; /* wrong: what the error must name, NULL: good */
+        /* expected_error: text that the error must contain; NULL: the file is valid */
+        const char *text, *expected_error;
     } rows[] = {
         {"reception = 0.4\nmargin = 2\n", NULL}, {"# a comment\ndrain_reopen = 90\n", NULL},
         {"recepton = 0.4\n", "recepton"},        {"reception = 1.5\n", "reception"},
         {"reception = \"half\"\n", "reception"}, {"reception = = 3\n", "line 1"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct settings_tuning t;
+        struct settings_tuning tuning;
         g_autoptr(GError) error = NULL;
-        assert_int_equal(settings_parse_tuning(rows[i].text, "t.hcl", &t, &error), rows[i].wrong == NULL);
-        if (rows[i].wrong) assert_non_null(strstr(error->message, rows[i].wrong));
+        assert_int_equal(settings_parse_tuning(rows[i].text, "t.hcl", &tuning, &error), rows[i].expected_error == NULL);
+        if (rows[i].expected_error) assert_non_null(strstr(error->message, rows[i].expected_error));
     }
-    struct settings_tuning t;
+    struct settings_tuning tuning;
     g_autoptr(GError) error = NULL;
-    assert_true(settings_parse_tuning("reception = 0.25\ndrain_reopen = 90\n", "t.hcl", &t, &error));
-    assert_float_equal(t.reception, 0.25, 1e-9);
-    assert_float_equal(t.admission, 0.8, 1e-9);
-    assert_int_equal(t.drain_reopen.tv_sec, 90);
+    assert_true(settings_parse_tuning("reception = 0.25\ndrain_reopen = 90\n", "t.hcl", &tuning, &error));
+    assert_float_equal(tuning.reception_threshold, 0.25, 1e-9);
+    assert_float_equal(tuning.admission_threshold, 0.8, 1e-9);
+    assert_int_equal(tuning.drain_timeout.tv_sec, 90);
 }
 
-/* Which teams are divided: the first entry that names a team holds for it. */
-static void first_entry_that_names_a_team_holds(void **state) {
+/* For each team, the first entry that names it sets the number of shards. */
+static void first_entry_that_names_a_team_applies(void **state) {
     (void)state;
     static const struct {
         const char *text;
-        int shards[3];     /* red, blue, green */
-        const char *wrong; /* what the error must name, NULL: good */
+        int shards[3];              /* red, blue, green */
+        const char *expected_error; /* text that the error must contain; NULL: the file is valid */
     } rows[] = {
         {"", {1, 1, 1}, NULL},
         {"gather_s = 5\ndivide = ( { team = \"red\", shares = 2 } )\n", {2, 1, 1}, NULL},
         {"divide = ( { team = \"red\", shares = 1 }, { team = \"*\", shares = 2 } )\n", {1, 2, 2}, NULL},
         {"divide = ( { team = \"*\", shares = 2 }, { team = \"red\", shares = 1 } )\n", {2, 2, 2}, NULL},
-        {"divide = ( { team = \"red\", shares = 3 } )\n", {0}, "divide.shares"}, /* there are two */
+        {"divide = ( { team = \"red\", shares = 3 } )\n", {0}, "divide.shares"}, /* the cluster has two shards */
         {"divide = ( { team = \"red\", shares = 0 } )\n", {0}, "divide.shares"},
         {"divide = ( { team = \"red\", shares = 1.5 } )\n", {0}, "divide.shares"},
         {"divide = ( { team = \"rot\", shares = 2 } )\n", {0}, "divide.team"},
@@ -138,25 +139,25 @@
         {"divide = ( \n", {0}, "line"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct settings s;
+        struct settings settings;
         g_autoptr(GError) error = NULL;
-        assert_true(settings_parse(SITE_JSON, "f.json", &s, &error));
-        bool ok = settings_parse_quota(rows[i].text, "quota.hcl", &s, &error);
-        if (ok != (rows[i].wrong == NULL)) fail_msg("%s", rows[i].text);
-        if (rows[i].wrong) {
+        assert_true(settings_parse(SITE_JSON, "f.json", &settings, &error));
+        bool valid = settings_parse_quota(rows[i].text, "quota.hcl", &settings, &error);
+        if (valid != (rows[i].expected_error == NULL)) fail_msg("%s", rows[i].text);
+        if (rows[i].expected_error) {
             assert_non_null(strstr(error->message, "quota.hcl"));
-            assert_non_null(strstr(error->message, rows[i].wrong));
+            assert_non_null(strstr(error->message, rows[i].expected_error));
         }
-        for (int t = 0; ok && t < 3; t++) assert_int_equal(s.teams[t].shards, rows[i].shards[t]);
-        settings_clear(&s);
+        for (int t = 0; valid && t < 3; t++) assert_int_equal(settings.teams[t].n_shards, rows[i].shards[t]);
+        settings_clear(&settings);
     }
 }
 
 int main(void) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(settings_are_read_with_their_derived_values),
-                                       cmocka_unit_test(wrong_setting_is_named),
-                                       cmocka_unit_test(next_limits_are_optional_and_never_above_the_present),
-                                       cmocka_unit_test(tuning_file_overrides_defaults_or_is_refused),
-                                       cmocka_unit_test(first_entry_that_names_a_team_holds)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(valid_settings_are_read),
+                                       cmocka_unit_test(error_names_the_invalid_field),
+                                       cmocka_unit_test(next_limits_are_optional_and_never_above_current),
+                                       cmocka_unit_test(tuning_file_overrides_defaults_or_is_rejected),
+                                       cmocka_unit_test(first_entry_that_names_a_team_applies)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/settings/tuning_file.c
+++ b/src/settings/tuning_file.c
@@ -1,4 +1,5 @@
-/* The operators' own settings: `name = value` lines, each with a default and bounds (docs/operations.md). */
+/* Reads the operators' tuning file, lines `name = value`. Each setting has a default and bounds (docs/operations.md).
+ */
 #include <stddef.h>
 #include <string.h>
 
@@ -6,36 +7,36 @@
 #include "reader.h"
 
 const struct settings_tuning settings_tuning_defaults = {
-    .reception = 0.5,
-    .admission = 0.8,
-    .margin = 1.5,
-    .window = 6,
-    .drain_reopen = {60, 0},
-    .silent_return = {8, 0},
-    .node_lease = {2, 500000000},
+    .reception_threshold = 0.5,
+    .admission_threshold = 0.8,
+    .headroom_margin = 1.5,
+    .occupancy_window = 6,
+    .drain_timeout = {60, 0},
+    .silence_timeout = {8, 0},
+    .controller_lease = {2, 500000000},
     .watch_gap = {0, 80000000},
-    .machines_per_shard = 5000, /* one team may hold nearly all of a fleet, with room for one twice as large */
+    .machines_per_shard = 5000, /* one team may use nearly the whole fleet, and the fleet may double */
     .spot_backlog = 1.5,
 };
 
 enum field_type { FIELD_NUMBER, FIELD_DURATION };
 
-/* A setting: its name in the file, its bounds in the file's unit, and the member that it goes to. */
+/* A setting: its name in the file, its bounds (durations in seconds), and the offset of its member. */
 struct tuning_field {
     const char *name;
-    double at_least, at_most;
+    double minimum, maximum;
     enum field_type type;
     size_t offset;
 };
 
 static const struct tuning_field tuning_fields[] = {
-    {"reception", 0, 1, FIELD_NUMBER, offsetof(struct settings_tuning, reception)},
-    {"admission", 0.05, 1.01, FIELD_NUMBER, offsetof(struct settings_tuning, admission)},
-    {"margin", 0.5, 20, FIELD_NUMBER, offsetof(struct settings_tuning, margin)},
-    {"window", 1, 60, FIELD_NUMBER, offsetof(struct settings_tuning, window)},
-    {"drain_reopen", 5, 3600, FIELD_DURATION, offsetof(struct settings_tuning, drain_reopen)},
-    {"silent_return", 2, 3600, FIELD_DURATION, offsetof(struct settings_tuning, silent_return)},
-    {"node_lease", 1, 60, FIELD_DURATION, offsetof(struct settings_tuning, node_lease)},
+    {"reception", 0, 1, FIELD_NUMBER, offsetof(struct settings_tuning, reception_threshold)},
+    {"admission", 0.05, 1.01, FIELD_NUMBER, offsetof(struct settings_tuning, admission_threshold)},
+    {"margin", 0.5, 20, FIELD_NUMBER, offsetof(struct settings_tuning, headroom_margin)},
+    {"window", 1, 60, FIELD_NUMBER, offsetof(struct settings_tuning, occupancy_window)},
+    {"drain_reopen", 5, 3600, FIELD_DURATION, offsetof(struct settings_tuning, drain_timeout)},
+    {"silent_return", 2, 3600, FIELD_DURATION, offsetof(struct settings_tuning, silence_timeout)},
+    {"node_lease", 1, 60, FIELD_DURATION, offsetof(struct settings_tuning, controller_lease)},
     {"watch_gap", 0, 5, FIELD_DURATION, offsetof(struct settings_tuning, watch_gap)},
     {"machines_per_share", 1, 10000, FIELD_NUMBER, offsetof(struct settings_tuning, machines_per_shard)},
     {"dear_backlog", 0, 100, FIELD_NUMBER, offsetof(struct settings_tuning, spot_backlog)},
@@ -63,7 +64,7 @@
         return;
     }
     double value = config_setting_is_number(setting) ? config_setting_get_float(setting) : -1;
-    if (value >= field->at_least && value <= field->at_most) {
+    if (value >= field->minimum && value <= field->maximum) {
         store_value(field, value, out);
     } else {
         settings_reader_fail(reader, SETTINGS_ERROR_OUT_OF_RANGE, field->name, "not a number within its bounds");
--- a/src/store/mirror.c
+++ b/src/store/mirror.c
@@ -108,7 +108,7 @@
 int store_watch_hold_ms(void) {
     static const double hold_min_s = 0.1, hold_max_s = 0.7;
     /* An idle watch must return well before the last read becomes too old to answer workers. */
-    double validity_s = clock_to_seconds(cfg->cancel) - clock_to_seconds(cfg->lease);
+    double validity_s = clock_to_seconds(cfg->cancel_timeout) - clock_to_seconds(cfg->worker_lease);
     return (int)(CLAMP(validity_s / 8, hold_min_s, hold_max_s) * MS_PER_SECOND);
 }
 
--- a/src/store/request.c
+++ b/src/store/request.c
@@ -35,7 +35,7 @@
     char url[URL_BYTES];
     long status = 0;
     *body = NULL;
-    snprintf(url, sizeof url, "http://%s%s", cfg->state, request->path);
+    snprintf(url, sizeof url, "http://%s%s", cfg->state_address, request->path);
     switch (http_call(client, request->method, url, request->body, request->timeout_ms, &status, body)) {
         case HTTP_NOT_SENT:
             return STORE_ANSWER_NOT_SENT;
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -141,7 +141,7 @@
 
 int main(void) {
     char *settings_json = site_json();
-    if (!settings_parse(settings_json, "f.json", &cfg, NULL) || !standin_store_start(cfg.state)) return 1;
+    if (!settings_parse(settings_json, "f.json", &cfg, NULL) || !standin_store_start(cfg.state_address)) return 1;
     g_free(settings_json);
     store_init(&cfg);
     store_observe_prefix("z/", count_applied);
--- a/src/workers/proxy.c
+++ b/src/workers/proxy.c
@@ -17,7 +17,7 @@
 
 bool proxy_may_answer(const struct machine *machine) {
     const char *owner = machine->shard < 0 ? "" : membership_shard(machine->shard)->owner;
-    return store_unreachable() && membership_may_answer_workers() && strcmp(machine->zone, settings->area) == 0 &&
+    return store_unreachable() && membership_may_answer_workers() && strcmp(machine->zone, settings->zone) == 0 &&
            strcmp(owner, settings->node) != 0 && !peers_is_reachable(owner);
 }
 
--- a/src/workers/proxy_test.c
+++ b/src/workers/proxy_test.c
@@ -97,7 +97,7 @@
     cJSON_Delete(response);
     cJSON_Delete(message);
     struct settings settings_with_short_validity = settings;
-    settings_with_short_validity.cancel = clock_from_seconds(clock_to_seconds(settings.lease) + 1);
+    settings_with_short_validity.cancel_timeout = clock_from_seconds(clock_to_seconds(settings.worker_lease) + 1);
     membership_init(&settings_with_short_validity); /* the last read is now too old */
     assert_false(proxy_may_answer(machine_in_zone));
     store_unlock();
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -67,7 +67,8 @@
     }
     struct machine_liveness *liveness = &machine->liveness;
     if (new_incarnation && liveness->heartbeat_acknowledged &&
-        clock_seconds_since(liveness->last_heartbeat) < clock_to_seconds(settings->lease) * EARLY_EXPIRY_FRACTION) {
+        clock_seconds_since(liveness->last_heartbeat) <
+            clock_to_seconds(settings->worker_lease) * EARLY_EXPIRY_FRACTION) {
         liveness->ignored_responses += 2;
     } else if (ignored_starts && cJSON_GetArraySize(heartbeat->tasks) < ignored_starts) {
         liveness->ignored_responses++;
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -44,7 +44,7 @@
 
 bool owned_start_site(struct settings *settings) {
     char *text = site_json();
-    bool started = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->state);
+    bool started = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->state_address);
     g_free(text);
     if (started) owned_start(settings);
     return started;
