--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -50,8 +50,8 @@
 
 /* Whether the machine has recently listed the task as waiting for the rest of its gang, or as fetching its image. */
 static bool waits_for_gang(const struct allocation *allocation) {
-    if (allocation->stop_requested || !allocation->seen) return false;
-    if (allocation->state != TASK_FETCHING && allocation->state != TASK_GATHERING) return false;
+    if (allocation->stop_requested || !allocation->was_listed) return false;
+    if (allocation->state != TASK_FETCHING && allocation->state != TASK_WAITING_FOR_GANG) return false;
     double recent_s = clock_to_seconds(allocation_settings->heartbeat_interval) * RECENT_HEARTBEAT_INTERVALS +
                       RECENT_HEARTBEAT_MARGIN_S;
     return clock_seconds_since(allocation->machine->liveness.last_heartbeat) <= recent_s;
@@ -75,7 +75,7 @@
     if (allocation->stop_requested) return;
     allocation->stop_requested = true;
     allocation->grace_s = grace_s;
-    allocation->machine->commands.wake = true;
+    allocation->machine->commands.send_pending = true;
 }
 
 /* Stops the tasks of an ended job without grace, even if an earlier stop request granted a grace period. */
@@ -84,7 +84,7 @@
         struct allocation *allocation = job->allocations->pdata[i];
         allocation->stop_requested = true;
         allocation->grace_s = 0;
-        allocation->machine->commands.wake = true;
+        allocation->machine->commands.send_pending = true;
     }
 }
 
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -243,13 +243,14 @@
         bool other_attempt, stale_heartbeat;
         int64_t expected;
     } rows[] = {
-        {TASK_FETCHING, TASK_GATHERING, true, false, false, false, false, 7},
-        {TASK_GATHERING, TASK_RUNNING, true, false, false, false, false, 0}, /* the gang has started */
-        {TASK_GATHERING, TASK_GATHERING, false, false, false, false, false, 0},
-        {TASK_GATHERING, TASK_GATHERING, true, true, false, false, false, 0},
-        {TASK_GATHERING, TASK_GATHERING, true, false, true, false, false, 0},
-        {TASK_GATHERING, TASK_GATHERING, true, false, false, true, false, 0},
-        {TASK_GATHERING, TASK_GATHERING, true, false, false, false, true, 0}, /* the last heartbeat is too old */
+        {TASK_FETCHING, TASK_WAITING_FOR_GANG, true, false, false, false, false, 7},
+        {TASK_WAITING_FOR_GANG, TASK_RUNNING, true, false, false, false, false, 0}, /* the gang has started */
+        {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, false, false, false, false, false, 0},
+        {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, true, false, false, false, 0},
+        {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, false, true, false, false, 0},
+        {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, false, false, true, false, 0},
+        {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, false, false, false, true,
+         0}, /* the last heartbeat is too old */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine machine;
@@ -258,10 +259,10 @@
         memset(&job, 0, sizeof job);
         if (!rows[i].stale_heartbeat) machine.liveness.last_heartbeat = clock_now();
         struct allocation first = {
-            .job = &job, .machine = &machine, .attempt = ATTEMPT, .seen = true, .state = rows[i].first_state};
+            .job = &job, .machine = &machine, .attempt = ATTEMPT, .was_listed = true, .state = rows[i].first_state};
         struct allocation second = first;
         second.state = rows[i].second_state;
-        second.seen = rows[i].seen;
+        second.was_listed = rows[i].seen;
         second.stop_requested = rows[i].stop_requested;
         second.released = rows[i].released;
         if (rows[i].other_attempt) second.attempt = ATTEMPT + 1;
--- a/src/allocations/records.c
+++ b/src/allocations/records.c
@@ -174,7 +174,7 @@
     if (moved) moved->index_in_job = allocation->index_in_job;
     moved = remove_index(machine->allocations, allocation->index_in_machine);
     if (moved) moved->index_in_machine = allocation->index_in_machine;
-    machines_drop_stub(machine);
+    machines_free_unreferenced(machine);
     g_free(allocation);
 }
 
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -90,7 +90,7 @@
 /* Nothing is returned before each machine shows a full window; in a large fleet some have always just booted, and while
  * they are few only they wait for their own. */
 static bool may_drain(int shard, const struct occupancy_summary *summary) {
-    return summary->n_unsteady * MACHINES_PER_DRAIN <= summary->n && !shard_states[shard].fit_nowhere;
+    return summary->n_unsteady * MACHINES_PER_DRAIN <= summary->n && !shard_states[shard].has_unplaced_tasks;
 }
 
 static void run_kind(int shard, bool spot) {
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -184,7 +184,7 @@
 static const struct job *recent_gang(const GArray *jobs) {
     for (guint i = 0; i < jobs->len; i++) {
         const struct job *job = g_array_index(jobs, struct priority_entry, i).job;
-        if (job->spec.kind == JOB_GANG && !job->spec.allows_spot && clock_time_of_day() - job->ready < GANG_LATELY_S)
+        if (job->spec.kind == JOB_GANG && !job->spec.allows_spot && clock_time_of_day() - job->ready_at < GANG_LATELY_S)
             return job;
     }
     return NULL;
--- a/src/autoscaler/shard_plan.c
+++ b/src/autoscaler/shard_plan.c
@@ -106,7 +106,7 @@
     for (guint i = 0; i < machines_all()->len; i++) {
         const struct machine *machine = machines_all()->pdata[i];
         if (machine->shard == plan->shard || machine->shard < 0 || !preemption_clears_machine(machine) ||
-            machine->rebalance.to >= 0)
+            machine->rebalance.target_shard >= 0)
             continue;
         struct planned_machine *planned = planned_machine_add(plan->machines, machine->type_name, machine->zone, false);
         if (planned) planned->foreign = true;
--- a/src/cloud/capacity.c
+++ b/src/cloud/capacity.c
@@ -10,12 +10,13 @@
 #include "../machines/machines.h"
 #include "cloud.h"
 
-#define PAUSE_FIRST_S 7
-#define PAUSE_MAX_S 60
+#define FIRST_PAUSE_S 7
+#define MAX_PAUSE_S 60
 
+/* Delays rental requests for a kind of machine that the cloud has refused. */
 struct backoff {
     struct timespec until;
-    double pause_s;
+    double pause_s; /* doubles with each refusal */
 };
 
 static GHashTable *backoffs; /* "TYPE ZONE SPOT" -> struct backoff */
@@ -29,14 +30,14 @@
     g_hash_table_remove(backoffs, key);
 }
 
-/* A machine of the kind was returned: the next one may be had at once. */
-static void machine_returned(const struct machine *machine) {
+/* Ends the backoff for the kind of a returned machine, since the cloud can rent that machine out again. */
+static void end_backoff_on_return(const struct machine *machine) {
     end_backoff(machine->type_name, machine->zone, machine->spot);
 }
 
 void capacity_init(void) {
     backoffs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    machines_on_returned(machine_returned);
+    machines_on_returned(end_backoff_on_return);
 }
 
 bool cloud_may_rent(const char *type_name, const char *zone, bool spot) {
@@ -49,7 +50,7 @@
     end_backoff(request->type_name, request->zone, request->spot);
 }
 
-static struct backoff *find_or_add(const struct rental_request *request) {
+static struct backoff *find_or_add_backoff(const struct rental_request *request) {
     char *key = kind_key(request->type_name, request->zone, request->spot);
     struct backoff *backoff = g_hash_table_lookup(backoffs, key);
     if (backoff) {
@@ -61,11 +62,11 @@
     return backoff;
 }
 
-/* Calls are scarce, and asking in vain takes them from work that could be served: the pause grows to a minute, and is
- * over at once when any controller returns a machine of the kind. */
+/* Refused requests use up calls that other requests need. The pause therefore grows to MAX_PAUSE_S, and ends early when
+ * any controller returns a machine of the kind. */
 void capacity_note_refused(const struct rental_request *request) {
-    struct backoff *backoff = find_or_add(request);
-    backoff->pause_s = backoff->pause_s > 0 ? fmin(backoff->pause_s * 2, PAUSE_MAX_S) : PAUSE_FIRST_S;
+    struct backoff *backoff = find_or_add_backoff(request);
+    backoff->pause_s = backoff->pause_s > 0 ? fmin(backoff->pause_s * 2, MAX_PAUSE_S) : FIRST_PAUSE_S;
     backoff->until = clock_now_plus(clock_from_seconds(backoff->pause_s));
     log_info("cloud: no capacity for %s in %s (%s), retrying in %.0f s", request->type_name, request->zone,
              request->spot ? "spot" : "on-demand", backoff->pause_s);
--- a/src/cloud/capacity.h
+++ b/src/cloud/capacity.h
@@ -1,12 +1,13 @@
-/* Kinds of machines (type, zone, spot or on-demand) that the cloud has just refused. With store_lock held. */
+/* Remembers which kinds of machines (type, zone, spot or on-demand) the cloud has just refused to rent. Its functions
+ * are called with store_lock held. */
 #ifndef FF_CLOUD_CAPACITY_H
 #define FF_CLOUD_CAPACITY_H
 #include "../model/machine.h"
 
-/* Once, before the threads start. */
+/* Called once, before the threads start. */
 void capacity_init(void);
-/* The cloud had all machines of the kind that were requested. */
+/* Records that the cloud rented out all machines of the request. */
 void capacity_note_available(const struct rental_request *request);
-/* It had fewer, or none. */
+/* Records that the cloud rented out fewer machines than requested, or none. */
 void capacity_note_refused(const struct rental_request *request);
 #endif
--- a/src/cloud/catalogue.c
+++ b/src/cloud/catalogue.c
@@ -8,10 +8,10 @@
 #include "../store/store.h"
 #include "client.h"
 
-#define KIB 1024
-#define RECORD_FRAME_BYTES 64 /* what a value takes beside the catalogue */
+#define BYTES_PER_KIB 1024
+#define RECORD_OVERHEAD_BYTES 64 /* size of a record's value without the catalogue */
 
-static void record(const cJSON *catalogue) {
+static void write_record(const cJSON *catalogue) {
     struct store_txn transaction;
     struct store_response response;
     store_txn_init(&transaction);
@@ -28,7 +28,8 @@
         store_lock();
         machine_types_apply(answer.body);
         store_unlock();
-        if (text && (double)strlen(text) < settings->next_value_kb * KIB - RECORD_FRAME_BYTES) record(answer.body);
+        if (text && (double)strlen(text) < settings->next_value_kb * BYTES_PER_KIB - RECORD_OVERHEAD_BYTES)
+            write_record(answer.body);
         free(text);
     }
     cloud_answer_clear(&answer);
--- a/src/cloud/catalogue.h
+++ b/src/cloud/catalogue.h
@@ -1,9 +1,9 @@
-/* The cloud's catalogue of machine types. On the cloud's thread, without the lock. */
+/* Reads the cloud's catalogue of machine types. Called on the cloud's thread, without store_lock. */
 #ifndef FF_CLOUD_CATALOGUE_H
 #define FF_CLOUD_CATALOGUE_H
 #include "../settings/settings.h"
 
-/* Reads the catalogue and records it. One controller does that for all: each asking for itself would use up the cloud's
- * calls just when the first machines are to be rented. */
+/* Reads the catalogue and writes it to the store, unless it exceeds the store's next limit for a value. One controller
+ * does this for all: if each read the catalogue, the calls would be used up when the first machines must be rented. */
 void catalogue_read(const struct settings *settings);
 #endif
--- a/src/cloud/client.c
+++ b/src/cloud/client.c
@@ -12,25 +12,25 @@
 #include "../store/store.h"
 
 #define CALL_TIMEOUT_MS 5000
-#define URL_MAX 256
-#define BURST_S 1.5             /* for so long calls that were not made are saved up */
-#define OWNERLESS_CALL_PART 0.2 /* of the calls for controllers that own no shard, all of them together */
-#define TROUBLE_PAUSE_S 0.5
+#define URL_SIZE 256
+#define BURST_S 1.5              /* unused calls of this period may be made later */
+#define SHARDLESS_CALL_SHARE 0.2 /* share of the cloud's rate for all controllers without a shard together */
+#define ERROR_PAUSE_S 0.5
 #define OVER_RATE_PAUSE_MIN_S 0.3
 #define OVER_RATE_PAUSE_MAX_S 1.1
 
 static struct {
     const struct settings *settings;
     struct http_client *http;
-    double calls; /* that may be made now */
-    struct timespec counted_at;
+    double available_calls;     /* calls that may be made now; negative after urgent calls */
+    struct timespec counted_at; /* when available_calls was last updated */
     struct timespec paused_until;
 } client;
 
 void cloud_client_init(const struct settings *settings) {
     client.settings = settings;
     client.counted_at = clock_now();
-    client.calls = 1;
+    client.available_calls = 1;
 }
 
 struct http_client *cloud_client_http(void) {
@@ -38,53 +38,55 @@
     return client.http;
 }
 
-/* Calls a second. The cloud counts those of all controllers: each keeps to the part that goes with the shards owned;
- * one that owns none has little to ask. */
-static double call_rate(void) {
+/* Returns this controller's share of the cloud's rate limit, in calls per second. The limit covers all controllers
+ * together, so each has a share in proportion to the shards that it owns. A controller without a shard makes few calls
+ * and has a small share. */
+static double own_call_rate(void) {
     const struct settings *settings = client.settings;
     int n_owned = 0;
     store_lock();
     int n_shards = quota_any_divided() ? settings->n_shards : MIN(settings->n_shards, settings->n_teams);
     for (int shard = 0; shard < n_shards; shard++) n_owned += membership_owns(shard);
-    double least = OWNERLESS_CALL_PART / membership_live_controllers();
+    double min_share = SHARDLESS_CALL_SHARE / membership_live_controllers();
     store_unlock();
-    return settings->cloud_rps * fmax((double)n_owned / n_shards, least);
+    return settings->cloud_rps * fmax((double)n_owned / n_shards, min_share);
 }
 
-bool cloud_client_take_call(enum call_urgency urgency) {
-    double rate = call_rate();
+bool cloud_client_reserve_call(enum call_urgency urgency) {
+    double rate = own_call_rate();
     struct timespec now = clock_now();
-    double gained = (clock_to_seconds(now) - clock_to_seconds(client.counted_at)) * rate;
-    client.calls = fmin(client.calls + gained, fmax(1, rate * BURST_S));
+    double earned_calls = (clock_to_seconds(now) - clock_to_seconds(client.counted_at)) * rate;
+    client.available_calls = fmin(client.available_calls + earned_calls, fmax(1, rate * BURST_S));
     client.counted_at = now;
     bool paused = clock_to_seconds(now) < clock_to_seconds(client.paused_until);
-    if (paused || client.calls < (urgency == CALL_URGENT ? 0 : 1)) return false;
-    client.calls -= 1;
+    if (paused || client.available_calls < (urgency == CALL_URGENT ? 0 : 1)) return false;
+    client.available_calls -= 1;
     return true;
 }
 
-void cloud_client_put_call_back(void) { client.calls += 1; }
+void cloud_client_release_call(void) { client.available_calls += 1; }
 
 void cloud_client_end_pause(void) { client.paused_until = clock_now(); }
 
 static void pause_calls(double pause_s) { client.paused_until = clock_now_plus(clock_from_seconds(pause_s)); }
 
-/* A call over the rate cost nothing and is soon made again, at a time of its own: controllers that started together
- * once asked together ever after, and the last of them got nothing for 40 s. */
-static void slow_down(const struct cloud_answer *answer) {
+/* Pauses calls after an error. The cloud does not count a call that it refused for exceeding the rate, so the call is
+ * released. The pause is then random: controllers that start together would otherwise keep calling at the same moments,
+ * and one of them was refused for 40 s. */
+static void pause_after_error(const struct cloud_answer *answer) {
     if (cloud_answer_has_status(answer, HTTP_TOO_MANY_REQUESTS)) {
         pause_calls(g_random_double_range(OVER_RATE_PAUSE_MIN_S, OVER_RATE_PAUSE_MAX_S));
-        cloud_client_put_call_back();
+        cloud_client_release_call();
     }
-    if (answer->outcome != HTTP_ANSWERED || answer->status == HTTP_SERVICE_UNAVAILABLE) pause_calls(TROUBLE_PAUSE_S);
+    if (answer->outcome != HTTP_ANSWERED || answer->status == HTTP_SERVICE_UNAVAILABLE) pause_calls(ERROR_PAUSE_S);
 }
 
 struct cloud_answer cloud_client_call(const char *method, const char *path, const char *body) {
-    char url[URL_MAX];
+    char url[URL_SIZE];
     struct cloud_answer answer = {HTTP_NOT_SENT, 0, NULL};
     snprintf(url, sizeof url, "http://%s%s", client.settings->cloud_address, path);
     answer.outcome = http_call(cloud_client_http(), method, url, body, CALL_TIMEOUT_MS, &answer.status, &answer.body);
-    slow_down(&answer);
+    pause_after_error(&answer);
     return answer;
 }
 
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -1,4 +1,4 @@
-/* Calls to the cloud, and the rate at which they may be made. On the cloud's thread, without the lock. */
+/* Makes calls to the cloud's API and limits their rate. Called on the cloud's thread, without store_lock. */
 #ifndef FF_CLOUD_CLIENT_H
 #define FF_CLOUD_CLIENT_H
 #include <stdbool.h>
@@ -10,27 +10,29 @@
 
 enum call_urgency {
     CALL_ORDINARY,
-    CALL_URGENT /* may use up the next call's part: the cloud allows short bursts */
+    CALL_URGENT /* may be made one call ahead of the budget, because the cloud allows short bursts */
 };
 
-/* Called once, before the thread is started. */
+/* Called once, before the thread is started. The settings must outlive the thread. */
 void cloud_client_init(const struct settings *settings);
-/* Takes a call out of the budget; false: none may be made now. */
-bool cloud_client_take_call(enum call_urgency urgency);
-/* Puts a call that was not made back. */
-void cloud_client_put_call_back(void);
-/* A refusal that says nothing of the cloud's state: the next call need not wait. */
+/* Takes a call out of the budget. Returns false if no call may be made now. */
+bool cloud_client_reserve_call(enum call_urgency urgency);
+/* Returns a reserved call that was not made to the budget. */
+void cloud_client_release_call(void);
+/* Ends the pause that cloud_client_call began after a 503. For answers that only report a lack of capacity and do not
+ * mean that the cloud is overloaded. */
 void cloud_client_end_pause(void);
 
 struct cloud_answer {
     enum http_outcome outcome;
-    long status; /* of HTTP_ANSWERED */
-    cJSON *body; /* NULL: none that can be read */
+    long status; /* HTTP status; valid if the outcome is HTTP_ANSWERED */
+    cJSON *body; /* NULL: no body, or not JSON */
 };
-/* Makes a call that was taken out of the budget. body NULL: none. The answer is cleared by cloud_answer_clear. */
+/* Makes a reserved call. A body of NULL sends none. The caller clears the answer with cloud_answer_clear. */
 struct cloud_answer cloud_client_call(const char *method, const char *path, const char *body);
+/* Tells whether the cloud answered with this status. */
 bool cloud_answer_has_status(const struct cloud_answer *answer, enum http_status status);
 void cloud_answer_clear(struct cloud_answer *answer);
-/* For requests to the store from the cloud's thread. */
+/* Returns the HTTP client of the cloud's thread, which also sends that thread's requests to the store. */
 struct http_client *cloud_client_http(void);
 #endif
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -17,17 +17,17 @@
 #include "rentals.h"
 
 #define STEP_INTERVAL_S 0.25
-#define RETURNS_MAX 100          /* machines of a call */
-#define RETURNS_MANY 20          /* so many go before rentals */
-#define RETURNS_WAIT_MAX_S 12    /* then they go before rentals, however few */
-#define RENTAL_REQUESTS_MAX 128  /* by shard, type, zone and kind; a controller may own all shards. More come later */
-#define CATALOGUE_INTERVAL_S 120 /* at which the leader reads it */
-#define CATALOGUE_WAIT_S 6       /* then any controller reads it, if there is none */
+#define RETURNS_PER_CALL_MAX 100
+#define URGENT_RETURNS_MIN 20    /* this many returns go before rentals */
+#define RETURNS_WAIT_MAX_S 12    /* after this time without a return, any number of returns goes before rentals */
+#define RENTAL_REQUESTS_MAX 128  /* if a controller needs more, later steps plan them */
+#define CATALOGUE_INTERVAL_S 120 /* between the leader's reads of the catalogue */
+#define CATALOGUE_WAIT_S 6       /* without a catalogue, any controller reads it after this time */
 #define LIST_INTERVAL_MIN_S 2.5
-#define LIST_CALLS 6             /* one call of so many reads a page of the list */
-#define LIST_OVERDUE_INTERVALS 4 /* then the list goes before rentals */
+#define CALLS_PER_LIST_PAGE 6    /* about one call in this many reads a page of the list */
+#define LIST_OVERDUE_INTERVALS 4 /* after this many intervals, the list goes before new rentals */
 
-/* The cloud's thread. */
+/* State of the cloud's thread. */
 static struct {
     const struct settings *settings;
     struct cloud_planner planner;
@@ -37,31 +37,30 @@
 
 void cloud_set_planner(struct cloud_planner planner) { cloud.planner = planner; }
 
-/* What a step goes by. */
-struct situation {
-    bool leads, catalogue_known;
+/* The state that decides what a step does, read under store_lock. */
+struct step_state {
+    bool is_leader, catalogue_known;
     double list_interval_s;
 };
 
-static struct situation read_situation(void) {
-    struct situation situation;
+static struct step_state read_step_state(void) {
+    struct step_state state;
     store_lock();
-    situation.leads = membership_is_leader();
-    situation.catalogue_known = machine_types_known();
-    situation.list_interval_s =
-        fmax(LIST_INTERVAL_MIN_S, LIST_CALLS * membership_live_controllers() / cloud.settings->cloud_rps);
+    state.is_leader = membership_is_leader();
+    state.catalogue_known = machine_types_known();
+    state.list_interval_s =
+        fmax(LIST_INTERVAL_MIN_S, CALLS_PER_LIST_PAGE * membership_live_controllers() / cloud.settings->cloud_rps);
     store_unlock();
-    return situation;
+    return state;
 }
 
-static bool catalogue_due(const struct situation *situation) {
-    if (!situation->catalogue_known)
-        return situation->leads || clock_seconds_since(cloud.started_at) > CATALOGUE_WAIT_S;
-    return situation->leads && clock_seconds_since(cloud.catalogue_read_at) > CATALOGUE_INTERVAL_S;
+static bool catalogue_due(const struct step_state *state) {
+    if (!state->catalogue_known) return state->is_leader || clock_seconds_since(cloud.started_at) > CATALOGUE_WAIT_S;
+    return state->is_leader && clock_seconds_since(cloud.catalogue_read_at) > CATALOGUE_INTERVAL_S;
 }
 
 static void read_catalogue(void) {
-    if (!cloud_client_take_call(CALL_ORDINARY)) return;
+    if (!cloud_client_reserve_call(CALL_ORDINARY)) return;
     catalogue_read(cloud.settings);
     cloud.catalogue_read_at = clock_now();
 }
@@ -73,20 +72,20 @@
 
 /* Machines to return. */
 struct returns {
-    char ids[RETURNS_MAX][MACHINE_ID_SIZE];
-    int n, n_busy; /* busy: with tasks */
+    char ids[RETURNS_PER_CALL_MAX][MACHINE_ID_SIZE];
+    int n, n_busy; /* number of ids, and of those whose machines hold tasks */
 };
 
 static void plan_returns(struct returns *returns) {
     store_lock();
-    returns->n = cloud.planner.plan_returns(returns->ids, RETURNS_MAX, &returns->n_busy);
+    returns->n = cloud.planner.plan_returns(returns->ids, RETURNS_PER_CALL_MAX, &returns->n_busy);
     store_unlock();
 }
 
-/* Returns are few calls for many machines; they must not wait for rentals without end, and tasks that can start
- * elsewhere only once their silent machine is returned wait for nothing. */
-static bool returns_first(const struct returns *returns) {
-    return returns->n_busy > 0 || returns->n >= RETURNS_MANY ||
+/* Tells whether returns go before rentals. Tasks on a silent machine can start elsewhere only after its return, so it
+ * is returned at once. Other returns go first if one call returns many machines, or if they have waited for long. */
+static bool returns_are_urgent(const struct returns *returns) {
+    return returns->n_busy > 0 || returns->n >= URGENT_RETURNS_MIN ||
            (returns->n > 0 && clock_seconds_since(cloud.returned_at) > RETURNS_WAIT_MAX_S);
 }
 
@@ -95,36 +94,37 @@
     cloud.returned_at = clock_now();
 }
 
-/* Opens the most pressing rental; how many are wanted. */
+/* Opens the rental that is needed most, if any. Returns the number of planned rentals. */
 static int open_rental(void) {
     struct rental_request requests[RENTAL_REQUESTS_MAX];
     store_lock();
-    int n_wanted = cloud.planner.plan_rentals(requests, RENTAL_REQUESTS_MAX);
+    int n_planned = cloud.planner.plan_rentals(requests, RENTAL_REQUESTS_MAX);
     store_unlock();
-    if (n_wanted > 0) rentals_open(&requests[0]);
-    return n_wanted;
+    if (n_planned > 0) rentals_open(&requests[0]);
+    return n_planned;
 }
 
-/* One call, if any is due: urgent returns, an overdue list, a rental, other returns, the list. */
+/* Makes at most one call, the first of these that is due: urgent returns, the open rental, an overdue page of the list,
+ * a new rental, other returns, a page of the list. */
 static void return_rent_or_list(double list_interval_s) {
     struct returns returns;
     plan_returns(&returns);
-    /* A rental plan for a whole shard is worth its time only when a call can be made. */
-    if (!cloud_client_take_call(returns.n_busy > 0 ? CALL_URGENT : CALL_ORDINARY)) return;
+    /* Planning rentals takes long, so it is done only if a call can be made. */
+    if (!cloud_client_reserve_call(returns.n_busy > 0 ? CALL_URGENT : CALL_ORDINARY)) return;
     double list_age_s = clock_seconds_since(cloud.list_read_at);
     bool list_overdue = list_age_s > LIST_OVERDUE_INTERVALS * list_interval_s;
-    bool urgent_returns = returns_first(&returns);
-    int n_wanted = 0;
-    if (!rentals_any_open() && !urgent_returns && !list_overdue) n_wanted = open_rental();
-    if (returns.n > 0 && (urgent_returns || !(rentals_any_open() || list_overdue))) {
+    bool urgent_returns = returns_are_urgent(&returns);
+    int n_planned = 0;
+    if (!rentals_has_open() && !urgent_returns && !list_overdue) n_planned = open_rental();
+    if (returns.n > 0 && (urgent_returns || !(rentals_has_open() || list_overdue))) {
         return_machines(&returns);
-    } else if (rentals_any_open()) {
+    } else if (rentals_has_open()) {
         rentals_call();
-        if (n_wanted > 1) sync_wakeup_signal(&cloud.wakeup);
+        if (n_planned > 1) sync_wakeup_signal(&cloud.wakeup);
     } else if (list_age_s > list_interval_s) {
         read_list();
     } else {
-        cloud_client_put_call_back();
+        cloud_client_release_call();
     }
 }
 
@@ -133,11 +133,11 @@
     cloud.started_at = cloud.returned_at = clock_now();
     for (;;) {
         sync_wakeup_wait(&cloud.wakeup, clock_from_seconds(STEP_INTERVAL_S));
-        struct situation situation = read_situation();
-        if (catalogue_due(&situation)) {
+        struct step_state state = read_step_state();
+        if (catalogue_due(&state)) {
             read_catalogue();
-        } else if (situation.catalogue_known) {
-            return_rent_or_list(situation.list_interval_s);
+        } else if (state.catalogue_known) {
+            return_rent_or_list(state.list_interval_s);
         }
     }
     return NULL;
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,5 +1,5 @@
-/* The cloud: the catalogue of machine types, rentals, returns, and its lagging list of machines. One thread makes all
- * calls, one at a time and within the part of the cloud's rate that is due to this controller. */
+/* Rents machines from the cloud, returns them, and reads the cloud's catalogue of machine types and its lagging list of
+ * machines. One thread makes all calls, one at a time and within this controller's share of the cloud's rate limit. */
 #ifndef FF_CLOUD_H
 #define FF_CLOUD_H
 #include <stdbool.h>
@@ -12,16 +12,19 @@
 /* Starts the cloud's thread. */
 void cloud_start(void);
 
-/* What is to be rented and returned is decided in a higher layer: asked with store_lock held, on the cloud's thread. */
+/* Functions of a higher layer that decide which machines to rent and to return. They are called with store_lock held,
+ * on the cloud's thread. */
 struct cloud_planner {
-    /* Fills at most `most` requests, the most pressing first; their number. */
-    int (*plan_rentals)(struct rental_request *out, int most);
-    /* Fills at most `most` ids of machines to return, and in *busy how many of them hold tasks; their number. */
-    int (*plan_returns)(char ids[][MACHINE_ID_SIZE], int most, int *busy);
+    /* Writes up to max_requests requests, those needed most first. Returns their number. */
+    int (*plan_rentals)(struct rental_request *requests, int max_requests);
+    /* Writes up to max_ids ids of machines to return, and to *n_busy how many of these hold tasks. Returns the number
+     * of ids. */
+    int (*plan_returns)(char ids[][MACHINE_ID_SIZE], int max_ids, int *n_busy);
 };
-/* Before cloud_start. */
+/* Called before cloud_start. */
 void cloud_set_planner(struct cloud_planner planner);
 
-/* Whether the cloud has not just refused machines of that kind. With store_lock held. */
+/* Tells whether machines of this kind may be requested: the cloud has not just refused them. Called with store_lock
+ * held. */
 bool cloud_may_rent(const char *type_name, const char *zone, bool spot);
 #endif
--- a/src/cloud/codec.c
+++ b/src/cloud/codec.c
@@ -3,7 +3,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* Members that are read as well as written, or in more than one message. */
+/* Members that several messages have. */
 #define KEY_MACHINES "hosts"
 #define KEY_TYPE_NAME "flavour"
 #define KEY_ZONE "site"
@@ -30,7 +30,9 @@
     return text;
 }
 
-const cJSON *cloud_read_rented(const cJSON *answer) { return cJSON_GetObjectItemCaseSensitive(answer, KEY_MACHINES); }
+const cJSON *cloud_read_rented_ids(const cJSON *answer) {
+    return cJSON_GetObjectItemCaseSensitive(answer, KEY_MACHINES);
+}
 
 bool cloud_read_no_capacity(const cJSON *answer) {
     const char *error = json_get_string(answer, "error");
@@ -39,7 +41,7 @@
 
 const cJSON *cloud_read_list(const cJSON *answer) { return cJSON_GetObjectItemCaseSensitive(answer, KEY_MACHINES); }
 
-bool cloud_read_listed(const cJSON *item, struct listed_machine *machine) {
+bool cloud_read_listed_machine(const cJSON *item, struct listed_machine *machine) {
     const char *state = json_get_string(item, "state");
     *machine = (struct listed_machine){
         .id = json_get_string(item, "uid"),
@@ -53,4 +55,4 @@
     return machine->id && machine->type_name && machine->zone && state && strlen(machine->id) < MACHINE_ID_SIZE;
 }
 
-bool cloud_read_list_goes_on(const cJSON *answer) { return json_get_bool(answer, "has_next"); }
+bool cloud_read_has_next(const cJSON *answer) { return json_get_bool(answer, "has_next"); }
--- a/src/cloud/rentals.c
+++ b/src/cloud/rentals.c
@@ -14,8 +14,9 @@
 
 #define CLAIM_SIZE 80
 
-/* A claim is never used again, by nobody: the controller's incarnation is random and the counter moves on. A claim
- * whose answer is lost is asked again under its name until the cloud answers. */
+/* The open rental. Its claim identifies it to the cloud, so that a call whose answer was lost is repeated without
+ * renting twice, until the cloud answers. No controller ever reuses a claim: it has the controller's random incarnation
+ * and a counter. */
 static struct {
     const struct settings *settings;
     bool open;
@@ -26,7 +27,7 @@
 
 void rentals_init(const struct settings *settings) { rental.settings = settings; }
 
-bool rentals_any_open(void) { return rental.open; }
+bool rentals_has_open(void) { return rental.open; }
 
 void rentals_open(const struct rental_request *request) {
     rental.open = true;
@@ -35,14 +36,14 @@
                ++rental.n_claims);
 }
 
-static void take_rented(const cJSON *ids) {
+static void add_rented_machines(const cJSON *ids) {
     const struct rental_request *request = &rental.request;
     int n_rented = cJSON_GetArraySize(ids);
     const cJSON *id;
     store_lock();
     cJSON_ArrayForEach(id, ids) {
         if (cJSON_IsString(id))
-            machines_rented(request->shard, id->valuestring, request->type_name, request->zone, request->spot);
+            machines_add_rented(request->shard, id->valuestring, request->type_name, request->zone, request->spot);
     }
     if (n_rented >= request->count) {
         capacity_note_available(request);
@@ -54,7 +55,7 @@
              request->zone, request->spot ? "spot" : "on-demand", request->shard);
 }
 
-static void take_refused(const cJSON *answer) {
+static void handle_unavailable(const cJSON *answer) {
     if (!cloud_read_no_capacity(answer)) return;
     cloud_client_end_pause();
     store_lock();
@@ -66,10 +67,10 @@
     char *body = cloud_write_rental(rental.claim, &rental.request);
     struct cloud_answer answer = cloud_client_call("POST", "/rentals", body);
     if (cloud_answer_has_status(&answer, HTTP_OK)) {
-        take_rented(cloud_read_rented(answer.body));
+        add_rented_machines(cloud_read_rented_ids(answer.body));
         rental.open = false;
     } else if (cloud_answer_has_status(&answer, HTTP_SERVICE_UNAVAILABLE)) {
-        take_refused(answer.body);
+        handle_unavailable(answer.body);
         rental.open = false;
     } else if (answer.outcome == HTTP_NOT_SENT || cloud_answer_has_status(&answer, HTTP_BAD_REQUEST)) {
         rental.open = false;
@@ -84,7 +85,7 @@
     if (cloud_answer_has_status(&answer, HTTP_OK)) {
         store_lock();
         for (int i = 0; i < n; i++) {
-            machines_returned(ids[i]);
+            machines_mark_returned(ids[i]);
             log_info("machine %s: returned", ids[i]);
         }
         store_unlock();
--- a/src/cloud/rentals.h
+++ b/src/cloud/rentals.h
@@ -1,4 +1,4 @@
-/* Rental and return calls. On the cloud's thread, without the lock. */
+/* Makes the cloud calls that rent and return machines. Called on the cloud's thread, without store_lock. */
 #ifndef FF_CLOUD_RENTALS_H
 #define FF_CLOUD_RENTALS_H
 #include <stdbool.h>
@@ -6,14 +6,14 @@
 #include "../model/machine.h"
 #include "../settings/settings.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Called once, before the threads start. The settings must outlive the threads. */
 void rentals_init(const struct settings *settings);
-/* A rental was begun whose outcome is not known yet: no other one is begun before. */
-bool rentals_any_open(void);
-/* Begins a rental under a new claim. */
+/* Tells whether a rental is open: its outcome is not known yet. Only one rental is open at a time. */
+bool rentals_has_open(void);
+/* Opens a rental under a new claim, without calling the cloud. */
 void rentals_open(const struct rental_request *request);
-/* Makes the call of the open rental. */
+/* Sends the request of the open rental, and closes the rental unless the answer leaves its outcome unknown. */
 void rentals_call(void);
-/* Returns machines. */
+/* Returns the machines to the cloud. */
 void rentals_return(char ids[][MACHINE_ID_SIZE], int n);
 #endif
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -89,11 +89,11 @@
     put_ended("req-10002", "[]", "done", 1100);
     assert_false(dependencies_unmet(job));
     assert_int_equal(occurrences_in_order("req-10003"), 1);
-    assert_float_equal(job->ready, 1200, 1e-6);
+    assert_float_equal(job->ready_at, 1200, 1e-6);
     /* A record of the first version has no end time: the times count from the submission. */
     put_ended("req-10004", "[]", "done", 0);
     put_queued("req-10005", "[\"req-10004\"]");
-    assert_float_equal(jobs_find("req-10005")->ready, SUBMITTED_S, 1e-6);
+    assert_float_equal(jobs_find("req-10005")->ready_at, SUBMITTED_S, 1e-6);
     assert_int_equal(occurrences_in_order("req-10005"), 1);
 }
 
--- a/src/dependencies/graph.c
+++ b/src/dependencies/graph.c
@@ -34,8 +34,8 @@
         job->unmet += !(prerequisite->known && prerequisite->state == JOB_DONE);
         ready_since = MAX(ready_since, prerequisite->finished);
     }
-    if (job->unmet == 0 && job->ready <= 0) job->eligible_since = clock_now();
-    job->ready = job->unmet ? 0 : ready_since;
+    if (job->unmet == 0 && job->ready_at <= 0) job->eligible_since = clock_now();
+    job->ready_at = job->unmet ? 0 : ready_since;
 }
 
 /* Observers of jobs, called with store_lock held. */
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -71,7 +71,7 @@
     double now = clock_time_of_day();
     log_info("job %s (%s, %d tasks, estimate %.0f s) is %s %.1f s after submission, %.1f s after it was ready",
              job->spec.job_id, job->spec.job_class, job->spec.tasks, job->spec.runtime_s,
-             job_record_state_name(job->state), now - job->submitted, job->ready > 0 ? now - job->ready : 0);
+             job_record_state_name(job->state), now - job->submitted, job->ready_at > 0 ? now - job->ready_at : 0);
 }
 
 /* From now on only the state is asked for: what led there is freed. */
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -51,7 +51,8 @@
 /* The silence after which a machine of the shard is probed. It is shorter just after a machine did not answer a probe,
  * because the same failure may have hit a hundred machines at once. */
 static double probe_after_s(int shard) {
-    if (clock_seconds_since(shard_states[shard].suspicion_at) < SUSPICION_WINDOW_S) return SUSPICION_WINDOW_S / 2;
+    if (clock_seconds_since(shard_states[shard].machine_suspected_at) < SUSPICION_WINDOW_S)
+        return SUSPICION_WINDOW_S / 2;
     return clock_to_seconds(liveness_settings->heartbeat_interval) * PROBE_AFTER_INTERVALS;
 }
 
@@ -117,7 +118,8 @@
  * them. Requests the return of the machine once it is empty. */
 static void handle_preemption_notice(struct machine *machine) {
     if (machine->liveness.preemption_notice_s < 0) return;
-    double remaining_s = machine->liveness.preemption_notice_s - clock_seconds_since(machine->liveness.notice_received);
+    double remaining_s =
+        machine->liveness.preemption_notice_s - clock_seconds_since(machine->liveness.notice_received_at);
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         const struct job_spec *spec = &allocation->job->spec;
--- a/src/liveness/return_checks.c
+++ b/src/liveness/return_checks.c
@@ -37,7 +37,7 @@
 static bool runs_tasks(const struct machine *machine) {
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
-        if (!allocation->released && (allocation->seen || allocation->inherited)) return true;
+        if (!allocation->released && (allocation->was_listed || allocation->inherited)) return true;
     }
     return false;
 }
@@ -116,7 +116,7 @@
     if (!machine->liveness.up) return false;
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
-        if (!allocation->released && allocation->seen && allocation->job->state == JOB_CANCELLED &&
+        if (!allocation->released && allocation->was_listed && allocation->job->state == JOB_CANCELLED &&
             return_checks_stop_overdue(
                 clock_seconds_since(allocation->job->ended), clock_seconds_since(machine->liveness.last_heartbeat),
                 clock_to_seconds(liveness_settings->worker_lease), clock_to_seconds(liveness_settings->cancel_timeout)))
--- a/src/machine_types/machine_types.c
+++ b/src/machine_types/machine_types.c
@@ -8,20 +8,20 @@
 
 #define MACHINE_TYPES_MAX 64
 
-/* For a type that names none. */
-#define DEFAULT_FETCH_RATE 1
+/* Values for catalogue entries without the member. */
+#define DEFAULT_IMAGE_FETCH_GB_PER_S 1
 #define DEFAULT_HOURLY_PRICE 1
 #define DEFAULT_STARTUP_S 60
 
-/* A catalogue is {CATALOGUE_TYPES: [type, ...]}. */
+/* JSON member of a catalogue: the array of its types. */
 #define CATALOGUE_TYPES "flavours"
-/* The members of a type. */
+/* JSON members of a type. */
 #define TYPE_NAME "sku"
 #define TYPE_VCPUS "vcpus"
 #define TYPE_GPUS "gpus"
 #define TYPE_MEMORY_GB "memory_gb"
-#define TYPE_LOCAL_GB "local_gb"
-#define TYPE_FETCH_RATE "fetch_gb_per_s"
+#define TYPE_IMAGE_CACHE_GB "local_gb"
+#define TYPE_IMAGE_FETCH_GB_PER_S "fetch_gb_per_s"
 #define TYPE_HOURLY_PRICE "hourly"
 #define TYPE_SPOT_PRICE "market_price"
 #define TYPE_STARTUP_S "startup_s"
@@ -32,7 +32,7 @@
     int n;
 } catalogue;
 
-/* ---- finding ---- */
+/* ---- lookup ---- */
 
 bool machine_types_known(void) { return catalogue.n > 0; }
 
@@ -48,7 +48,7 @@
 
 const struct machine_type *machine_types_find(const char *type_name) { return find(type_name); }
 
-/* The type of that name; NULL: there is none, and no more room. */
+/* Returns the type with this name, which is added if it is missing; NULL: the catalogue is full. */
 static struct machine_type *find_or_add(const char *type_name) {
     struct machine_type *type = find(type_name);
     if (type || catalogue.n == MACHINE_TYPES_MAX) return type;
@@ -57,7 +57,7 @@
     return type;
 }
 
-/* ---- reading ---- */
+/* ---- reading a catalogue ---- */
 
 static void read_zones(struct machine_type *type, const cJSON *zones) {
     for (int i = 0; i < type->n_zones; i++) g_free(type->zones[i]);
@@ -77,8 +77,8 @@
     type->vcpus = json_get_double(object, TYPE_VCPUS, 0);
     type->gpus = json_get_double(object, TYPE_GPUS, 0);
     type->memory_gb = json_get_double(object, TYPE_MEMORY_GB, 0);
-    type->local_gb = json_get_double(object, TYPE_LOCAL_GB, 0);
-    type->fetch_rate = json_get_double(object, TYPE_FETCH_RATE, DEFAULT_FETCH_RATE);
+    type->image_cache_gb = json_get_double(object, TYPE_IMAGE_CACHE_GB, 0);
+    type->image_fetch_gb_per_s = json_get_double(object, TYPE_IMAGE_FETCH_GB_PER_S, DEFAULT_IMAGE_FETCH_GB_PER_S);
     type->hourly_price = json_get_double(object, TYPE_HOURLY_PRICE, DEFAULT_HOURLY_PRICE);
     type->spot_price = json_get_double(object, TYPE_SPOT_PRICE, type->hourly_price);
     type->startup_s = json_get_double(object, TYPE_STARTUP_S, DEFAULT_STARTUP_S);
@@ -90,10 +90,10 @@
     cJSON_ArrayForEach(type, cJSON_GetObjectItemCaseSensitive(value, CATALOGUE_TYPES)) read_type(type);
 }
 
-/* The prefix is the whole key: longer keys are others'. */
-static void apply_record(const char *rest, const cJSON *data, int64_t mod_revision) {
+/* The observed prefix is the key of the record. A key with a suffix belongs to another record and is ignored. */
+static void apply_record(const char *key_suffix, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
-    if (*rest == 0 && data) machine_types_apply(data);
+    if (*key_suffix == 0 && data) machine_types_apply(data);
 }
 
 void machine_types_init(void) { store_observe_prefix(STORE_KEY_MACHINE_TYPES, apply_record); }
--- a/src/machine_types/machine_types.h
+++ b/src/machine_types/machine_types.h
@@ -1,6 +1,6 @@
-/* The catalogue of machine types, as the record `types` holds it for all controllers.
+/* The catalogue of machine types, which all controllers read from the record `types`.
  *
- * Called by whoever rents machines or places tasks on them. All with store_lock held. */
+ * All functions are called with store_lock held. */
 #ifndef FF_MACHINE_TYPES_H
 #define FF_MACHINE_TYPES_H
 #include <stdbool.h>
@@ -8,17 +8,18 @@
 #include "../json/json.h"
 #include "../model/machine_type.h"
 
-/* Observes the record; once, before the mirror is started. */
+/* Registers the observer of the record. Called once, before the mirror is started. */
 void machine_types_init(void);
 
-/* Whether the catalogue has been read once. */
+/* Tells whether the catalogue has any types, that is, has been read. */
 bool machine_types_known(void);
-/* All types, as an array that belongs to the catalogue, and their number. A type keeps its place. */
+/* Return the array of all types, which belongs to the catalogue, and the number of types. A type never moves in the
+ * array. */
 const struct machine_type *machine_types_all(void);
 int machine_types_count(void);
-/* NULL: there is no such type. */
+/* Returns the type with this name, or NULL. */
 const struct machine_type *machine_types_find(const char *type_name);
 
-/* Takes in a catalogue: the cloud's answer, or the record that holds it. Types that it doesn't name stay. */
+/* Applies a catalogue, from the cloud's answer or from the record. Types that it does not list are kept. */
 void machine_types_apply(const cJSON *value);
 #endif
--- a/src/machine_types/machine_types_test.c
+++ b/src/machine_types/machine_types_test.c
@@ -1,4 +1,4 @@
-/* What is read of the cloud's catalogue of machine types. */
+/* Tests how a catalogue of machine types is read. */
 #include "machine_types/machine_types.h"
 
 #include <glib.h>
@@ -21,10 +21,10 @@
     assert_false(machine_types_known());
 }
 
-static void type_is_read_with_defaults_for_what_it_lacks(void **state) {
+static void missing_members_of_a_type_get_defaults(void **state) {
     (void)state;
     static const struct {
-        const char *what, *json;
+        const char *description, *json;
         struct machine_type expected;
     } rows[] = {
         {"all members",
@@ -34,19 +34,19 @@
          {.vcpus = 16,
           .gpus = 2,
           .memory_gb = 64,
-          .local_gb = 500,
-          .fetch_rate = 0.5,
+          .image_cache_gb = 500,
+          .image_fetch_gb_per_s = 0.5,
           .hourly_price = 7,
           .spot_price = 2,
           .startup_s = 25,
           .zones = {"za", "zb"},
           .n_zones = 2}},
-        {"a name alone",
+        {"only a name",
          "{\"flavours\":[{\"sku\":\"g16\"}]}",
-         {.fetch_rate = 1, .hourly_price = 1, .spot_price = 1, .startup_s = 60}},
+         {.image_fetch_gb_per_s = 1, .hourly_price = 1, .spot_price = 1, .startup_s = 60}},
         {"no spot price",
          "{\"flavours\":[{\"sku\":\"g16\",\"hourly\":7}]}",
-         {.fetch_rate = 1, .hourly_price = 7, .spot_price = 7, .startup_s = 60}},
+         {.image_fetch_gb_per_s = 1, .hourly_price = 7, .spot_price = 7, .startup_s = 60}},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         apply(rows[i].json);
@@ -54,16 +54,17 @@
         assert_non_null(type);
         assert_int_equal(machine_types_count(), 1);
         if (type->vcpus != expected->vcpus || type->gpus != expected->gpus || type->memory_gb != expected->memory_gb ||
-            type->local_gb != expected->local_gb || type->fetch_rate != expected->fetch_rate ||
+            type->image_cache_gb != expected->image_cache_gb ||
+            type->image_fetch_gb_per_s != expected->image_fetch_gb_per_s ||
             type->hourly_price != expected->hourly_price || type->spot_price != expected->spot_price ||
             type->startup_s != expected->startup_s)
-            fail_msg("%s: a member differs", rows[i].what);
+            fail_msg("%s: a member differs", rows[i].description);
         assert_int_equal(type->n_zones, expected->n_zones);
         for (int zone = 0; zone < type->n_zones; zone++) assert_string_equal(type->zones[zone], expected->zones[zone]);
     }
 }
 
-static void malformed_type_leaves_the_others(void **state) {
+static void malformed_types_are_ignored(void **state) {
     (void)state;
     static const char *const rows[] = {
         "{}",
@@ -72,15 +73,15 @@
         "{\"flavours\":[{\"sku\":7}]}",
         "{\"flavours\":[{\"sku\":\"a-name-that-is-longer-than-any-name-that-a-type-may-have-in-this-cloud\"}]}",
     };
-    int before = machine_types_count();
+    int count_before = machine_types_count();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         apply(rows[i]);
-        if (machine_types_count() != before) fail_msg("%s: %d types", rows[i], machine_types_count());
+        if (machine_types_count() != count_before) fail_msg("%s: %d types", rows[i], machine_types_count());
     }
     assert_non_null(machine_types_find("g16"));
 }
 
-static void types_beyond_the_last_place_are_left_out(void **state) {
+static void types_beyond_the_maximum_are_ignored(void **state) {
     (void)state;
     const struct machine_type *first = machine_types_find("g16");
     for (int i = 0; i < 100; i++) {
@@ -96,8 +97,8 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {cmocka_unit_test(catalogue_is_unknown_until_it_is_read),
-                                       cmocka_unit_test(type_is_read_with_defaults_for_what_it_lacks),
-                                       cmocka_unit_test(malformed_type_leaves_the_others),
-                                       cmocka_unit_test(types_beyond_the_last_place_are_left_out)};
+                                       cmocka_unit_test(missing_members_of_a_type_get_defaults),
+                                       cmocka_unit_test(malformed_types_are_ignored),
+                                       cmocka_unit_test(types_beyond_the_maximum_are_ignored)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/machines/codec.c
+++ b/src/machines/codec.c
@@ -9,39 +9,39 @@
 
 #include "../model/machine.h"
 
-/* The members of a page. */
+/* JSON members of a page. */
 #define PAGE_TYPE_NAMES "sku"
 #define PAGE_ZONES "site"
 #define PAGE_IMAGES "img"
 #define PAGE_MACHINES "m"
 
-/* An entry of a page is a list of these. */
+/* An entry of a page is a JSON array of these fields. */
 enum entry_field {
     ENTRY_ID,
     ENTRY_ADDRESS,
-    ENTRY_TYPE_NAME,     /* index */
-    ENTRY_ZONE,          /* index */
+    ENTRY_TYPE_NAME,     /* index in PAGE_TYPE_NAMES */
+    ENTRY_ZONE,          /* index in PAGE_ZONES */
     ENTRY_FLAGS,         /* sum of enum entry_flag */
-    ENTRY_FENCING_TOKEN, /* the machine's own; 0: it has none */
-    ENTRY_CREATED_AT,    /* whole seconds */
-    ENTRY_IMAGES,        /* indices, with commas between them */
+    ENTRY_FENCING_TOKEN, /* the machine's own token; 0: none */
+    ENTRY_CREATED_AT,    /* time of day in whole seconds */
+    ENTRY_IMAGES,        /* indices in PAGE_IMAGES, separated by commas */
     ENTRY_FIELDS
 };
 
 enum entry_flag { ENTRY_SPOT = 1, ENTRY_RETURNING = 2 };
 
-/* The members of a machine's own record. */
-#define SINGLE_SHARD "share"
-#define SINGLE_FENCING_TOKEN "fence"
-#define SINGLE_ADDRESS "address"
-#define SINGLE_TYPE_NAME "flavour"
-#define SINGLE_ZONE "site"
-#define SINGLE_SPOT "spot"
-#define SINGLE_CREATED_AT "born"
-#define SINGLE_FIRST_LAYOUT_ALLOCATIONS "b"
-
-#define IMAGE_NAME_MAX 24  /* longer names of images are left out of pages */
-#define PAGE_IMAGES_MAX 16 /* names of images that a page holds */
+/* JSON members of a transfer record. */
+#define TRANSFER_SHARD "share"
+#define TRANSFER_FENCING_TOKEN "fence"
+#define TRANSFER_ADDRESS "address"
+#define TRANSFER_TYPE_NAME "flavour"
+#define TRANSFER_ZONE "site"
+#define TRANSFER_SPOT "spot"
+#define TRANSFER_CREATED_AT "born"
+#define FIRST_LAYOUT_ALLOCATIONS "b"
+
+#define IMAGE_NAME_MAX 24  /* longer image names are left out of pages */
+#define PAGE_IMAGES_MAX 16 /* image names per page */
 #define IMAGE_INDICES_SIZE 48
 
 /* ---- reading ---- */
@@ -59,7 +59,7 @@
     return text ? text : "";
 }
 
-static const char *name_at(const cJSON *names, const cJSON *index) {
+static const char *name_by_index(const cJSON *names, const cJSON *index) {
     return cJSON_IsNumber(index) ? text_or_empty(cJSON_GetArrayItem(names, index->valueint)) : "";
 }
 
@@ -73,8 +73,8 @@
     *record = (struct machine_record){
         .id = id,
         .address = text_or_empty(fields[ENTRY_ADDRESS]),
-        .type_name = name_at(page->type_names, fields[ENTRY_TYPE_NAME]),
-        .zone = name_at(page->zones, fields[ENTRY_ZONE]),
+        .type_name = name_by_index(page->type_names, fields[ENTRY_TYPE_NAME]),
+        .zone = name_by_index(page->zones, fields[ENTRY_ZONE]),
         .spot = flags & ENTRY_SPOT,
         .returning = flags & ENTRY_RETURNING,
         .image_indices = text_or_empty(fields[ENTRY_IMAGES]),
@@ -95,29 +95,29 @@
     }
 }
 
-enum machine_single_result machine_single_read(const cJSON *data, struct machine_record *record, int64_t *shard) {
-    if (cJSON_GetObjectItemCaseSensitive(data, SINGLE_FIRST_LAYOUT_ALLOCATIONS)) return MACHINE_SINGLE_FIRST_LAYOUT;
-    if (!json_get_int64(data, SINGLE_SHARD, shard)) return MACHINE_SINGLE_MALFORMED;
+enum machine_transfer_result machine_transfer_read(const cJSON *data, struct machine_record *record, int64_t *shard) {
+    if (cJSON_GetObjectItemCaseSensitive(data, FIRST_LAYOUT_ALLOCATIONS)) return MACHINE_TRANSFER_FIRST_LAYOUT;
+    if (!json_get_int64(data, TRANSFER_SHARD, shard)) return MACHINE_TRANSFER_MALFORMED;
     *record = (struct machine_record){
-        .address = json_get_string(data, SINGLE_ADDRESS),
-        .type_name = json_get_string(data, SINGLE_TYPE_NAME),
-        .zone = json_get_string(data, SINGLE_ZONE),
-        .spot = json_get_bool(data, SINGLE_SPOT),
-        .created_at = json_get_double(data, SINGLE_CREATED_AT, 0),
+        .address = json_get_string(data, TRANSFER_ADDRESS),
+        .type_name = json_get_string(data, TRANSFER_TYPE_NAME),
+        .zone = json_get_string(data, TRANSFER_ZONE),
+        .spot = json_get_bool(data, TRANSFER_SPOT),
+        .created_at = json_get_double(data, TRANSFER_CREATED_AT, 0),
     };
-    json_get_int64(data, SINGLE_FENCING_TOKEN, &record->fencing_token);
-    return MACHINE_SINGLE_OK;
+    json_get_int64(data, TRANSFER_FENCING_TOKEN, &record->fencing_token);
+    return MACHINE_TRANSFER_OK;
 }
 
 /* ---- writing ---- */
 
-static struct machine_page_names names_begin(cJSON *value, const char *member) {
+static struct machine_page_names add_name_list(cJSON *value, const char *member) {
     return (struct machine_page_names){cJSON_AddArrayToObject(value, member),
                                        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL)};
 }
 
-/* The index of a name, which is added where the page does not have it yet. */
-static int index_of(struct machine_page_names *names, const char *name) {
+/* Returns the index of the name in the page's list, to which it is added if it is missing. */
+static int find_or_add_name(struct machine_page_names *names, const char *name) {
     gpointer index;
     if (g_hash_table_lookup_extended(names->indices, name, NULL, &index)) return GPOINTER_TO_INT(index);
     int added = (int)g_hash_table_size(names->indices);
@@ -128,9 +128,9 @@
 
 void machine_page_writer_begin(struct machine_page_writer *writer, int images_per_machine) {
     writer->value = cJSON_CreateObject();
-    writer->type_names = names_begin(writer->value, PAGE_TYPE_NAMES);
-    writer->zones = names_begin(writer->value, PAGE_ZONES);
-    writer->images = names_begin(writer->value, PAGE_IMAGES);
+    writer->type_names = add_name_list(writer->value, PAGE_TYPE_NAMES);
+    writer->zones = add_name_list(writer->value, PAGE_ZONES);
+    writer->images = add_name_list(writer->value, PAGE_IMAGES);
     writer->machines = cJSON_AddArrayToObject(writer->value, PAGE_MACHINES);
     writer->images_per_machine = images_per_machine;
 }
@@ -148,7 +148,7 @@
     while (g_hash_table_iter_next(&iter, &name, NULL) && written < writer->images_per_machine) {
         if (!image_has_room(&writer->images, name)) continue;
         size_t length = strlen(text);
-        snprintf(text + length, size - length, "%s%d", written++ ? "," : "", index_of(&writer->images, name));
+        snprintf(text + length, size - length, "%s%d", written++ ? "," : "", find_or_add_name(&writer->images, name));
     }
 }
 
@@ -160,8 +160,8 @@
     cJSON *const fields[ENTRY_FIELDS] = {
         [ENTRY_ID] = cJSON_CreateString(record->id),
         [ENTRY_ADDRESS] = cJSON_CreateString(record->address),
-        [ENTRY_TYPE_NAME] = cJSON_CreateNumber(index_of(&writer->type_names, record->type_name)),
-        [ENTRY_ZONE] = cJSON_CreateNumber(index_of(&writer->zones, record->zone)),
+        [ENTRY_TYPE_NAME] = cJSON_CreateNumber(find_or_add_name(&writer->type_names, record->type_name)),
+        [ENTRY_ZONE] = cJSON_CreateNumber(find_or_add_name(&writer->zones, record->zone)),
         [ENTRY_FLAGS] = cJSON_CreateNumber(flags),
         [ENTRY_FENCING_TOKEN] = cJSON_CreateNumber((double)record->fencing_token),
         [ENTRY_CREATED_AT] = cJSON_CreateNumber((double)(int64_t)record->created_at),
@@ -179,14 +179,14 @@
     return writer->value;
 }
 
-cJSON *machine_single_write(const struct machine_record *record, int shard) {
+cJSON *machine_transfer_write(const struct machine_record *record, int shard) {
     cJSON *value = cJSON_CreateObject();
-    cJSON_AddNumberToObject(value, SINGLE_SHARD, shard);
-    cJSON_AddNumberToObject(value, SINGLE_FENCING_TOKEN, (double)record->fencing_token);
-    cJSON_AddStringToObject(value, SINGLE_ADDRESS, record->address);
-    cJSON_AddStringToObject(value, SINGLE_TYPE_NAME, record->type_name);
-    cJSON_AddStringToObject(value, SINGLE_ZONE, record->zone);
-    cJSON_AddBoolToObject(value, SINGLE_SPOT, record->spot);
-    cJSON_AddNumberToObject(value, SINGLE_CREATED_AT, (double)(int64_t)record->created_at);
+    cJSON_AddNumberToObject(value, TRANSFER_SHARD, shard);
+    cJSON_AddNumberToObject(value, TRANSFER_FENCING_TOKEN, (double)record->fencing_token);
+    cJSON_AddStringToObject(value, TRANSFER_ADDRESS, record->address);
+    cJSON_AddStringToObject(value, TRANSFER_TYPE_NAME, record->type_name);
+    cJSON_AddStringToObject(value, TRANSFER_ZONE, record->zone);
+    cJSON_AddBoolToObject(value, TRANSFER_SPOT, record->spot);
+    cJSON_AddNumberToObject(value, TRANSFER_CREATED_AT, (double)(int64_t)record->created_at);
     return value;
 }
--- a/src/machines/codec.h
+++ b/src/machines/codec.h
@@ -1,8 +1,7 @@
-/* How the store's records hold machines, as JSON: pages (fleet/K/N), and the record of a machine that is on its way to
- * another shard (machine/ID).
+/* Reads and writes the JSON of the machines' records: pages (fleet/K/N), which list the machines of a shard, and
+ * transfer records (machine/ID), which hold a machine on its way to another shard.
  *
- * Pure: it knows the records' format and nothing of the registry; records.c alone calls it. The strings of what is read
- * belong to the JSON value. */
+ * Pure: it does not use the registry. Only records.c calls it. The strings that it reads belong to the JSON value. */
 #ifndef FF_MACHINES_CODEC_H
 #define FF_MACHINES_CODEC_H
 #include <glib.h>
@@ -11,57 +10,57 @@
 
 #include "../json/json.h"
 
-/* A machine as a record holds it. */
+/* A machine as its record describes it. */
 struct machine_record {
-    const char *id; /* NULL: the record is one machine's, and its key has the id */
-    /* NULL: the record does not say. */
+    const char *id; /* NULL: read from a transfer record, whose key contains the id */
+    /* NULL: missing in the record. */
     const char *address, *type_name, *zone;
     bool spot;
-    bool returning; /* on its way back to the cloud; of pages only */
+    bool returning; /* the machine is being returned to the cloud; not in transfer records */
     int64_t fencing_token;
-    double created_at;         /* time of day, in whole seconds where it is written */
-    const char *image_indices; /* of pages, when read: for machine_page_read_images */
+    double created_at;         /* time of day; written in whole seconds */
+    const char *image_indices; /* only when read from a page: for machine_page_read_images */
 };
 
-/* A page that is read. */
+/* The lists of a page that was read. */
 struct machine_page {
-    const cJSON *machines; /* the entries, for cJSON_ArrayForEach; NULL: none */
+    const cJSON *machines; /* the entries; NULL: none */
     const cJSON *type_names, *zones, *images;
 };
-/* Whether the page has its list of entries. */
+/* Reads a page, whose lists belong to data. Returns whether the page has a list of entries. */
 bool machine_page_read(const cJSON *data, struct machine_page *page);
-/* False if the entry names no machine: it can't be read then. */
+/* Reads an entry. Returns false if the entry has no valid machine id. */
 bool machine_page_read_entry(const struct machine_page *page, const cJSON *entry, struct machine_record *record);
-/* Adds the images of an entry that was read to a set of names, which owns its names. */
+/* Adds copies of the image names of an entry to the set, which owns its names. */
 void machine_page_read_images(const struct machine_page *page, const struct machine_record *record, GHashTable *images);
 
-/* Names that the entries of a page refer to by index. */
+/* A list of names in a page that is written. The entries refer to the names by index. */
 struct machine_page_names {
-    cJSON *names;        /* belongs to the value */
+    cJSON *names;        /* JSON array, which belongs to the page's value */
     GHashTable *indices; /* name -> index */
 };
 
-/* A page that is written. */
+/* A page that is being written. */
 struct machine_page_writer {
     cJSON *value, *machines;
     struct machine_page_names type_names, zones, images;
-    int images_per_machine;
+    int images_per_machine; /* maximum number */
 };
 /* Begins an empty page. */
 void machine_page_writer_begin(struct machine_page_writer *writer, int images_per_machine);
-/* `images` is a set of names, or NULL. */
+/* Adds a machine. `images` is a set of image names, or NULL. */
 void machine_page_writer_add(struct machine_page_writer *writer, const struct machine_record *record,
                              GHashTable *images);
-/* The value, which belongs to the caller. */
+/* Frees the writer's indices. Returns the page's value, which the caller owns. */
 cJSON *machine_page_writer_end(struct machine_page_writer *writer);
 
-enum machine_single_result {
-    MACHINE_SINGLE_OK,
-    MACHINE_SINGLE_MALFORMED,
-    MACHINE_SINGLE_FIRST_LAYOUT /* which kept allocations in these records, and is not read any more */
+enum machine_transfer_result {
+    MACHINE_TRANSFER_OK,
+    MACHINE_TRANSFER_MALFORMED,
+    MACHINE_TRANSFER_FIRST_LAYOUT /* a record of the first layout, which contained allocations and is no longer read */
 };
-/* Reads the record of a machine on its way between shards, and the shard that it goes to. */
-enum machine_single_result machine_single_read(const cJSON *data, struct machine_record *record, int64_t *shard);
-/* The value belongs to the caller. */
-cJSON *machine_single_write(const struct machine_record *record, int shard);
+/* Reads a transfer record and the shard to which the machine is transferred. */
+enum machine_transfer_result machine_transfer_read(const cJSON *data, struct machine_record *record, int64_t *shard);
+/* Returns the value of a transfer record, which the caller owns. */
+cJSON *machine_transfer_write(const struct machine_record *record, int shard);
 #endif
--- a/src/machines/internal.h
+++ b/src/machines/internal.h
@@ -1,13 +1,15 @@
-/* What the files of this package share: the registry as records change it. With store_lock held. */
+/* Changes of the registry by records. Used only within this package, with store_lock held. */
 #ifndef FF_MACHINES_INTERNAL_H
 #define FF_MACHINES_INTERNAL_H
 #include "machines.h"
 
+/* The settings that machines_init received. */
 extern const struct settings *machines_settings;
 
-/* A record names the machine: it is in the shard, on the page, or on none (-1) in a record of its own. */
-struct machine *machines_place(const char *id, int shard, int page);
-/* No record names the machine any more, which proves that the cloud has confirmed its return: what was allocated on it
- * is released. May free the machine. */
+/* Puts the machine, which is added if necessary, into the shard and on the page that its record names. Page -1 means a
+ * transfer record. */
+struct machine *machines_set_location(const char *id, int shard, int page);
+/* Removes a machine that no record names any more, and releases its allocations: a missing record proves that the cloud
+ * has confirmed the return. May free the machine. */
 void machines_remove(struct machine *machine);
 #endif
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -13,17 +13,17 @@
 #include "page_migration.h"
 #include "records.h"
 
-#define UNRECORDED_S 5.0 /* a page or a transfer between shards is in the mirror long before */
+#define UNRECORDED_MIN_S 5.0 /* any page or transfer record reaches the mirror sooner */
 
 const struct settings *machines_settings;
 struct shard_state shard_states[SHARDS_MAX];
 
 static struct {
-    GHashTable *by_id; /* id -> struct machine, stubs among them */
-    GPtrArray *all;
+    GHashTable *by_id; /* id -> struct machine, including stubs */
+    GPtrArray *all;    /* struct machine, including stubs */
     GPtrArray *of_shard[SHARDS_MAX];
     GHashTable *unregistered; /* id -> struct unregistered_machine */
-    GHashTable *removed_ids;  /* recorded once and no more: a stale list must not bring them back */
+    GHashTable *removed_ids;  /* ids of machines that were removed: an outdated list must not add them again */
     machines_returned_observer returned_observer;
 } registry;
 
@@ -33,16 +33,16 @@
 
 struct machine *machines_find(const char *id) {
     struct machine *machine = g_hash_table_lookup(registry.by_id, id);
-    return machine && machine->known ? machine : NULL;
+    return machine && machine->recorded ? machine : NULL;
 }
 
 GPtrArray *machines_all(void) { return registry.all; }
 
 GPtrArray *machines_of_shard(int shard) { return registry.of_shard[shard]; }
 
-int machines_shard_of(const char *id) {
+int machines_shard_for_id(const char *id) {
     const struct machine *machine = g_hash_table_lookup(registry.by_id, id);
-    if (machine && !machine->known && machine->allocations->len > 0) {
+    if (machine && !machine->recorded && machine->allocations->len > 0) {
         const struct allocation *allocation = machine->allocations->pdata[0];
         return jobs_shard(allocation->job);
     }
@@ -59,7 +59,7 @@
     machine->agent.unknown_tasks = g_array_new(FALSE, FALSE, sizeof(struct unknown_task));
     machine->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     machine->liveness.preemption_notice_s = -1;
-    machine->shard = machine->rebalance.to = machine->page = machine->round.next_page = -1;
+    machine->shard = machine->rebalance.target_shard = machine->page = machine->round.next_page = -1;
     machine->unrecorded_since = clock_now();
     g_hash_table_insert(registry.by_id, machine->id, machine);
     g_ptr_array_add(registry.all, machine);
@@ -73,13 +73,13 @@
     if (machine->shard >= 0) g_ptr_array_remove_fast(registry.of_shard[machine->shard], machine);
     machine->shard = shard;
     machine->owned_token = 0;
-    machine->rebalance.to = machine->round.next_page = -1;
+    machine->rebalance.target_shard = machine->round.next_page = -1;
     machine->round.leaves_page = false;
     if (shard >= 0) g_ptr_array_add(registry.of_shard[shard], machine);
 }
 
-void machines_drop_stub(struct machine *machine) {
-    if (machine->known || machine->allocations->len) return;
+void machines_free_unreferenced(struct machine *machine) {
+    if (machine->recorded || machine->allocations->len) return;
     set_shard(machine, -1);
     g_hash_table_remove(registry.by_id, machine->id);
     g_ptr_array_remove_fast(registry.all, machine);
@@ -90,7 +90,7 @@
     g_free(machine);
 }
 
-/* The cloud has confirmed the machine's return: what was allocated on it is released. */
+/* Releases all allocations of a machine whose return the cloud has confirmed. */
 static void release_allocations(struct machine *machine) {
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
@@ -99,16 +99,16 @@
     }
 }
 
-struct machine *machines_place(const char *id, int shard, int page) {
+struct machine *machines_set_location(const char *id, int shard, int page) {
     struct machine *machine = machines_find_or_stub(id);
-    if (!machine->known)
+    if (!machine->recorded)
         machine->retirement.released = machine->retirement.returning = machine->retirement.return_wanted = false;
-    /* The page that it was on still lists it, unless that is written without it at the same time. */
-    bool moved = machine->shard != shard || machine->page != page;
-    if (machine->known && machine->shard >= 0 && moved) machines_page_mark_stale(machine->shard, machine->page);
+    /* The previous page still lists the machine, unless the same transaction writes that page without it. */
+    bool is_moved = machine->shard != shard || machine->page != page;
+    if (machine->recorded && machine->shard >= 0 && is_moved) machines_page_mark_stale(machine->shard, machine->page);
     g_hash_table_remove(registry.unregistered, id);
     g_hash_table_remove(registry.removed_ids, id);
-    machine->known = true;
+    machine->recorded = true;
     machine->page = page;
     set_shard(machine, shard);
     return machine;
@@ -117,12 +117,12 @@
 void machines_remove(struct machine *machine) {
     g_hash_table_add(registry.removed_ids, g_strdup(machine->id));
     if (registry.returned_observer) registry.returned_observer(machine);
-    machine->known = false;
+    machine->recorded = false;
     machine->retirement.released = true;
     machine->unrecorded_since = clock_now();
     release_allocations(machine);
     set_shard(machine, -1);
-    machines_drop_stub(machine);
+    machines_free_unreferenced(machine);
     events_publish(EVENT_SCHEDULE);
 }
 
@@ -132,7 +132,7 @@
     return machine->retirement.returning || machine->retirement.return_wanted || machine->retirement.released;
 }
 
-void machines_returned(const char *id) {
+void machines_mark_returned(const char *id) {
     struct machine *machine = g_hash_table_lookup(registry.by_id, id);
     if (!machine) return;
     machine->retirement.released = true;
@@ -148,21 +148,21 @@
 }
 
 static void reset_allocation(struct allocation *allocation) {
-    allocation->seen = allocation->released = allocation->stop_sent = false;
-    /* Whether its start was ever sent, and whether it has ended since, only a heartbeat under the present fencing token
-     * tells. Sent again it might run beside what was allocated in its place when its end was known but not yet written.
-     */
+    allocation->was_listed = allocation->released = allocation->stop_sent = false;
+    /* Only a heartbeat under the present fencing token tells whether the start was ever sent and whether the task has
+     * ended since. The start is not sent again: the task's end may have been known but not yet recorded, and another
+     * task may have been allocated in its place. */
     allocation->inherited = true;
-    allocation->state = TASK_UNSEEN;
+    allocation->state = TASK_NOT_LISTED;
     allocation->stop_requested = allocation->job->state != JOB_QUEUED;
     allocation->grace_s = 0;
 }
 
-/* Forgets what was known under another fencing token of its shard: the machine counts as just heard. */
+/* Resets the state that was collected under another fencing token of the shard. The machine counts as just heard. */
 static void reset_ownership(struct machine *machine, int64_t fencing_token) {
     machine->owned_token = fencing_token;
     machine->owned_since = clock_now();
-    machine->agent.seen_token = 0;
+    machine->agent.reported_token = 0;
 
     struct machine_liveness *liveness = &machine->liveness;
     liveness->last_heard = liveness->last_heartbeat = machine->owned_since;
@@ -171,12 +171,12 @@
     liveness->up = machine->allocations->len > 0;
 
     struct machine_commands *commands = &machine->commands;
-    commands->outcome_unknown = commands->needs_token_raise = false;
+    commands->start_outcome_unknown = commands->needs_token_raise = false;
     commands->start_incarnation = 0;
-    commands->needs_token_probe = commands->wake = machine->address[0] != 0;
+    commands->needs_token_probe = commands->send_pending = machine->address[0] != 0;
 
     machine->retirement.draining = machine->retirement.return_wanted = machine->retirement.released = false;
-    machine->rebalance.to = -1;
+    machine->rebalance.target_shard = -1;
     machine->occupancy.n_samples = 0;
     for (guint i = 0; i < machine->allocations->len; i++) reset_allocation(machine->allocations->pdata[i]);
 }
@@ -189,14 +189,14 @@
 }
 
 bool machines_unrecorded(const struct machine *machine) {
-    if (machine->known || clock_seconds_since(machine->unrecorded_since) < UNRECORDED_S ||
+    if (machine->recorded || clock_seconds_since(machine->unrecorded_since) < UNRECORDED_MIN_S ||
         g_hash_table_contains(registry.unregistered, machine->id))
         return false;
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
         int shard = jobs_shard(allocation->job);
         if (!allocation->released && membership_owns(shard) &&
-            clock_seconds_since(shard_states[shard].owned_since) > UNRECORDED_S)
+            clock_seconds_since(shard_states[shard].owned_since) > UNRECORDED_MIN_S)
             return true;
     }
     return false;
@@ -206,7 +206,7 @@
 
 GHashTable *machines_unregistered(void) { return registry.unregistered; }
 
-bool machines_known(const char *id) {
+bool machines_is_known_id(const char *id) {
     return machines_find(id) || g_hash_table_contains(registry.unregistered, id) ||
            g_hash_table_contains(registry.removed_ids, id);
 }
@@ -227,13 +227,13 @@
 }
 
 void machines_adopt(const char *id, const char *address, const char *type_name, const char *zone, bool spot) {
-    int shard = machines_shard_of(id);
-    if (machines_known(id) || !membership_owns(shard)) return;
+    int shard = machines_shard_for_id(id);
+    if (machines_is_known_id(id) || !membership_owns(shard)) return;
     log_info("machine %s: unregistered, adopting it into shard %d", id, shard);
     add_unregistered(shard, id, address, type_name, zone, spot);
 }
 
-void machines_rented(int shard, const char *id, const char *type_name, const char *zone, bool spot) {
+void machines_add_rented(int shard, const char *id, const char *type_name, const char *zone, bool spot) {
     if (!machines_find(id)) add_unregistered(shard, id, "", type_name, zone, spot);
 }
 
--- a/src/machines/machines.h
+++ b/src/machines/machines.h
@@ -1,8 +1,8 @@
-/* The registry of machines: all that a record names or that an allocation refers to, by id and by shard, and what the
- * owner of a shard knows of each.
+/* The registry of machines, by id and by shard: all machines that a record or an allocation names, with the state that
+ * the owner of a shard has about them.
  *
- * What the store says of machines comes in through records.h; which page of its shard a machine is recorded on is
- * decided in page_assignment.h. Called by the scheduler, by workers, and by whoever decides on machines. */
+ * records.h applies the store's records to the registry. page_assignment.h chooses the page of its shard on which a
+ * machine is recorded. */
 #ifndef FF_MACHINES_H
 #define FF_MACHINES_H
 #include <glib.h>
@@ -15,57 +15,57 @@
 #include "../model/machine.h"
 #include "../model/shard.h"
 
-/* What the owner remembers of each shard, by number. Guarded by store_lock. */
+/* The state of each shard that this controller owns, by number of the shard. Guarded by store_lock. */
 extern struct shard_state shard_states[SHARDS_MAX];
 
-/* Once, before the mirror is started. The settings must outlive the program. */
+/* Called once, before the mirror is started. Keeps the pointer to the settings. */
 void machines_init(const struct settings *settings);
 
-/* Who wants to know that a machine no longer exists: its record is removed, which proves that the cloud has confirmed
- * its return. Called with store_lock held, before the machine is taken out of its shard. */
+/* Observes the removal of a machine whose record is gone, which proves that the cloud has confirmed its return. Called
+ * with store_lock held, before the machine is taken out of its shard. */
 typedef void (*machines_returned_observer)(const struct machine *machine);
-/* Sets the one observer; before the mirror is started. */
+/* Sets the only observer. Called before the mirror is started. */
 void machines_on_returned(machines_returned_observer observer);
 
-/* All of these with store_lock held. Pointers to machines belong to the registry and are valid until the lock is
- * released; those of machines with allocations for as long as these exist. */
+/* The functions below are called with store_lock held. Machines belong to the registry. A pointer to a machine is valid
+ * until the lock is released, or as long as the machine has allocations. */
 
-/* The machine that a record names; NULL: no record names it. */
+/* Returns the machine if a record names it, or NULL. */
 struct machine *machines_find(const char *id);
-/* The machine, or a new stub for an id that only an allocation names so far. */
+/* Returns the machine. If it is not in the registry, adds a stub, for an id that only an allocation names so far. */
 struct machine *machines_find_or_stub(const char *id);
-/* Frees the machine if neither a record nor an allocation names it any more. */
-void machines_drop_stub(struct machine *machine);
+/* Frees the machine if neither a record nor an allocation names it. */
+void machines_free_unreferenced(struct machine *machine);
 
-/* Lists of struct machine, which belong to the registry: all, stubs among them, and those of a shard. */
+/* Return lists of struct machine, which belong to the registry: all machines including stubs, or those of a shard. */
 GPtrArray *machines_all(void);
 GPtrArray *machines_of_shard(int shard);
-/* The shard that a machine without a record belongs to: that of what is allocated on it, or else by the number in its
- * id. */
-int machines_shard_of(const char *id);
+/* Returns the shard for a machine that no record names: the shard of the jobs allocated on it, or otherwise a shard
+ * that follows from the number at the end of its id. */
+int machines_shard_for_id(const char *id);
 
-/* Whether its shard is owned by this controller. What was known under another fencing token of the shard is reset at
- * the first call. */
+/* Tells whether this controller owns the machine's shard. The first call under a new fencing token of the shard resets
+ * the state that was collected under the previous one. */
 bool machines_owned(struct machine *machine);
-/* The fencing token under which it is sent directives: its own or its shard's, whichever is higher. */
+/* Returns the fencing token under which directives are sent to the machine: the higher of its own and its shard's. */
 int64_t machines_fencing_token(const struct machine *machine);
-/* Whether it is on its way back to the cloud, or returned already. */
+/* Tells whether the machine is being returned to the cloud, or was returned. */
 bool machines_leaving(const struct machine *machine);
-/* The cloud has confirmed its return: what was allocated on it is released. */
-void machines_returned(const char *id);
-/* Whether no record has named the machine, on which tasks of an owned shard are allocated, for so long that none can
- * be on its way. Only the cloud's answer to its return proves that the tasks are gone. */
+/* Marks the machine as returned and releases its allocations. Called once the cloud has confirmed the return. */
+void machines_mark_returned(const char *id);
+/* Tells whether tasks of an owned shard are allocated on the machine although no record has named it for so long that
+ * none can be on its way to this controller. Only the cloud's answer to its return proves that the tasks are gone. */
 bool machines_unrecorded(const struct machine *machine);
 
-/* Unregistered machines: rented by this controller, or adopted, and not recorded yet. The next scheduling round records
- * them. */
+/* Unregistered machines were rented or adopted by this controller and are not recorded yet. The next scheduling round
+ * records them. */
 
-/* id -> struct unregistered_machine; belongs to the registry. */
+/* Returns the table id -> struct unregistered_machine, which belongs to the registry. */
 GHashTable *machines_unregistered(void);
-/* Whether the id needs no adoption: it is recorded, unregistered, or was recorded and has been released. */
-bool machines_known(const char *id);
-/* A worker sends heartbeats under an id that is not known: it is adopted if its shard is owned. */
+/* Tells whether the machine with this id is recorded, unregistered, or was removed. Such a machine is not adopted. */
+bool machines_is_known_id(const char *id);
+/* Adopts a machine that a worker or the cloud's list reports, unless its id is known or its shard is not owned. */
 void machines_adopt(const char *id, const char *address, const char *type_name, const char *zone, bool spot);
-/* The cloud has rented a machine for the shard. */
-void machines_rented(int shard, const char *id, const char *type_name, const char *zone, bool spot);
+/* Adds a machine that the cloud has rented to this controller for the shard. */
+void machines_add_rented(int shard, const char *id, const char *type_name, const char *zone, bool spot);
 #endif
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -1,4 +1,4 @@
-/* Records of machines: pages, transfers between shards, and what cannot be read. */
+/* Tests the records of machines: pages, transfers between shards, and malformed records. */
 #include "machines/machines.h"
 
 #include <glib.h>
@@ -26,6 +26,7 @@
 static struct settings cfg;
 static int64_t mod_revision = 10;
 
+/* Applies a record at the next mod revision. */
 static void put(const char *key, const cJSON *value) {
     store_lock();
     store_apply(key, value, ++mod_revision);
@@ -37,11 +38,13 @@
     cJSON_Delete(value);
 }
 
+/* Applies the value that the round's working values give the page. */
 static void put_page(int shard, int page) {
     int count;
     put_and_delete(store_key_machine_page(shard, page).text, machines_page_value(shard, page, &count));
 }
 
+/* Applies a record at the given mod revision. Called with store_lock held. */
 static void apply(const char *key, const char *json, int64_t revision) {
     cJSON *value = cJSON_Parse(json);
     store_apply(key, value, revision);
@@ -51,37 +54,37 @@
 static int page_length(const cJSON *page) { return cJSON_GetArraySize(cJSON_GetObjectItem(page, "m")); }
 
 static int page_with_room(int shard, const char *id) {
-    struct shard_page_fills fills;
-    machines_page_fills(shard, &fills);
-    return machines_page_fills_add(&fills, id);
+    struct shard_page_usage usage;
+    machines_measure_pages(shard, &usage);
+    return machines_assign_page(&usage, id);
 }
 
-enum { FLEET = 700 };
+enum { FLEET_SIZE = 700 };
 
 static void rent_fleet(void) {
     char id[32];
-    for (int i = 0; i < FLEET; i++) {
+    for (int i = 0; i < FLEET_SIZE; i++) {
         g_snprintf(id, sizeof id, "i-%06d", i);
-        machines_rented(1, id, "g48", i % 2 ? "za" : "zb", i % 3 == 0);
+        machines_add_rented(1, id, "g48", i % 2 ? "za" : "zb", i % 3 == 0);
     }
 }
 
 static void assign_pages(bool used[MACHINE_PAGES_MAX]) {
-    struct shard_page_fills fills;
-    machines_page_fills(1, &fills);
-    GHashTableIter it;
+    struct shard_page_usage usage;
+    machines_measure_pages(1, &usage);
+    GHashTableIter iterator;
     gpointer value;
-    g_hash_table_iter_init(&it, machines_unregistered());
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iterator, machines_unregistered());
+    while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct unregistered_machine *machine = value;
-        machine->page = machines_page_fills_add(&fills, machine->id);
+        machine->page = machines_assign_page(&usage, machine->id);
         assert_in_range(machine->page, 0, MACHINE_PAGES_MAX - 1);
         used[machine->page] = true;
     }
 }
 
-/* A large fleet on pages: every value stays within its limit, all is read back, and a machine that leaves its page with
- * no record of its own is gone for good. */
+/* Writes a large fleet to pages. Every page must stay within the limit for a value, all machines must be read back, and
+ * a machine that leaves its page without a transfer record must stay removed. */
 static void large_fleet_fits_its_pages_and_is_read_back(void **state) {
     (void)state;
     bool used[MACHINE_PAGES_MAX] = {false};
@@ -98,40 +101,42 @@
         total += count;
         pages_used++;
     }
-    assert_int_equal(total, FLEET);
-    assert_true(pages_used < FLEET / 20);
+    assert_int_equal(total, FLEET_SIZE);
+    assert_true(pages_used < FLEET_SIZE / 20);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
         if (values[page]) put_and_delete(store_key_machine_page(1, page).text, values[page]);
     }
     assert_int_equal(g_hash_table_size(machines_unregistered()), 0);
-    assert_int_equal(machines_of_shard(1)->len, FLEET);
+    assert_int_equal(machines_of_shard(1)->len, FLEET_SIZE);
     struct machine *machine = machines_find("i-000003");
     assert_true(machine->spot);
     assert_string_equal(machine->zone, "za");
     assert_string_equal(machine->type_name, "g48");
-    /* Returned: off its page, and a late copy or a stale list does not bring it back. */
+    /* The returned machine is left out of its page. Its id stays known, so that an outdated list cannot add it again.
+     */
     machine->round.next_page = -1;
-    machines_returned("i-000003");
+    machines_mark_returned("i-000003");
     put_page(1, machine->page);
     assert_null(machines_find("i-000003"));
-    assert_true(machines_known("i-000003"));
-    assert_int_equal(machines_of_shard(1)->len, FLEET - 1);
+    assert_true(machines_is_known_id("i-000003"));
+    assert_int_equal(machines_of_shard(1)->len, FLEET_SIZE - 1);
 }
 
-/* From one shard to another: off its page and into a record of its own at once, then onto the other's page. */
-static void transfer_is_followed_in_either_order(void **state) {
+/* Transfers a machine to another shard: one transaction moves it from its page to a transfer record, and the other
+ * shard's owner then writes it to a page. */
+static void transfer_is_applied_in_either_order(void **state) {
     (void)state;
     struct machine *machine = machines_find("i-000004");
     int page = machine->page, count;
     const struct store_key key = store_key_machine_page(1, page);
-    for (int order = 0; order < 2; order++) { /* the watch may bring one transaction's changes in either order */
+    for (int order = 0; order < 2; order++) { /* the watch may deliver a transaction's changes in any order */
         machine->round.leaves_page = true;
-        cJSON *value = machines_page_value(1, page, &count), *single = machines_single_value(machine, 0, 77);
-        if (order == 0) put("machine/i-000004", single);
+        cJSON *value = machines_page_value(1, page, &count), *transfer_record = machines_transfer_value(machine, 0, 77);
+        if (order == 0) put("machine/i-000004", transfer_record);
         put(key.text, value);
-        if (order == 1) put("machine/i-000004", single);
+        if (order == 1) put("machine/i-000004", transfer_record);
         cJSON_Delete(value);
-        cJSON_Delete(single);
+        cJSON_Delete(transfer_record);
         machine = machines_find("i-000004");
         assert_non_null(machine);
         assert_int_equal(machine->shard, 0);
@@ -147,10 +152,10 @@
         assert_non_null(machine);
         assert_int_equal(machine->page, 0);
         assert_int_equal(machine->fencing_token, 77);
-        /* and back, for the other order */
+        /* Transfers the machine back. */
         machine->round.leaves_page = true;
         machine->round.next_page = -1;
-        put_and_delete("machine/i-000004", machines_single_value(machine, 1, 78));
+        put_and_delete("machine/i-000004", machines_transfer_value(machine, 1, 78));
         put("fleet/0/0", NULL);
         machine = machines_find("i-000004");
         machine->round.leaves_page = false;
@@ -163,8 +168,8 @@
     }
 }
 
-/* Records of the first layout are refused as a whole, not half read. */
-static void first_layout_is_refused_as_a_whole(void **state) {
+/* A record of the first layout marks the store as unreadable, and no machine is read from it. */
+static void first_layout_marks_the_store_unreadable(void **state) {
     (void)state;
     assert_false(schema_version_store_unreadable());
     put_and_delete("machine/i-900000",
@@ -174,20 +179,22 @@
     assert_null(machines_find("i-900000"));
 }
 
-/* One machine on two pages: who rented it and who heard of it as an unregistered one have both recorded it. The later
- * record holds, in whatever order they are read, and the other's loss of it proves nothing about its tasks. */
-static void later_page_holds_when_two_list_a_machine(void **state) {
+/* A machine is on two pages, because one controller rented it and another adopted it. The later record takes
+ * precedence, whatever the order in which they are read, and removing the machine from the older page must not release
+ * its tasks. */
+static void later_page_wins_if_two_list_a_machine(void **state) {
     (void)state;
     for (int order = 0; order < 2; order++) {
-        char one[160], run[64];
+        char page_json[160], allocations_json[64];
         const char *id = order ? "i-960001" : "i-960000";
         int64_t revision = 100000 + order * 1000;
-        g_snprintf(one, sizeof one, "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"%s\",\"\",0,0,0,0,1,\"\"]]}", id);
-        g_snprintf(run, sizeof run, "{\"f\":5,\"b\":\"0@%s+0\"}", id);
+        g_snprintf(page_json, sizeof page_json,
+                   "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"%s\",\"\",0,0,0,0,1,\"\"]]}", id);
+        g_snprintf(allocations_json, sizeof allocations_json, "{\"f\":5,\"b\":\"0@%s+0\"}", id);
         store_lock();
-        apply(order ? "run/req-96001/0" : "run/req-96000/0", run, revision);
-        apply(order ? "fleet/0/201" : "fleet/1/200", one, order ? revision + 20 : revision + 10);
-        apply(order ? "fleet/1/201" : "fleet/0/200", one, order ? revision + 10 : revision + 20);
+        apply(order ? "run/req-96001/0" : "run/req-96000/0", allocations_json, revision);
+        apply(order ? "fleet/0/201" : "fleet/1/200", page_json, order ? revision + 20 : revision + 10);
+        apply(order ? "fleet/1/201" : "fleet/0/200", page_json, order ? revision + 10 : revision + 20);
         struct machine *machine = machines_find(id);
         assert_non_null(machine);
         assert_int_equal(machine->shard, 0);
@@ -200,18 +207,18 @@
     }
 }
 
-/* A machine is transferred between shards, and its new page is read ahead of the watch, which then tells of the
- * transfer. */
-static void page_read_ahead_of_the_watch_is_not_undone(void **state) {
+/* A machine is transferred between shards. Its new page is read ahead of the watch, which then delivers the older
+ * changes. They must not undo the transfer. */
+static void older_changes_do_not_undo_a_page_read_ahead(void **state) {
     (void)state;
     cJSON *page = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-009005\",\"\",0,0,0,0,1,\"\"]]}"),
-          *none = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[]}"),
+          *empty_page = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[]}"),
           *transfer = cJSON_Parse("{\"share\":1,\"fence\":3,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\"}");
     int64_t revision = mod_revision += 10;
     store_lock();
     store_apply("fleet/0/98", page, revision);
-    store_apply("fleet/1/98", page, revision + 5); /* the newest, read on its own */
-    store_apply("fleet/0/98", none, revision + 2);
+    store_apply("fleet/1/98", page, revision + 5); /* the newest revision, read ahead of the watch */
+    store_apply("fleet/0/98", empty_page, revision + 2);
     store_apply("machine/i-009005", transfer, revision + 2);
     store_apply("fleet/1/98", page, revision + 4);
     store_apply("machine/i-009005", NULL, revision + 4);
@@ -224,33 +231,34 @@
     store_unlock();
     mod_revision += 10;
     cJSON_Delete(page);
-    cJSON_Delete(none);
+    cJSON_Delete(empty_page);
     cJSON_Delete(transfer);
 }
 
-/* A page that can't be read in full takes nobody off the record: what runs there would be started again. */
+/* A page that is not well-formed must not remove machines: the tasks that run there would be started again. */
 static void unreadable_page_removes_no_machine(void **state) {
     (void)state;
     static const struct {
-        const char *what, *page;
+        const char *description, *page;
         bool stays;
     } rows[] = {
-        {"an entry that is no list", "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[7]}", true},
-        {"an entry without a name", "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[null,\"\",0,0,0,0,1,\"\"]]}", true},
-        {"no list at all", "{\"sku\":[\"g\"],\"site\":[\"za\"]}", true},
+        {"an entry that is not an array", "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[7]}", true},
+        {"an entry without an id", "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[null,\"\",0,0,0,0,1,\"\"]]}", true},
+        {"no list of entries", "{\"sku\":[\"g\"],\"site\":[\"za\"]}", true},
         {"not an object", "\"m\"", true},
-        {"a page that names another only",
+        {"a well-formed page that lists only another machine",
          "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-009002\",\"\",0,0,0,0,1,\"\"]]}", false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        cJSON *one = cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-009001\",\"\",0,0,0,0,1,\"\"]]}");
+        cJSON *well_formed_page =
+            cJSON_Parse("{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-009001\",\"\",0,0,0,0,1,\"\"]]}");
         cJSON *page = cJSON_Parse(rows[i].page);
-        put("fleet/0/99", one);
+        put("fleet/0/99", well_formed_page);
         assert_non_null(machines_find("i-009001"));
         put("fleet/0/99", page);
         bool stays = machines_find("i-009001") != NULL;
-        if (stays != rows[i].stays) fail_msg("%s: %d", rows[i].what, stays);
-        cJSON_Delete(one);
+        if (stays != rows[i].stays) fail_msg("%s: %d", rows[i].description, stays);
+        cJSON_Delete(well_formed_page);
         cJSON_Delete(page);
     }
     put("fleet/0/99", NULL);
@@ -273,10 +281,10 @@
     scheduler_init(&cfg);
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(large_fleet_fits_its_pages_and_is_read_back),
-                                       cmocka_unit_test(transfer_is_followed_in_either_order),
-                                       cmocka_unit_test(later_page_holds_when_two_list_a_machine),
-                                       cmocka_unit_test(page_read_ahead_of_the_watch_is_not_undone),
+                                       cmocka_unit_test(transfer_is_applied_in_either_order),
+                                       cmocka_unit_test(later_page_wins_if_two_list_a_machine),
+                                       cmocka_unit_test(older_changes_do_not_undo_a_page_read_ahead),
                                        cmocka_unit_test(unreadable_page_removes_no_machine),
-                                       cmocka_unit_test(first_layout_is_refused_as_a_whole)};
+                                       cmocka_unit_test(first_layout_marks_the_store_unreadable)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/machines/occupancy.h
+++ b/src/machines/occupancy.h
@@ -1,8 +1,8 @@
-/* How much of a machine is allocated, sampled with each of its heartbeats. Called by workers, with store_lock held. */
+/* Samples which fraction of a machine is allocated. Called by workers for each heartbeat, with store_lock held. */
 #ifndef FF_MACHINES_OCCUPANCY_H
 #define FF_MACHINES_OCCUPANCY_H
 #include "machines.h"
 
-/* Adds a sample to the machine's window; none while its type is not known. */
+/* Adds an occupancy sample to the machine, unless its type is not known yet. */
 void machines_add_occupancy_sample(struct machine *machine);
 #endif
--- a/src/machines/page_assignment.h
+++ b/src/machines/page_assignment.h
@@ -1,31 +1,31 @@
-/* Which page of its shard a machine is recorded on: pages are filled one after the other. Called by scheduling rounds,
- * with store_lock held. */
+/* Chooses the page of its shard on which a machine is recorded: the first page that has room. Called by scheduling
+ * rounds, with store_lock held. */
 #ifndef FF_MACHINES_PAGE_ASSIGNMENT_H
 #define FF_MACHINES_PAGE_ASSIGNMENT_H
 #include <stdbool.h>
 
 #include "machines.h"
 
-/* How full a page is, in bytes, by both measures. A page is filled only as far as the first version, which writes
- * images into it, can rewrite it under the present limit of a value, and anyone under the next. */
-struct page_fill {
-    int present, next;
+/* Estimated size of a page's entries. A page is filled only as far as it can be rewritten: with images under the
+ * current limit for a value, since the first version always writes images, and without images under the next limit. */
+struct page_usage {
+    int current_bytes, next_bytes; /* with images, for the current limit; without images, for the next limit */
 };
-/* How full a shard's pages are: counted once, however many machines are then assigned to pages. */
-struct shard_page_fills {
-    struct page_fill pages[MACHINE_PAGES_MAX];
+/* Sizes of all pages of a shard. They are computed once for any number of assignments. */
+struct shard_page_usage {
+    struct page_usage pages[MACHINE_PAGES_MAX];
 };
-/* Counts a shard's pages. With store_lock held. */
-void machines_page_fills(int shard, struct shard_page_fills *fills);
-/* The page that the machine is to go to, counted in; -1: all are full. */
-int machines_page_fills_add(struct shard_page_fills *fills, const char *id);
+/* Computes the sizes of the shard's pages, including machines that are assigned to a page but not written yet. */
+void machines_measure_pages(int shard, struct shard_page_usage *usage);
+/* Returns the first page with room for the machine, and adds the machine to its usage. -1: all pages are full. */
+int machines_assign_page(struct shard_page_usage *usage, const char *id);
 
-/* The page that a machine is on, or will be once this round is written; -1: none. */
-int machines_page_of(const struct machine *machine);
-/* Whether the next limit of a value is below the present one. */
-bool machines_page_limit_falls(void);
-/* Bytes that a page may fill of a value. */
-int machines_page_bytes_max(double value_kb);
-/* Whether the page could be rewritten under the next limit. */
-bool machines_page_fits_next_limit(const struct page_fill *fill);
+/* Returns the page that the machine will be on once this round is written; -1: none. */
+int machines_planned_page(const struct machine *machine);
+/* Tells whether the next limit for a value is below the current one. */
+bool machines_page_limit_decreases(void);
+/* Returns the maximum size of a page under a limit of value_kb for a value. */
+int machines_page_max_bytes(double value_kb);
+/* Tells whether the page could be rewritten under the next limit. */
+bool machines_page_fits_next_limit(const struct page_usage *usage);
 #endif
--- a/src/machines/page_migration.c
+++ b/src/machines/page_migration.c
@@ -6,16 +6,16 @@
 
 static bool stale[SHARDS_MAX][MACHINE_PAGES_MAX];
 
-void machines_oversized_pages(int shard, bool oversized[MACHINE_PAGES_MAX]) {
+void machines_find_oversized_pages(int shard, bool oversized[MACHINE_PAGES_MAX]) {
     memset(oversized, 0, MACHINE_PAGES_MAX * sizeof *oversized);
-    if (!machines_page_limit_falls()) return;
-    struct shard_page_fills fills;
-    machines_page_fills(shard, &fills);
+    if (!machines_page_limit_decreases()) return;
+    struct shard_page_usage usage;
+    machines_measure_pages(shard, &usage);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++)
-        oversized[page] = !machines_page_fits_next_limit(&fills.pages[page]);
+        oversized[page] = !machines_page_fits_next_limit(&usage.pages[page]);
 }
 
-bool machines_page_stale(int shard, int page) { return stale[shard][page]; }
+bool machines_page_is_stale(int shard, int page) { return stale[shard][page]; }
 
 void machines_page_mark_stale(int shard, int page) {
     if (page >= 0 && page < MACHINE_PAGES_MAX) stale[shard][page] = true;
--- a/src/machines/records.c
+++ b/src/machines/records.c
@@ -14,9 +14,9 @@
 #include "page_assignment.h"
 #include "page_migration.h"
 
-#define IMAGES_PER_MACHINE 6 /* for who takes the machine over: a start where the image is cached needs no fetch */
+#define IMAGES_PER_MACHINE 6 /* recorded so that a new owner knows where a start needs no fetch */
 
-/* ---- pages, as they are read ---- */
+/* ---- reading pages ---- */
 
 static void apply_entry(struct machine *machine, const struct machine_page *page, const struct machine_record *record) {
     if (*record->address && !machine->address[0]) g_strlcpy(machine->address, record->address, sizeof machine->address);
@@ -30,90 +30,91 @@
     machine_page_read_images(page, record, machine->images);
 }
 
-/* Two pages may name one machine: that of who rented it, and that of who adopted it meanwhile. The later record holds,
- * in whatever order they are read: once a controller that had read them anew took the machine for another's, left it
- * out of its page, and the others released what ran on it. */
-static bool on_later_page(const char *id, int shard, int number, int64_t mod_revision) {
+/* Tells whether a later record than this revision puts the machine elsewhere. Two pages may list the same machine: one
+ * of the controller that rented it, and one of a controller that adopted it meanwhile. The later record takes
+ * precedence, whatever the order in which they are read. Otherwise a controller that reads them again may assign the
+ * machine to the other shard and leave it out of its own page, and the others then release the tasks that run on it. */
+static bool has_later_placement(const char *id, int shard, int page_number, int64_t mod_revision) {
     const struct machine *machine = machines_find(id);
     return machine && machine->placement_revision > mod_revision &&
-           (machine->shard != shard || machine->page != number);
+           (machine->shard != shard || machine->page != page_number);
 }
 
-/* Takes in a page's entries, and adds their machines to the set; false if an entry can't be read. */
-static bool apply_entries(const struct machine_page *page, int shard, int number, int64_t mod_revision,
+/* Applies the entries of a page and adds their machines to the set. Returns false if an entry is malformed. */
+static bool apply_entries(const struct machine_page *page, int shard, int page_number, int64_t mod_revision,
                           GHashTable *listed) {
-    bool whole = true;
+    bool well_formed = true;
     const cJSON *entry;
     cJSON_ArrayForEach(entry, page->machines) {
         struct machine_record record;
         if (!machine_page_read_entry(page, entry, &record)) {
-            whole = false;
+            well_formed = false;
             continue;
         }
-        if (on_later_page(record.id, shard, number, mod_revision)) {
-            machines_page_mark_stale(shard, number);
+        if (has_later_placement(record.id, shard, page_number, mod_revision)) {
+            machines_page_mark_stale(shard, page_number);
             continue;
         }
-        struct machine *machine = machines_place(record.id, shard, number);
+        struct machine *machine = machines_set_location(record.id, shard, page_number);
         machine->placement_revision = mod_revision;
         g_hash_table_add(listed, machine);
         apply_entry(machine, page, &record);
     }
-    return whole;
+    return well_formed;
 }
 
-static bool has_own_record(const struct machine *machine) {
+static bool has_transfer_record(const struct machine *machine) {
     return store_key_revision(store_key_machine(machine->id).text) != 0;
 }
 
-/* Machines that the page named before and no longer does are released, unless they are on their way to another shard.
- */
-static void remove_unlisted(int shard, int number, GHashTable *listed) {
+/* Removes the machines that the page no longer lists, unless they are being transferred to another shard. */
+static void remove_unlisted(int shard, int page_number, GHashTable *listed) {
     GPtrArray *machines = machines_of_shard(shard);
     for (guint i = machines->len; i-- > 0;) {
         struct machine *machine = machines->pdata[i];
-        if (machine->page == number && !g_hash_table_contains(listed, machine) && !has_own_record(machine))
+        if (machine->page == page_number && !g_hash_table_contains(listed, machine) && !has_transfer_record(machine))
             machines_remove(machine);
     }
 }
 
-/* Reads K/N; false if there is no such page. */
-static bool parse_page_key(const char *rest, int *shard, int *number) {
-    const char *slash = strchr(rest, '/');
+/* Parses SHARD/PAGE. Returns false if there is no such page. */
+static bool parse_page_key(const char *key_suffix, int *shard, int *page_number) {
+    const char *slash = strchr(key_suffix, '/');
     if (!slash) return false;
-    *shard = (int)g_ascii_strtoll(rest, NULL, 10);
-    *number = (int)g_ascii_strtoll(slash + 1, NULL, 10);
-    return *shard >= 0 && *shard < machines_settings->n_shards && *number >= 0 && *number < MACHINE_PAGES_MAX;
+    *shard = (int)g_ascii_strtoll(key_suffix, NULL, 10);
+    *page_number = (int)g_ascii_strtoll(slash + 1, NULL, 10);
+    return *shard >= 0 && *shard < machines_settings->n_shards && *page_number >= 0 && *page_number < MACHINE_PAGES_MAX;
 }
 
-static void apply_page(const char *rest, const cJSON *data, int64_t mod_revision) {
-    int shard, number;
-    if (!parse_page_key(rest, &shard, &number)) return;
-    machines_page_clear_stale(shard, number);
-    /* A machine that a page no longer names is released. A page that can't be read proves nothing: taken for an empty
-     * one, it would release what still runs. */
+static void apply_page(const char *key_suffix, const cJSON *data, int64_t mod_revision) {
+    int shard, page_number;
+    if (!parse_page_key(key_suffix, &shard, &page_number)) return;
+    machines_page_clear_stale(shard, page_number);
+    /* A page that is not well-formed does not prove that a machine was returned. Treated as empty, it would release
+     * tasks that still run. */
     struct machine_page page;
     bool readable = machine_page_read(data, &page) || !data;
     g_autoptr(GHashTable) listed = g_hash_table_new(g_direct_hash, g_direct_equal);
-    bool whole = apply_entries(&page, shard, number, mod_revision, listed);
-    if (whole && readable) {
-        remove_unlisted(shard, number, listed);
+    bool well_formed = apply_entries(&page, shard, page_number, mod_revision, listed);
+    if (well_formed && readable) {
+        remove_unlisted(shard, page_number, listed);
     } else {
-        log_error("fleet/%s: can't be read in full, its other machines stay on record", rest);
+        log_error("fleet/%s: can't be read in full, its other machines stay on record", key_suffix);
     }
 }
 
-/* ---- a machine's own record, as it is read ---- */
+/* ---- reading transfer records ---- */
 
 static void refuse_first_layout(const char *id) {
-    /* The first layout kept allocations in records like this one. Reading half of it would start tasks twice. */
+    /* In the first layout these records contained allocations. If they were ignored, tasks would be started twice. */
     if (!schema_version_store_unreadable())
         log_error("machine/%s has the first layout, which this version does not read: no shard is taken", id);
     schema_version_mark_store_unreadable();
 }
 
-static void place_single(const char *id, int shard, const struct machine_record *record, int64_t mod_revision) {
-    struct machine *machine = machines_place(id, shard, -1);
+static void apply_transfer_placement(const char *id, int shard, const struct machine_record *record,
+                                     int64_t mod_revision) {
+    struct machine *machine = machines_set_location(id, shard, -1);
     machine->placement_revision = mod_revision;
     machine->fencing_token = record->fencing_token;
     if (record->address && *record->address) g_strlcpy(machine->address, record->address, sizeof machine->address);
@@ -125,9 +126,9 @@
     events_publish(EVENT_SCHEDULE);
 }
 
-static void apply_single(const char *id, const cJSON *data, int64_t mod_revision) {
-    /* As for pages: what a later record has shown holds, in whatever order they are read. A page read on its own, ahead
-     * of the watch, was once undone by the transfer before it: machines that ran tasks were taken for released. */
+static void apply_transfer(const char *id, const cJSON *data, int64_t mod_revision) {
+    /* As for pages, the later record takes precedence, whatever the order in which they are read. Otherwise, when a
+     * page is read ahead of the watch, the watch's older transfer record undoes it, and tasks that run are released. */
     struct machine *machine = machines_find(id);
     if (machine && machine->placement_revision > mod_revision) return;
     if (!data) {
@@ -136,22 +137,22 @@
     }
     struct machine_record record;
     int64_t shard = 0;
-    enum machine_single_result result = machine_single_read(data, &record, &shard);
-    if (result == MACHINE_SINGLE_FIRST_LAYOUT) {
+    enum machine_transfer_result result = machine_transfer_read(data, &record, &shard);
+    if (result == MACHINE_TRANSFER_FIRST_LAYOUT) {
         refuse_first_layout(id);
         return;
     }
-    if (result == MACHINE_SINGLE_MALFORMED || strlen(id) >= MACHINE_ID_SIZE || shard < 0 ||
+    if (result == MACHINE_TRANSFER_MALFORMED || strlen(id) >= MACHINE_ID_SIZE || shard < 0 ||
         shard >= machines_settings->n_shards) {
         log_error("machine/%s: can't be read", id);
         return;
     }
-    place_single(id, (int)shard, &record, mod_revision);
+    apply_transfer_placement(id, (int)shard, &record, mod_revision);
 }
 
-/* ---- values ---- */
+/* ---- writing ---- */
 
-static struct machine_record recorded(const struct machine *machine) {
+static struct machine_record record_of_machine(const struct machine *machine) {
     return (struct machine_record){
         .id = machine->id,
         .address = machine->address,
@@ -159,12 +160,12 @@
         .zone = machine->zone,
         .spot = machine->spot,
         .returning = machine->retirement.returning || machine->retirement.return_wanted,
-        .fencing_token = MAX(machine->fencing_token, machine->round.next_token),
+        .fencing_token = MAX(machine->fencing_token, machine->round.next_fencing_token),
         .created_at = machine->created_at,
     };
 }
 
-static struct machine_record recorded_unregistered(const struct unregistered_machine *machine) {
+static struct machine_record record_of_unregistered(const struct unregistered_machine *machine) {
     return (struct machine_record){
         .id = machine->id,
         .address = machine->address,
@@ -182,8 +183,9 @@
     GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len; i++) {
         const struct machine *machine = machines->pdata[i];
-        if (machines_page_of(machine) != page || machine->round.leaves_page || machine->retirement.released) continue;
-        const struct machine_record record = recorded(machine);
+        if (machines_planned_page(machine) != page || machine->round.leaves_page || machine->retirement.released)
+            continue;
+        const struct machine_record record = record_of_machine(machine);
         machine_page_writer_add(&writer, &record, machine->images);
         (*count)++;
     }
@@ -193,7 +195,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct unregistered_machine *machine = value;
         if (machine->shard != shard || machine->page != page) continue;
-        const struct machine_record record = recorded_unregistered(machine);
+        const struct machine_record record = record_of_unregistered(machine);
         machine_page_writer_add(&writer, &record, NULL);
         (*count)++;
     }
@@ -202,7 +204,7 @@
 
 static bool fits_next_limit(const cJSON *page) {
     char *text = cJSON_PrintUnformatted(page);
-    bool fits = strlen(text) <= (size_t)machines_page_bytes_max(machines_settings->next_value_kb);
+    bool fits = strlen(text) <= (size_t)machines_page_max_bytes(machines_settings->next_value_kb);
     free(text);
     return fits;
 }
@@ -210,8 +212,8 @@
 cJSON *machines_page_value(int shard, int page, int *count) {
     int images = IMAGES_PER_MACHINE;
     cJSON *value = page_value(shard, page, images, count);
-    /* Images are only a help: they go before the page outgrows the next limit. */
-    while (images > 0 && machines_page_limit_falls() && !fits_next_limit(value)) {
+    /* Images only save fetches, so they are left out if the page would exceed the next limit. */
+    while (images > 0 && machines_page_limit_decreases() && !fits_next_limit(value)) {
         images /= 2;
         cJSON_Delete(value);
         value = page_value(shard, page, images, count);
@@ -219,13 +221,13 @@
     return value;
 }
 
-cJSON *machines_single_value(const struct machine *machine, int shard, int64_t fencing_token) {
-    struct machine_record record = recorded(machine);
+cJSON *machines_transfer_value(const struct machine *machine, int shard, int64_t fencing_token) {
+    struct machine_record record = record_of_machine(machine);
     record.fencing_token = fencing_token;
-    return machine_single_write(&record, shard);
+    return machine_transfer_write(&record, shard);
 }
 
 void machines_records_init(void) {
     store_observe_prefix(STORE_PREFIX_MACHINE_PAGE, apply_page);
-    store_observe_prefix(STORE_PREFIX_MACHINE, apply_single);
+    store_observe_prefix(STORE_PREFIX_MACHINE, apply_transfer);
 }
--- a/src/machines/records.h
+++ b/src/machines/records.h
@@ -1,19 +1,19 @@
-/* The records of machines: takes in what the store says (fleet/K/N, machine/ID), and makes the values that a scheduling
- * round writes. With store_lock held. */
+/* Applies the store's records of machines to the registry (pages fleet/K/N and transfer records machine/ID), and builds
+ * the values that a scheduling round writes. Called with store_lock held. */
 #ifndef FF_MACHINES_RECORDS_H
 #define FF_MACHINES_RECORDS_H
 #include <stdint.h>
 
 #include "machines.h"
 
-/* Observes the records; called by machines_init. */
+/* Registers the observers of the records. Called by machines_init. */
 void machines_records_init(void);
 
-/* The value of a page, as many machines of a shard as a value holds, so that one change carries what a round decided
- * for all of them, and the number of these machines. A machine's working values of the round (struct machine_round)
- * decide: `leaves_page` keeps it out, `next_token` raises its fencing token, `next_page` brings it in, as an
- * unregistered machine's page does that. The value belongs to the caller. */
+/* Builds the value of a page and sets *count to the number of its machines. A page holds many machines of a shard, so
+ * that one write records a round's decisions about all of them. The round's working values (struct machine_round) are
+ * applied: `leaves_page` leaves a machine out, `next_fencing_token` raises its token, and `next_page` adds it to that
+ * page, as `page` does for an unregistered machine. The caller owns the value. */
 cJSON *machines_page_value(int shard, int page, int *count);
-/* The value of the machine's own record, on its way to another shard. It belongs to the caller. */
-cJSON *machines_single_value(const struct machine *machine, int shard, int64_t fencing_token);
+/* Builds the transfer record of a machine on its way to the shard. The caller owns the value. */
+cJSON *machines_transfer_value(const struct machine *machine, int shard, int64_t fencing_token);
 #endif
--- a/src/model/allocation.h
+++ b/src/model/allocation.h
@@ -1,5 +1,5 @@
-/* An allocation: the machine that a task is given, and what is known of the task there. Types only; guarded by
- * store_lock. Instants are of the steady clock. */
+/* An allocation: the machine that a task is given, and what the controllers know about the task there. Types only;
+ * guarded by store_lock. Values of struct timespec are instants of the monotonic clock. */
 #ifndef FF_MODEL_ALLOCATION_H
 #define FF_MODEL_ALLOCATION_H
 #include <glib.h>
@@ -7,51 +7,52 @@
 #include <stdint.h>
 #include <time.h>
 
-#define TASK_NAME_SIZE 96 /* JOB/TASK, with the terminating zero */
+#define TASK_NAME_SIZE 96 /* of JOB/TASK, with the terminating zero */
 
 struct job;
 struct machine;
 
-/* What a task does, as the machine's agent lists it. */
+/* The state of a task, as its machine's agent lists it. */
 enum task_state {
-    TASK_UNSEEN,    /* not listed yet */
-    TASK_FETCHING,  /* its image */
-    TASK_GATHERING, /* waits for the rest of its gang */
+    TASK_NOT_LISTED,       /* the agent has not listed the task yet */
+    TASK_FETCHING,         /* the agent fetches the task's image */
+    TASK_WAITING_FOR_GANG, /* the task waits for the other tasks of its gang */
     TASK_RUNNING,
-    TASK_FLUSHING, /* saves a checkpoint before it stops */
+    TASK_FLUSHING, /* the task saves a checkpoint before it stops */
     TASK_ENDED
 };
 
-/* One start of a task on a machine. It belongs to allocations, and is freed when its record no longer names it. */
+/* One start of a task on a machine. The allocations package owns it, and frees it when its record no longer names it.
+ */
 struct allocation {
     struct job *job;
     struct machine *machine;
-    guint index_in_job, index_in_machine; /* its index in their lists of allocations */
+    guint index_in_job, index_in_machine; /* its index in the allocations list of the job, and of the machine */
     int task;
     int64_t attempt;
     struct timespec allocated_at;
 
-    /* What the owner of its shard knows, under the present fencing token. */
+    /* Known to the owner of its shard, and valid under the shard's present fencing token only. */
     enum task_state state; /* as last listed */
     struct timespec state_since;
-    bool seen;      /* listed at least once */
-    bool inherited; /* not decided on under this fencing token: it is not started, and released when it is not listed */
-    bool released;  /* proven absent or ended: its room is free, the record follows */
+    bool was_listed; /* the agent has listed the task at least once */
+    bool inherited; /* not decided under this fencing token: it is never started, and is released if it is not listed */
+    bool released;  /* the task is proven absent or ended: its resources are free, and its record will be updated */
     bool stop_requested, stop_sent;
-    double grace_s;  /* with which it is to stop */
-    int starts_sent; /* responses to heartbeats that carried its start */
+    double grace_s;  /* time that the task is given to stop */
+    int starts_sent; /* number of heartbeat responses that carried the start */
 
-    int stop_requests; /* sent by a controller that does not own its shard */
+    int non_owner_stops_sent; /* stops that this controller has sent without owning the machine */
 };
 
-/* A task that the machine lists and that has no allocation. */
+/* A task that a machine lists but that has no allocation. */
 struct unknown_task {
     char task[TASK_NAME_SIZE]; /* JOB/TASK */
     int64_t attempt;
     bool ended;
 };
 
-/* A task that a scheduling round places; an allocation once it is written. */
+/* A task that a scheduling round places. It becomes an allocation once its record is written. */
 struct planned_task {
     struct machine *machine;
     struct job *job;
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -1,5 +1,6 @@
-/* A job: what its user asked for, what its record says, and what the controllers know of its tasks. Types only; guarded
- * by store_lock. Times of day are seconds since 1970; struct timespec are instants of the steady clock. */
+/* A job: what its user submitted, what its record says, and what the controllers know about its tasks. Types only;
+ * guarded by store_lock. Times of day are seconds since 1970; values of struct timespec are instants of the monotonic
+ * clock. */
 #ifndef FF_MODEL_JOB_H
 #define FF_MODEL_JOB_H
 #include <glib.h>
@@ -12,82 +13,83 @@
 
 /* A job array has independent tasks, a gang starts and completes as one, a service runs until it is cancelled. */
 enum job_kind { JOB_ARRAY, JOB_GANG, JOB_SERVICE };
-/* From the lowest; higher ones may preempt lower ones. */
+/* In ascending order. Jobs of a higher priority may preempt those of a lower one. */
 enum job_priority { PRIORITY_IDLE, PRIORITY_NORMAL, PRIORITY_HIGH, PRIORITY_PRODUCTION };
-/* As its record says. */
+/* The state in a job's record. */
 enum job_state { JOB_QUEUED, JOB_DONE, JOB_CANCELLED };
 
-/* What is known of a chunk of a job's tasks. */
+/* Flags of a chunk of a job's tasks. */
 enum chunk_flag {
-    CHUNK_RECORDED = 1, /* the store has a record of it */
-    CHUNK_DIRTY = 2     /* what this controller knows differs from the record */
+    CHUNK_RECORDED = 1, /* the store has a record of the chunk */
+    CHUNK_DIRTY = 2     /* this controller's data about the chunk differs from the record */
 };
 
-/* What its user submitted. Amounts are those of one task. */
+/* A job as its user submitted it. Resources are those of one task. */
 struct job_spec {
     char job_id[JOB_ID_SIZE];
     char *job_class, *image;
-    char *zone;           /* the only one allowed; NULL: any */
-    char **machine_types; /* those allowed; NULL: any */
+    char *zone;           /* the only zone in which its tasks may run; NULL: any zone */
+    char **machine_types; /* the machine types on which its tasks may run; NULL: any type */
     int team;             /* index in the settings; -1: unknown */
     enum job_kind kind;
     enum job_priority priority;
     int tasks;
     double vcpus, gpus, memory_gb, image_gb;
-    bool single_zone; /* all tasks in one zone */
-    bool spread;      /* at most half of the tasks, rounded up, in one zone */
+    bool single_zone; /* all tasks run in one zone */
+    bool spread;      /* at most half of the tasks, rounded up, run in one zone */
     bool allows_spot;
     double runtime_s;          /* the user's estimate of a task's run time; 0 for services */
-    double checkpoint_s;       /* progress between checkpoints; 0: the task saves none */
-    double checkpoint_flush_s; /* time that a checkpoint takes when the task is stopped */
-    double deadline_s;         /* from its submission; 0: none */
-    char **prerequisites;      /* ids of jobs that have to be done first, each once; NULL: none */
+    double checkpoint_s;       /* run time between two checkpoints of a task; 0: the task saves none */
+    double checkpoint_flush_s; /* time that a task needs to save a checkpoint when it is stopped */
+    double deadline_s;         /* seconds after the submission; 0: no deadline */
+    char **prerequisites;      /* ids of the jobs that must be done first, without duplicates; NULL: none */
 };
 
-/* A job. The members that no comment gives to another package are kept by jobs. */
+/* A job. The jobs package maintains the members that no comment assigns to another package. */
 struct job {
     struct job_spec spec;
-    bool known;      /* false: only named by an allocation or as a prerequisite */
-    char *spec_text; /* the submission's JSON; NULL once the job is over */
-    int shard;       /* that its record names, of a divided team's job; -1: its team's home */
+    bool known;      /* its record has been read; false: only an allocation or a dependent names the job */
+    char *spec_text; /* the submission's JSON; NULL once the job is done or cancelled */
+    int shard;       /* for a divided team's job, the shard in its record; -1: the home shard of its team */
     enum job_state state;
-    double submitted;              /* time of day of the acceptance */
-    double finished;               /* time of day at which its record says done; 0: not done, or not recorded */
+    double submitted;              /* time of day at which the job was accepted */
+    double finished;               /* time of day in its record at which it was done; 0: not done, or not recorded */
     struct timespec ended;         /* when this controller read its final state */
-    uint8_t *done, *reported_done; /* a bit a task: recorded as done, and shown as done but perhaps not yet recorded */
+    uint8_t *done, *reported_done; /* one bit per task: recorded as done; reported as done, but perhaps not recorded */
     int n_done, n_reported_done;
-    struct timespec eligible_since; /* since when it may start, as far as is known */
-    bool
-        cancel_acknowledged; /* to its user, by this controller: its tasks end even if their owner never learns of it */
-    bool listed_active, listed_ended;
+    struct timespec eligible_since; /* since when it may start, as far as this controller knows */
+    bool cancel_acknowledged; /* this controller has confirmed the cancellation to the user: the tasks must end even if
+                               * their owner never learns of it */
+    bool listed_active, listed_ended; /* the job is in the list of active jobs, and in that of ended jobs */
 
-    /* Kept by dependencies. */
+    /* Maintained by the dependencies package. */
     GPtrArray *prerequisites, *dependents; /* struct job; NULL: none */
-    int unmet;                             /* prerequisites whose record does not say done */
-    double ready;                          /* time of day from which its times count; 0: it waits for others */
-    enum job_priority priority;            /* the highest of its own and its unfinished dependents' */
-    double deadline;                       /* time of day by which it is to be done for its own and their sake */
-    bool prerequisite_cancelled;           /* one of them, directly or through others: it is to be cancelled */
-    bool cascade_acknowledged;             /* and this controller acknowledged that to a user */
-    struct timespec cascade_since;
+    int unmet;                             /* number of prerequisites that are not recorded as done */
+    double ready_at;                       /* time of day from which its objectives count; 0: prerequisites are unmet */
+    enum job_priority priority;            /* the highest priority of the job and its unfinished dependents */
+    double deadline;                       /* time of day by which it must be done so that it and its dependents meet
+                                            * their deadlines; INFINITY: none */
+    bool prerequisite_cancelled;           /* a direct or indirect prerequisite is cancelled, so the job must be, too */
+    bool cascade_acknowledged;             /* this controller has confirmed a prerequisite's cancellation to a user */
+    struct timespec cascade_since;         /* when prerequisite_cancelled was set */
 
-    /* Kept by allocations: the records are chunks of the job's tasks. */
+    /* Maintained by the allocations package, which records the allocations in chunks of the job's tasks. */
     GPtrArray *allocations; /* struct allocation */
-    uint8_t *chunk_flags;   /* a byte a chunk: enum chunk_flag */
+    uint8_t *chunk_flags;   /* enum chunk_flag, one byte per chunk */
     int n_recorded_chunks, n_dirty_chunks;
-    int chunk_size;              /* tasks a record holds; 0: not known yet, that of the first layout */
-    struct timespec dirty_since; /* since when something waits to be written */
+    int chunk_size; /* number of tasks per record; 0: not known yet, the size of the first layout applies */
+    struct timespec dirty_since; /* since when a chunk has been waiting to be written */
 
-    /* Kept by quarantine. */
-    int failed_tries;          /* since it is suspect; 0: it is not */
-    int failed_tries_recorded; /* what its first record of allocations says of them */
-    GPtrArray *failed_on;      /* ids of machines, since a task of it last completed; NULL: none */
+    /* Maintained by the quarantine package. */
+    int failed_tries;          /* number of failed tries since the job became suspect; 0: it is not suspect */
+    int failed_tries_recorded; /* failed_tries in the first record of its allocations */
+    GPtrArray *failed_on;      /* ids of machines on which tasks failed since a task last succeeded; NULL: none */
 
-    /* Kept by its shard's owner. */
-    struct timespec retry_at; /* no start before */
-    const char *zone;         /* in which machines are rented for a gang in one zone; NULL: not decided */
-    int replicas_at_risk; /* on machines that are unreachable with their zone: they may have to start elsewhere soon */
-    bool unplaced;        /* tasks found no place in the last scheduling round */
-    struct timespec preempted_at; /* when other work was last preempted for it */
+    /* Maintained by the owner of its shard. */
+    struct timespec retry_at;     /* no task is started before */
+    const char *zone;             /* the zone in which machines are rented for a single-zone gang; NULL: not decided */
+    int replicas_at_risk;         /* tasks in unreachable zones, which may soon have to be started elsewhere */
+    bool unplaced;                /* the last scheduling round found no machine for some tasks */
+    struct timespec preempted_at; /* when other tasks were last preempted for it */
 };
 #endif
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,5 +1,5 @@
-/* A machine: what its record says, and what the owner of its shard knows of it. Types only; guarded by store_lock.
- * Times of day are seconds since 1970; struct timespec are instants of the steady clock. */
+/* A machine: what its record says, and what the owner of its shard knows about it. Types only; guarded by store_lock.
+ * Times of day are seconds since 1970; values of struct timespec are instants of the monotonic clock. */
 #ifndef FF_MODEL_MACHINE_H
 #define FF_MODEL_MACHINE_H
 #include <glib.h>
@@ -16,79 +16,81 @@
 #define ZONE_NAME_SIZE 64
 
 #define MACHINE_OCCUPANCY_SAMPLES 64
-#define MACHINE_TASKS_MAX 200 /* allocated on a machine at a time: heartbeats and responses stay far below 64 KiB */
-#define MACHINE_PAGES_MAX 256 /* a shard's pages are numbered below this */
+#define MACHINE_TASKS_MAX                                                                                            \
+    200                       /* allocations of a machine at a time; keeps heartbeats and responses far below 64 KiB \
+                               */
+#define MACHINE_PAGES_MAX 256 /* the pages of a shard are numbered from 0 to MACHINE_PAGES_MAX - 1 */
 
-/* What the machine's agent has shown of itself. Kept by workers. */
+/* State that the machine's agent has reported. Maintained by workers. */
 struct machine_agent {
-    int64_t incarnation, sequence; /* of the newest message; 0: none yet */
-    int64_t seen_token;            /* the highest fencing token that it has shown */
-    GArray *unknown_tasks;         /* struct unknown_task: what it lists that has no allocation */
+    int64_t incarnation, sequence; /* of the agent's latest message; 0: none received */
+    int64_t reported_token;        /* the highest fencing token that the agent has reported */
+    GArray *unknown_tasks;         /* struct unknown_task: listed tasks that have no allocation */
 };
 
-/* Whether it can be reached, in both directions. Kept by workers, read by liveness. */
+/* Whether messages reach the controller and the machine. Maintained by workers, read by liveness. */
 struct machine_liveness {
     bool up;
-    struct timespec last_heard;     /* by a heartbeat or a direct answer */
-    struct timespec last_heartbeat; /* by a heartbeat */
-    int unanswered_probes;          /* in a row, since it was last heard */
-    bool heartbeat_acknowledged;    /* its last heartbeat got a 200 under the fencing token it should show by now */
-    int ignored_responses;          /* heartbeats in a row that show nothing of the responses */
-    double preemption_notice_s;     /* the cloud reclaims it in so many seconds; < 0: no notice */
-    struct timespec notice_received;
+    struct timespec last_heard;     /* last heartbeat or answer to a command */
+    struct timespec last_heartbeat; /* last heartbeat */
+    int unanswered_probes;          /* commands in a row that were not answered since last_heard */
+    bool heartbeat_acknowledged; /* a heartbeat was answered with 200, so the agent should report the present token */
+    int ignored_responses;       /* heartbeats in a row which show that the agent did not receive the responses */
+    double preemption_notice_s;  /* remaining time until the cloud reclaims the machine; < 0: no notice */
+    struct timespec notice_received_at;
 };
 
-/* Directives sent straight to it. Kept by workers. */
+/* Commands that the controller sends to the machine, beside its responses to heartbeats. Maintained by workers. */
 struct machine_commands {
-    bool wake;              /* something is to be sent */
-    bool needs_token_probe; /* it is to be shown its fencing token, and asked for its tasks */
-    bool in_flight;
-    bool probe_in_flight; /* what is in flight carries no directives */
+    bool send_pending;      /* directives may have to be sent */
+    bool needs_token_probe; /* a probe must be sent, which shows the agent its fencing token and asks for its tasks */
+    bool in_flight;         /* a command is being sent or waits for its answer */
+    bool probe_in_flight;   /* the command in flight is a probe, which carries no directives */
     struct timespec last_probe;
-    bool outcome_unknown; /* a start's outcome is not known: it may yet be carried out, under these two */
-    int64_t unknown_token, unknown_incarnation;
+    bool start_outcome_unknown; /* a start may yet be carried out, under the token and incarnation below */
+    int64_t unknown_start_token, unknown_start_incarnation;
     bool needs_token_raise;    /* only a higher fencing token rules that start out */
-    int64_t start_incarnation; /* the latest of it in which a response to a heartbeat carried starts; 0: none */
-    struct timespec stops_requested_at; /* when a controller that does not own it last asked it to stop tasks */
+    int64_t start_incarnation; /* latest incarnation for which a heartbeat response carried starts; 0: none */
+    struct timespec non_owner_stops_sent_at; /* when this controller last sent stops without owning the machine */
 };
 
-/* The components of a sample of occupancy. */
+/* The components of an occupancy sample. */
 enum occupancy_component { OCCUPANCY_VCPUS, OCCUPANCY_MEMORY, OCCUPANCY_GPUS, OCCUPANCY_COMPONENTS };
 
-/* Window of the latest samples: per component, the part of the machine that is allocated, from 0 to 1. */
+/* Ring buffer of the latest samples. Each component is the allocated fraction of the machine, from 0 to 1. */
 struct machine_occupancy {
     double samples[MACHINE_OCCUPANCY_SAMPLES][OCCUPANCY_COMPONENTS];
-    int n_samples; /* so far; the latest overwrite the oldest */
+    int n_samples; /* number of samples ever added; the latest ones overwrite the oldest */
 };
 
-/* On its way back to the cloud. Kept by the autoscaler and liveness. */
+/* Progress of the machine's return to the cloud. Maintained by the autoscaler and liveness. */
 struct machine_retirement {
-    bool draining; /* takes no more tasks; returned once empty */
+    bool draining; /* the machine takes no more tasks, and is returned once it is empty */
     struct timespec drain_since;
-    bool return_wanted;
-    bool returning; /* recorded so */
-    bool released;  /* the cloud has confirmed its return */
+    bool return_wanted; /* the machine is to be returned */
+    bool returning;     /* its record says that it is being returned */
+    bool released;      /* the cloud has confirmed the return */
 };
 
-/* On its way to another shard. Kept by rebalancing. */
+/* A planned transfer to another shard. Maintained by rebalancing. */
 struct machine_rebalance {
-    int to; /* -1: no */
-    struct timespec since;
+    int target_shard; /* -1: none */
+    struct timespec chosen_at;
 };
 
-/* Working values of one scheduling round. Kept by the scheduler. */
+/* Working values of one scheduling round. Maintained by the scheduler. */
 struct machine_round {
     bool schedulable;
-    bool dirty;         /* the round allocates on it or releases from it */
-    bool leaves_page;   /* its page is written without it */
-    int64_t next_token; /* its page is written with this one; 0: as it is */
-    int next_page;      /* it is written to this page; -1: as it is */
+    bool dirty;                 /* the round adds or releases allocations on the machine */
+    bool leaves_page;           /* the machine is left out when its page is written */
+    int64_t next_fencing_token; /* the page is written with this token for the machine; 0: with its present one */
+    int next_page;              /* the machine is written to this page; -1: to its present one */
     double occupancy;
-    double used_vcpus, used_gpus, used_memory_gb; /* by allocations and plans */
-    int used_tasks;
+    double used_vcpus, used_gpus, used_memory_gb; /* by allocations and planned tasks */
+    int used_tasks;                               /* number of allocations and planned tasks */
 };
 
-/* A machine. The members that no comment gives to another package are kept by machines. */
+/* A machine. The machines package maintains the members that no comment assigns to another package. */
 struct machine {
     char id[MACHINE_ID_SIZE];
     char address[MACHINE_ADDRESS_SIZE]; /* HOST:PORT of its agent; empty: not known */
@@ -97,19 +99,19 @@
     bool spot;
     double created_at;      /* time of day of the rental */
     GPtrArray *allocations; /* struct allocation */
-    bool had_task;
-    GHashTable *images; /* names of those that it has cached */
+    bool had_task;          /* an allocation on it has been read */
+    GHashTable *images;     /* names of the images in its cache */
 
-    /* Its record. Kept by machines. */
-    bool known;                       /* false: no record names it, only an allocation */
-    struct timespec unrecorded_since; /* where it is not known: since when */
+    /* The machine's record. */
+    bool recorded;                    /* a record names the machine; false: only an allocation does */
+    struct timespec unrecorded_since; /* since when no record names it; valid if not recorded */
     int shard;                        /* -1: none */
-    int page;                         /* of its shard; -1: in a record of its own, on its way between shards */
-    int64_t placement_revision;       /* mod revision of the record that says so */
-    int64_t fencing_token;            /* its own, from adoption or a raise; the shard's may be higher */
-    bool address_unrecorded;          /* its address is known, but not on record */
+    int page;                         /* page of the shard; -1: the machine has its own record, for a transfer */
+    int64_t placement_revision;       /* mod revision of the record that set shard and page */
+    int64_t fencing_token;            /* the machine's own, from its adoption or a raise; the shard's may be higher */
+    bool address_unrecorded;          /* its record lacks the known address */
 
-    /* What the owner of its shard knows: valid under this fencing token of the shard only. */
+    /* Known to the owner of its shard, and valid under this fencing token of the shard only. */
     int64_t owned_token;
     struct timespec owned_since;
     struct machine_agent agent;
@@ -120,9 +122,9 @@
     struct machine_rebalance rebalance;
     struct machine_round round;
 
-    /* Kept by quarantine. */
-    struct timespec faulty_since; /* zero: it is not */
-    GPtrArray *failed_jobs;       /* struct job; NULL: none */
+    /* Maintained by quarantine. */
+    struct timespec faulty_since; /* zero: the machine is not faulty */
+    GPtrArray *failed_jobs;       /* struct job: jobs whose tasks failed on the machine; NULL: none */
 };
 
 /* A machine that was rented or adopted, and is not recorded yet. */
@@ -130,15 +132,15 @@
     char id[MACHINE_ID_SIZE], address[MACHINE_ADDRESS_SIZE], type_name[TYPE_NAME_SIZE], zone[ZONE_NAME_SIZE];
     bool spot;
     int shard;
-    double created_at;
-    int page; /* working value of a round: where it is to be recorded, -1: not yet */
+    double created_at; /* time of day */
+    int page;          /* working value of a scheduling round: the page that it will be written to; -1: none yet */
 };
 
-/* Machines of one kind that are wanted in a zone, for a shard. */
+/* Machines of one type, spot or on-demand, that a shard needs in a zone. */
 struct rental_request {
     char type_name[TYPE_NAME_SIZE], zone[ZONE_NAME_SIZE];
     bool spot;
     int count, shard;
-    int weight; /* how much waits for it */
+    int weight; /* requests with a greater weight are made first */
 };
 #endif
--- a/src/model/shard.h
+++ b/src/model/shard.h
@@ -1,5 +1,5 @@
-/* A shard: the unit in which machines and teams' jobs belong to one controller, its owner. Types only; guarded by
- * store_lock. */
+/* A shard: the unit in which machines and the jobs of teams are assigned to one controller, its owner. Types only;
+ * guarded by store_lock. */
 #ifndef FF_MODEL_SHARD_H
 #define FF_MODEL_SHARD_H
 #include <stdbool.h>
@@ -8,21 +8,23 @@
 
 #define SHARDS_MAX 64
 
-/* What the owner remembers of a shard: nothing of it is on record. Instants are of the steady clock. */
+/* The owner's state of a shard, which is not recorded in the store. Values of struct timespec are instants of the
+ * monotonic clock. */
 struct shard_state {
-    int64_t fencing_token;       /* under which all of this is known */
-    struct timespec owned_since; /* since when the shard is owned under it */
-    int64_t attempt_counter;     /* of the latest attempt under it (attempt.h); 0: none yet */
+    int64_t fencing_token;       /* the token under which all of this state was collected */
+    struct timespec owned_since; /* since when this controller owns the shard under fencing_token */
+    int64_t attempt_counter;     /* counter of the latest attempt under fencing_token (attempt.h); 0: none yet */
 
-    /* Kept by the scheduler. */
-    bool
-        barrier_pending; /* a transaction's outcome is unknown: none is sent until the shard's mod revision has risen */
-    int64_t conflict_revision;      /* the store's, when it last rejected a write for its conditions; 0: never */
-    struct timespec isolated_until; /* until then a transaction holds one record: one was rejected as malformed */
-    struct timespec compacted_at;   /* when pages of machines were last compacted */
-    bool fit_nowhere;               /* tasks found no place in the last scheduling round */
+    /* Maintained by the scheduler. */
+    bool barrier_pending; /* the outcome of a transaction is unknown: none is sent until the shard's mod revision has
+                           * risen */
+    int64_t conflict_revision;        /* store revision when a write was last rejected for its conditions; 0: never */
+    struct timespec one_record_until; /* until then, a transaction writes one record, because a write was rejected as
+                                       * malformed */
+    struct timespec compacted_at;     /* when the shard's machine pages were last compacted */
+    bool has_unplaced_tasks;          /* the last scheduling round found no machine for some tasks */
 
-    struct timespec rebalanced_at; /* when machines were last picked for other shards; kept by rebalancing */
-    struct timespec suspicion_at;  /* when a machine last failed to answer for the first time; kept by workers */
+    struct timespec rebalanced_at;        /* when machines were last chosen for other shards; set by rebalancing */
+    struct timespec machine_suspected_at; /* when a machine last began to leave commands unanswered; set by workers */
 };
 #endif
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -62,14 +62,14 @@
 
 /* It stays with its shard and with the cloud. */
 static bool stays(const struct machine *machine) {
-    return !machines_leaving(machine) && !machine->retirement.draining && machine->rebalance.to < 0 &&
+    return !machines_leaving(machine) && !machine->retirement.draining && machine->rebalance.target_shard < 0 &&
            machine->liveness.preemption_notice_s < 0;
 }
 
 /* It can be sent directives, and what was sent before has a known outcome. */
 static bool takes_directives(const struct machine *machine) {
-    return !machine->commands.needs_token_raise && !machine->commands.outcome_unknown &&
-           machine->liveness.ignored_responses == 0 && machine->agent.seen_token >= machines_fencing_token(machine);
+    return !machine->commands.needs_token_raise && !machine->commands.start_outcome_unknown &&
+           machine->liveness.ignored_responses == 0 && machine->agent.reported_token >= machines_fencing_token(machine);
 }
 
 static bool is_schedulable(const struct machine *machine, int shard, double overdue_s) {
@@ -86,7 +86,7 @@
         if (!machines_owned(machine)) continue;
         if (!machine->type) machine->type = machine_types_find(machine->type_name);
         machine->round.dirty = machine->round.leaves_page = false;
-        machine->round.next_token = 0;
+        machine->round.next_fencing_token = 0;
         machine->round.next_page = -1;
         machine->round.occupancy = placement_occupancy(machine, (int)placement_settings->tuning.occupancy_window);
         count_used(machine);
--- a/src/preemption/make_room.c
+++ b/src/preemption/make_room.c
@@ -88,6 +88,6 @@
     preempt_until_fits(machine, entry, PREEMPT_LONG_STARTED);
     preempt_until_fits(machine, entry, PREEMPT_ANY);
     placement_reserve(machine, &job->spec);
-    machine->commands.wake = true;
+    machine->commands.send_pending = true;
     return true;
 }
--- a/src/preemption/preemptible.c
+++ b/src/preemption/preemptible.c
@@ -32,7 +32,7 @@
 }
 
 bool preemption_recently_started(const struct allocation *allocation) {
-    return allocation->state == TASK_UNSEEN || allocation->state == TASK_FETCHING ||
+    return allocation->state == TASK_NOT_LISTED || allocation->state == TASK_FETCHING ||
            (allocation->state == TASK_RUNNING && clock_seconds_since(allocation->state_since) < COUNTS_AS_STARTED_S);
 }
 
@@ -55,7 +55,8 @@
 
 bool preemption_fetch_too_slow(const struct job *job, const struct machine *machine) {
     if (!machine->type || g_hash_table_contains(machine->images, job->spec.image)) return false;
-    double rate = machine->type->fetch_rate > FETCH_RATE_LEAST ? machine->type->fetch_rate : FETCH_RATE_LEAST;
+    double rate =
+        machine->type->image_fetch_gb_per_s > FETCH_RATE_LEAST ? machine->type->image_fetch_gb_per_s : FETCH_RATE_LEAST;
     return job->spec.image_gb / rate >
            settings_shortest_objective_s(preemption_settings, OBJECTIVE_WAIT, job->spec.job_class, NO_OBJECTIVE_S);
 }
--- a/src/priority/due.c
+++ b/src/priority/due.c
@@ -44,22 +44,22 @@
 }
 
 double job_due_time(const struct settings *settings, const struct job *job, double now) {
-    double age_s = now - job->ready;
+    double age_s = now - job->ready_at;
     /* A job that has waited this long for its first task goes before the other jobs of its priority, so that late and
      * large jobs don't wait forever. */
-    if (age_s > FIRST_TASK_WAIT_MAX_S && !has_started_tasks(job)) return job->ready;
+    if (age_s > FIRST_TASK_WAIT_MAX_S && !has_started_tasks(job)) return job->ready_at;
 
     double earliest_end_s = age_s + job->spec.runtime_s, missed_s = 0;
     for (;;) {
         double next = next_objective_s(settings, job->spec.job_class, missed_s);
         if (next < 0) break;
-        if (earliest_end_s <= next) return job->ready + next;
+        if (earliest_end_s <= next) return job->ready_at + next;
         missed_s = next;
     }
-    if (missed_s > 0) return job->ready + next_after_missed_s(missed_s, earliest_end_s);
+    if (missed_s > 0) return job->ready_at + next_after_missed_s(missed_s, earliest_end_s);
     if (due_has_objective(settings, job))
-        return job->ready + settings_shortest_objective_s(settings, OBJECTIVE_WAIT, job->spec.job_class, 0);
+        return job->ready_at + settings_shortest_objective_s(settings, OBJECTIVE_WAIT, job->spec.job_class, 0);
     /* A job without an objective ranks like a job that has missed the longest objective. Treated as due at once, a
      * guest team's arrays without an objective kept arrays with an objective waiting for 400 s. */
-    return job->ready + next_after_missed_s(longest_objective_s(settings), earliest_end_s);
+    return job->ready_at + next_after_missed_s(longest_objective_s(settings), earliest_end_s);
 }
--- a/src/rebalancing/donation.c
+++ b/src/rebalancing/donation.c
@@ -50,8 +50,8 @@
 
 /* It is up, has been this shard's for a while, and is not about to go anywhere. */
 static bool is_settled(struct machine *machine) {
-    if (machine->round.dirty || clock_seconds_since(machine->owned_since) < OWNED_S || machine->rebalance.to >= 0 ||
-        !machine->liveness.up || !machines_owned(machine) || !machine->type)
+    if (machine->round.dirty || clock_seconds_since(machine->owned_since) < OWNED_S ||
+        machine->rebalance.target_shard >= 0 || !machine->liveness.up || !machines_owned(machine) || !machine->type)
         return false;
     return !machines_leaving(machine) && machine->liveness.preemption_notice_s < 0 && machine->address[0] &&
            clock_seconds_since(machine->liveness.last_heard) <= placement_heartbeat_overdue_s();
@@ -61,7 +61,7 @@
 static bool is_surplus(int shard, const struct machine *machine, const struct priority_entry *entry) {
     if (!entry->job->spec.allows_spot || entry->within_guarantee) return true;
     if (!machine->spot && !machine->retirement.draining) return false;
-    return machine->allocations->len > 0 || !shard_states[shard].fit_nowhere;
+    return machine->allocations->len > 0 || !shard_states[shard].has_unplaced_tasks;
 }
 
 static bool can_be_cleared(const struct machine *machine, const struct priority_entry *entry) {
--- a/src/rebalancing/needy_job.c
+++ b/src/rebalancing/needy_job.c
@@ -40,7 +40,7 @@
 
 /* Whether the machine is the shard's, or on its way there, and may take tasks of these jobs. */
 static bool counts(const struct machine *machine, int shard, enum needy_jobs which) {
-    if (machine->shard != shard && machine->rebalance.to != shard) return false;
+    if (machine->shard != shard && machine->rebalance.target_shard != shard) return false;
     if (machine->retirement.returning || (machine->spot && which != NEEDY_ALLOWING_SPOT)) return false;
     return machine->shard != shard || !is_full(machine);
 }
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -21,8 +21,8 @@
 /* Not in a round that allocates on it or releases from it: the plan is not in its list yet. A machine was once
  * transferred together with a task of its old shard's, which then counted nowhere against the team's limit. */
 bool rebalancing_allowed(const struct machine *machine) {
-    return machine->rebalance.to >= 0 && machine->allocations->len == 0 && machine->page >= 0 &&
-           !machine->round.dirty && !machine->commands.outcome_unknown && !machine->commands.in_flight &&
+    return machine->rebalance.target_shard >= 0 && machine->allocations->len == 0 && machine->page >= 0 &&
+           !machine->round.dirty && !machine->commands.start_outcome_unknown && !machine->commands.in_flight &&
            !machine->commands.needs_token_raise && !machine->retirement.return_wanted &&
            !machine->retirement.returning && !machine->retirement.released;
 }
@@ -31,7 +31,8 @@
     const GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len; i++) {
         struct machine_rebalance *rebalance = &((struct machine *)machines->pdata[i])->rebalance;
-        if (rebalance->to >= 0 && clock_seconds_since(rebalance->since) > TRANSFER_MAX_S) rebalance->to = -1;
+        if (rebalance->target_shard >= 0 && clock_seconds_since(rebalance->chosen_at) > TRANSFER_MAX_S)
+            rebalance->target_shard = -1;
     }
 }
 
@@ -44,8 +45,8 @@
 }
 
 static void begin_transfer(struct machine *machine, int to, const struct job *job) {
-    machine->rebalance.to = to;
-    machine->rebalance.since = clock_now();
+    machine->rebalance.target_shard = to;
+    machine->rebalance.chosen_at = clock_now();
     log_info("machine %s: rebalancing from shard %d to shard %d for job %s", machine->id, machine->shard, to,
              job->spec.job_id);
     for (guint i = 0; i < machine->allocations->len; i++) {
--- a/src/rebalancing/rebalancing_test.c
+++ b/src/rebalancing/rebalancing_test.c
@@ -31,9 +31,9 @@
         struct machine machine;
         memset(&machine, 0, sizeof machine);
         machine.allocations = g_ptr_array_new();
-        machine.rebalance.to = rows[i].to;
+        machine.rebalance.target_shard = rows[i].to;
         machine.round.dirty = rows[i].dirty;
-        machine.commands.outcome_unknown = rows[i].outcome_unknown;
+        machine.commands.start_outcome_unknown = rows[i].outcome_unknown;
         machine.commands.in_flight = rows[i].in_flight;
         machine.commands.needs_token_raise = rows[i].needs_raise;
         machine.retirement.return_wanted = rows[i].returned;
@@ -82,7 +82,7 @@
         placement_prepare_machines(0);
         shard_states[0].rebalanced_at = (struct timespec){0, 0};
         rebalancing_plan(0);
-        int reception_to = reception->rebalance.to, spare_to = spare->rebalance.to;
+        int reception_to = reception->rebalance.target_shard, spare_to = spare->rebalance.target_shard;
         owned_put(key, NULL);
         owned_clear();
         store_unlock();
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -166,13 +166,13 @@
         if (pass->missing_tasks[i] <= 0 || is_retry_delayed(job) || quarantine_job_suspect(job)) continue;
         subtract_capacity(&pass->capacity_left, job, pass->missing_tasks[i]);
         job->unplaced = pass->capacity_left.vcpus < 0 || pass->capacity_left.gpus < 0;
-        shard_states[pass->round->shard].fit_nowhere |= job->unplaced;
+        shard_states[pass->round->shard].has_unplaced_tasks |= job->unplaced;
     }
 }
 
 static void plan_job(struct planning_pass *pass, const struct priority_entry *entry, int missing) {
     struct job *job = entry->job;
-    bool *fit_nowhere = &shard_states[pass->round->shard].fit_nowhere;
+    bool *fit_nowhere = &shard_states[pass->round->shard].has_unplaced_tasks;
     subtract_capacity(&pass->capacity_left, job, missing);
     if (!planning_may_preempt(entry) && is_unplaceable(&pass->unplaceable, &job->spec)) {
         job->unplaced = !quarantine_job_suspect(job);
@@ -204,7 +204,7 @@
 void scheduling_round_plan_jobs(struct scheduling_round *round) {
     struct planning_pass pass;
     pass_init(&pass, round);
-    shard_states[round->shard].fit_nowhere = false;
+    shard_states[round->shard].has_unplaced_tasks = false;
     for (guint i = 0; i < pass.order->len; i++) {
         const struct priority_entry *entry = &g_array_index(pass.order, struct priority_entry, i);
         if (is_skipped(&pass, entry->job, pass.missing_tasks[i])) continue;
--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -99,7 +99,7 @@
     round->planned_tasks = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     round->transactions = g_ptr_array_new_with_free_func(transaction_free);
     round->writes_left = writes;
-    round->one_record_per_transaction = clock_seconds_since(shard_states[shard].isolated_until) < 0;
+    round->one_record_per_transaction = clock_seconds_since(shard_states[shard].one_record_until) < 0;
     if (writes >= ROUND_WRITES_MIN) {
         decide(round);
     } else {
@@ -115,7 +115,7 @@
         struct allocation *allocation = job->allocations->pdata[i];
         if (!allocation->inherited || allocation->attempt <= round->last_attempt) continue;
         allocation->inherited = false;
-        allocation->machine->commands.wake = true;
+        allocation->machine->commands.send_pending = true;
     }
 }
 
@@ -141,7 +141,7 @@
     for (guint i = 0; i < machines->len; i++) {
         struct machine *machine = machines->pdata[i];
         struct machine_commands *commands = &machine->commands;
-        if (commands->needs_token_raise && machines_fencing_token(machine) > commands->unknown_token)
+        if (commands->needs_token_raise && machines_fencing_token(machine) > commands->unknown_start_token)
             commands->needs_token_raise = false;
     }
 }
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -62,7 +62,7 @@
  * record doesn't affect others; a record that was rejected alone is skipped for REJECTED_KEY_PAUSE_S. */
 static void handle_invalid(const struct scheduling_round *round, const struct store_txn *transaction) {
     if (round->one_record_per_transaction || transaction->writes == 1) rejected_keys_add(transaction);
-    shard_states[round->shard].isolated_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
+    shard_states[round->shard].one_record_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
 }
 
 /* Sends one transaction. Returns false if the following ones must not be sent. */
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -151,7 +151,7 @@
     char id[32];
     for (int i = 0; i < 64; i++) {
         g_snprintf(id, sizeof id, "i-9%03d", i);
-        machines_rented(0, id, "g16", "za", false);
+        machines_add_rented(0, id, "g16", "za", false);
     }
     assert_int_equal(scale_out_plan(requests, 16), 0);
     g_hash_table_remove_all(machines_unregistered());
@@ -248,7 +248,7 @@
             set_last_heard(fleet[n], rows[row].silence_s);
             fleet[n]->liveness.unanswered_probes = rows[row].unanswered_probes;
             for (guint k = 0; k < fleet[n]->allocations->len; k++)
-                ((struct allocation *)fleet[n]->allocations->pdata[k])->seen = rows[row].tasks_seen;
+                ((struct allocation *)fleet[n]->allocations->pdata[k])->was_listed = rows[row].tasks_seen;
         }
         struct liveness_summary summary = liveness_summary();
         liveness_check_machines(0, &summary);
--- a/src/scheduler/stage_pages.c
+++ b/src/scheduler/stage_pages.c
@@ -30,7 +30,7 @@
     bool write_deferred;               /* deferred writes are due */
     uint8_t needs[MACHINE_PAGES_MAX];  /* enum page_need, for each page */
     bool oversized[MACHINE_PAGES_MAX]; /* the page is too large for the store's next limit */
-    struct shard_page_fills fills;
+    struct shard_page_usage fills;
     int64_t fencing_token; /* new token of machines that are raised or transferred */
     int raise_writes;      /* writes of the transaction that raises tokens, including the fencing counter */
     bool has_raises;
@@ -41,7 +41,8 @@
 /* Returns whether the machine is to be returned or transferred, or its fencing token raised. */
 static bool record_is_about_to_change(const struct machine *machine) {
     return machine->commands.needs_token_raise ||
-           (machine->retirement.return_wanted && !machine->retirement.returning) || machine->rebalance.to >= 0;
+           (machine->retirement.return_wanted && !machine->retirement.returning) ||
+           machine->rebalance.target_shard >= 0;
 }
 
 /* Returns whether the machine is on an oversized page and has no other page assigned yet. */
@@ -60,7 +61,7 @@
         struct machine *machine = machines->pdata[i];
         if (!needs_migration(plan, machine)) continue;
         if (scope == MIGRATE_CHANGING_RECORDS && !record_is_about_to_change(machine)) continue;
-        int target_page = machines_page_fills_add(&plan->fills, machine->id);
+        int target_page = machines_assign_page(&plan->fills, machine->id);
         if (target_page < 0 || (!is_target[target_page] && *n_targets == MIGRATION_TARGET_PAGES_MAX)) return false;
         *n_targets += !is_target[target_page];
         is_target[target_page] = true;
@@ -87,7 +88,7 @@
     int writes = (transfer ? 1 : 0) + ((plan->needs[page] & PAGE_RAISE_TOKENS) ? 0 : 1);
     if (plan->raise_writes + writes > scheduler_settings->txn_ops) return;
     plan->raise_writes += writes;
-    machine->round.next_token = plan->fencing_token;
+    machine->round.next_fencing_token = plan->fencing_token;
     machine->round.leaves_page = transfer;
     plan->has_raises = true;
     plan->needs[page] |= PAGE_RAISE_TOKENS;
@@ -95,7 +96,7 @@
 
 /* Plans the write of a machine that has a page or was assigned one. */
 static void plan_machine(struct page_plan *plan, struct machine *machine) {
-    int page = machines_page_of(machine);
+    int page = machines_planned_page(machine);
     if (!is_valid_page(page) || plan->oversized[page]) return;
     plan_token_raise(plan, machine, page);
     /* Tasks on the machine can only start elsewhere after its return, so that is recorded at once. Idle machines are
@@ -115,7 +116,7 @@
             continue;
         }
         if (n_arrivals++ >= scheduler_settings->txn_ops / 2) continue;
-        machine->round.next_page = machines_page_fills_add(&plan->fills, machine->id);
+        machine->round.next_page = machines_assign_page(&plan->fills, machine->id);
         if (machine->round.next_page >= 0) plan->needs[machine->round.next_page] |= PAGE_WRITE_NOW;
     }
 }
@@ -138,14 +139,14 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct unregistered_machine *machine = value;
         if (machine->shard != plan->shard) continue;
-        machine->page = machines_page_fills_add(&plan->fills, machine->id);
+        machine->page = machines_assign_page(&plan->fills, machine->id);
         if (machine->page >= 0) plan->needs[machine->page] |= PAGE_WRITE_NOW;
     }
 }
 
 static void plan_stale_pages(struct page_plan *plan) {
     for (int page = 0; page < MACHINE_PAGES_MAX; page++)
-        if (machines_page_stale(plan->shard, page)) plan->needs[page] |= PAGE_WRITE_DEFERRED;
+        if (machines_page_is_stale(plan->shard, page)) plan->needs[page] |= PAGE_WRITE_DEFERRED;
 }
 
 /* Puts the page's new value. */
@@ -160,7 +161,8 @@
 static void put_transfer(struct store_txn *transaction, const struct machine *machine, int64_t fencing_token) {
     struct store_key key = store_key_machine(machine->id);
     store_txn_compare(transaction, key.text, 0);
-    store_txn_put(transaction, key.text, machines_single_value(machine, machine->rebalance.to, fencing_token), 0);
+    store_txn_put(transaction, key.text,
+                  machines_transfer_value(machine, machine->rebalance.target_shard, fencing_token), 0);
 }
 
 /* Stages token raises and transfers, together with the new fencing counter, in one transaction. */
@@ -233,9 +235,9 @@
     struct timespec *compacted_at = &shard_states[shard].compacted_at;
     plan->write_deferred = clock_seconds_since(*compacted_at) > DEFERRED_WRITE_INTERVAL_S;
     if (plan->write_deferred) *compacted_at = clock_now();
-    machines_oversized_pages(shard, plan->oversized);
+    machines_find_oversized_pages(shard, plan->oversized);
     reset_unregistered_pages(shard);
-    machines_page_fills(shard, &plan->fills);
+    machines_measure_pages(shard, &plan->fills);
 }
 
 void scheduling_round_stage_pages(struct scheduling_round *round) {
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -60,7 +60,7 @@
 /* Makes the machine look as if it had been up for a while. */
 static void make_steady(struct machine *machine) {
     machine->liveness.up = true;
-    machine->agent.seen_token = machines_fencing_token(machine);
+    machine->agent.reported_token = machines_fencing_token(machine);
     machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
     machine->occupancy.n_samples = 6;
 }
@@ -101,7 +101,7 @@
     for (guint i = 0; i < job->allocations->len; i++) {
         struct allocation *allocation = job->allocations->pdata[i];
         allocation->inherited = false;
-        allocation->seen = true;
+        allocation->was_listed = true;
         allocation->state = TASK_RUNNING;
     }
     assert_int_equal(allocations_count(job), WIDE_ARRAY_TASKS);
@@ -195,20 +195,20 @@
     int n = put_old_pages(hosts, MACHINES);
     struct job *job = owned_job("req-10020", "standing", "high", 8, 1, 0, false, false, 10);
     owned_allocate(job, hosts, 8);
-    machines_oversized_pages(0, oversized);
+    machines_find_oversized_pages(0, oversized);
     assert_true(oversized[0] && oversized[1] && oversized[2]);
     for (int i = 0; i < n; i++) {
         hosts[i]->commands.needs_token_raise = i % 3 == 0;
-        hosts[i]->commands.unknown_token = machines_fencing_token(hosts[i]);
+        hosts[i]->commands.unknown_start_token = machines_fencing_token(hosts[i]);
     }
     hosts[RETURNED_INDEX]->retirement.return_wanted = true;
-    hosts[TRANSFERRED_INDEX]->rebalance.to = 1;
-    hosts[TRANSFERRED_INDEX]->rebalance.since = clock_now();
+    hosts[TRANSFERRED_INDEX]->rebalance.target_shard = 1;
+    hosts[TRANSFERRED_INDEX]->rebalance.chosen_at = clock_now();
     run_rounds_until_settled("oversized pages");
-    machines_oversized_pages(0, oversized);
+    machines_find_oversized_pages(0, oversized);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
         assert_false(oversized[page]);
-        assert_false(machines_page_stale(0, page));
+        assert_false(machines_page_is_stale(0, page));
     }
     for (int i = 0; i < n; i++) {
         char id[32];
--- a/src/workers/codec.c
+++ b/src/workers/codec.c
@@ -17,8 +17,9 @@
     [DIRECTIVE_RUN] = "run", [DIRECTIVE_STOP] = "stop", [DIRECTIVE_FORGET] = "forget"};
 
 static const char *const task_state_names[] = {
-    [TASK_FETCHING] = "fetching", [TASK_GATHERING] = "gathering", [TASK_RUNNING] = "running",
-    [TASK_FLUSHING] = "flushing", [TASK_ENDED] = "ended",
+    [TASK_FETCHING] = "fetching", [TASK_WAITING_FOR_GANG] = "gathering",
+    [TASK_RUNNING] = "running",   [TASK_FLUSHING] = "flushing",
+    [TASK_ENDED] = "ended",
 };
 
 struct heartbeat codec_read_heartbeat(const cJSON *message) {
--- a/src/workers/directives.c
+++ b/src/workers/directives.c
@@ -11,7 +11,7 @@
 
 bool directives_awaits_start(const struct allocation *allocation) {
     const struct machine *machine = allocation->machine;
-    return !allocation->released && !allocation->stop_requested && !allocation->seen && !allocation->inherited &&
+    return !allocation->released && !allocation->stop_requested && !allocation->was_listed && !allocation->inherited &&
            allocation->job->state == JOB_QUEUED && !dependencies_unmet(allocation->job) &&
            !machine->retirement.returning && !machine->retirement.return_wanted;
 }
@@ -37,7 +37,7 @@
  * an ended attempt, a delayed start of that attempt has no effect. The attempt is therefore forgotten only when no such
  * start can arrive any more. */
 static void add_for_unknown_tasks(const struct machine *machine, bool shows_token, cJSON *directives) {
-    bool may_forget = shows_token && !machine->commands.outcome_unknown && !directives_start_in_flight(machine);
+    bool may_forget = shows_token && !machine->commands.start_outcome_unknown && !directives_start_in_flight(machine);
     for (guint i = 0; i < machine->agent.unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
         const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
         if (unknown->ended && !may_forget) continue;
@@ -49,7 +49,8 @@
 /* Tells whether the allocation's stop is sent over the channel. Each response to a heartbeat repeats the stop; a
  * command repeats it only if its grace period is zero. */
 static bool stop_due(const struct allocation *allocation, enum worker_channel channel) {
-    return allocation->seen && (channel == CHANNEL_HEARTBEAT || !allocation->stop_sent || allocation->grace_s <= 0);
+    return allocation->was_listed &&
+           (channel == CHANNEL_HEARTBEAT || !allocation->stop_sent || allocation->grace_s <= 0);
 }
 
 static void add_for_allocation(struct allocation *allocation, bool may_start, enum worker_channel channel,
@@ -74,7 +75,7 @@
  * tasks of cancelled jobs; it gets all other directives once it shows the token. */
 cJSON *directives_build(struct machine *machine, enum worker_channel channel) {
     cJSON *directives = cJSON_CreateArray();
-    bool shows_token = machine->agent.seen_token >= machines_fencing_token(machine);
+    bool shows_token = machine->agent.reported_token >= machines_fencing_token(machine);
     bool may_start = membership_may_start_tasks();
     add_for_unknown_tasks(machine, shows_token, directives);
     for (guint i = 0; shows_token && i < machine->allocations->len && i < MACHINE_TASKS_MAX; i++) {
--- a/src/workers/dispatcher.c
+++ b/src/workers/dispatcher.c
@@ -30,12 +30,12 @@
         struct allocation *allocation = machine->allocations->pdata[i];
         char task[TASK_NAME_SIZE];
         if (allocation->released || !allocation->job->cancel_acknowledged ||
-            allocation->stop_requests >= STOP_REQUESTS_PER_TASK_MAX)
+            allocation->non_owner_stops_sent >= STOP_REQUESTS_PER_TASK_MAX)
             continue;
         directives_task_name(allocation, task, sizeof task);
         if (!directives) directives = cJSON_CreateArray();
         codec_add_directive(directives, &(struct directive){DIRECTIVE_STOP, task, allocation->attempt, 0});
-        allocation->stop_requests++;
+        allocation->non_owner_stops_sent++;
     }
     return directives;
 }
@@ -46,11 +46,11 @@
  * delay: the owner keeps the cancellation deadline without it. */
 static void stop_cancelled_on_unowned_machine(struct machine *machine) {
     if (!machine->address[0] || machine->allocations->len == 0 ||
-        clock_seconds_since(machine->commands.stops_requested_at) < STOP_RETRY_INTERVAL_S)
+        clock_seconds_since(machine->commands.non_owner_stops_sent_at) < STOP_RETRY_INTERVAL_S)
         return;
     cJSON *directives = build_cancellation_stops(machine);
     if (!directives) return;
-    machine->commands.stops_requested_at = clock_now();
+    machine->commands.non_owner_stops_sent_at = clock_now();
     struct command *command = command_new_fenced(COMMAND_STOP_CANCELLED, machine);
     command->directives = directives;
     commands_push(QUEUE_DIRECTIVES, command);
@@ -60,7 +60,7 @@
 static bool can_send_to(const struct machine *machine) {
     const struct machine_commands *commands = &machine->commands;
     if (!machine->address[0] || commands->in_flight || machine->retirement.released) return false;
-    if (!commands->needs_token_probe && (commands->outcome_unknown || !machine->liveness.up)) return false;
+    if (!commands->needs_token_probe && (commands->start_outcome_unknown || !machine->liveness.up)) return false;
     return membership_may_answer_workers();
 }
 
@@ -68,7 +68,7 @@
  * directives to a hundred machines that hang at the same time would delay those to all others. */
 static bool needs_probe(const struct machine *machine) {
     return machine->commands.needs_token_probe || machine->liveness.unanswered_probes > 0 ||
-           machine->agent.seen_token < machines_fencing_token(machine);
+           machine->agent.reported_token < machines_fencing_token(machine);
 }
 
 static bool has_start_due(const struct machine *machine) {
@@ -81,9 +81,9 @@
     commands->in_flight = true;
     commands->probe_in_flight = command->kind == COMMAND_TOKEN_PROBE;
     if (!command->has_start) return;
-    commands->outcome_unknown = true;
-    commands->unknown_token = command->fencing_token;
-    commands->unknown_incarnation = command->incarnation;
+    commands->start_outcome_unknown = true;
+    commands->unknown_start_token = command->fencing_token;
+    commands->unknown_start_incarnation = command->incarnation;
 }
 
 /* Queues a command of the kind to the machine. Takes ownership of the directives. */
@@ -100,10 +100,10 @@
 
 static void send_due_command(struct machine *machine, bool may_start) {
     bool probe = needs_probe(machine);
-    machine->commands.needs_token_probe = machine->commands.wake = false;
+    machine->commands.needs_token_probe = machine->commands.send_pending = false;
     cJSON *directives = probe ? cJSON_CreateArray() : directives_build(machine, CHANNEL_COMMAND);
     /* Starts that wait for a recent read of the store are checked again in every pass. */
-    if (!may_start) machine->commands.wake = has_start_due(machine);
+    if (!may_start) machine->commands.send_pending = has_start_due(machine);
     if (probe || cJSON_GetArraySize(directives) > 0) {
         send_command(machine, probe ? COMMAND_TOKEN_PROBE : COMMAND_DIRECTIVES, directives);
     } else {
@@ -117,9 +117,9 @@
     bool may_start = membership_may_start_tasks();
     for (guint i = 0; i < machines->len; i++) {
         struct machine *machine = machines->pdata[i];
-        if (store_unreachable() && machine->known && !machines_owned(machine))
+        if (store_unreachable() && machine->recorded && !machines_owned(machine))
             stop_cancelled_on_unowned_machine(machine);
-        bool may_be_due = machine->commands.wake || machine->commands.needs_token_probe;
+        bool may_be_due = machine->commands.send_pending || machine->commands.needs_token_probe;
         if (may_be_due && machines_owned(machine) && can_send_to(machine)) send_due_command(machine, may_start);
     }
     store_unlock();
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -76,9 +76,9 @@
 /* Responds to a machine that no record names. The owner of the shard that the machine would belong to has it inspected,
  * after which the machine is adopted. */
 static struct response respond_unrecorded(const struct heartbeat *heartbeat) {
-    int shard = machines_shard_of(heartbeat->machine_id);
+    int shard = machines_shard_for_id(heartbeat->machine_id);
     if (!membership_owns(shard)) return other_controller_response(membership_shard(shard)->owner);
-    if (!machines_known(heartbeat->machine_id) && heartbeat->address && *heartbeat->address)
+    if (!machines_is_known_id(heartbeat->machine_id) && heartbeat->address && *heartbeat->address)
         unregistered_inspect(heartbeat->machine_id, heartbeat->address);
     return retry_response();
 }
@@ -102,8 +102,8 @@
 /* Tells whether a start with unknown outcome may still be carried out under the machine's current fencing token. The
  * machine's lease is then renewed only under a higher token, which rules that start out. */
 static bool needs_token_raise(const struct machine *machine) {
-    return machine->commands.outcome_unknown && !directives_start_in_flight(machine) &&
-           machines_fencing_token(machine) <= machine->commands.unknown_token;
+    return machine->commands.start_outcome_unknown && !directives_start_in_flight(machine) &&
+           machines_fencing_token(machine) <= machine->commands.unknown_start_token;
 }
 
 /* Applies the heartbeat of an owned machine and responds to it. */
--- a/src/workers/listed_tasks.c
+++ b/src/workers/listed_tasks.c
@@ -75,7 +75,7 @@
     bool cached = image && g_hash_table_contains(allocation->machine->images, image);
     log_info("task %s/%d runs on %s (%s): %.1f s after its job was ready, %.1f s after allocation, image was %s",
              job->spec.job_id, allocation->task, allocation->machine->id,
-             job->spec.job_class ? job->spec.job_class : "?", clock_time_of_day() - job->ready,
+             job->spec.job_class ? job->spec.job_class : "?", clock_time_of_day() - job->ready_at,
              clock_seconds_since(allocation->allocated_at), cached ? "cached" : "fetched");
 }
 
@@ -112,14 +112,14 @@
     const struct job_spec *spec = &allocation->job->spec;
     struct machine *machine = allocation->machine;
     bool state_changed = allocation->state != state;
-    allocation->seen = true;
+    allocation->was_listed = true;
     if (state_changed) allocation->state_since = machine->liveness.last_heard;
     if (state == TASK_RUNNING && state_changed) log_start(allocation);
     allocation->state = state;
     if (state == TASK_RUNNING && spec->kind == JOB_SERVICE &&
         clock_seconds_since(allocation->state_since) > SERVICE_SUCCESS_S)
         quarantine_record_success(allocation->job);
-    if ((state == TASK_RUNNING || state == TASK_GATHERING) && spec->image)
+    if ((state == TASK_RUNNING || state == TASK_WAITING_FOR_GANG) && spec->image)
         g_hash_table_add(machine->images, g_strdup(spec->image));
     if (state != TASK_ENDED || allocation->released) return false;
     release(allocation);
@@ -156,12 +156,12 @@
 static bool proven_absent(const struct allocation *allocation, double gang_start_s) {
     bool gang_lost =
         allocation->job->spec.kind == JOB_GANG && clock_seconds_since(allocation->allocated_at) > gang_start_s;
-    return allocation->seen || allocation->stop_requested || allocation->inherited || gang_lost;
+    return allocation->was_listed || allocation->stop_requested || allocation->inherited || gang_lost;
 }
 
 bool listed_tasks_release_absent(struct machine *machine, const bool *listed, double gang_start_s) {
     bool any_released = false;
-    if (machine->commands.outcome_unknown || directives_start_in_flight(machine)) return false;
+    if (machine->commands.start_outcome_unknown || directives_start_in_flight(machine)) return false;
     for (guint i = 0; i < machine->allocations->len && i < LISTED_TASKS_ALLOCATIONS_MAX; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         if (listed[i] || allocation->released || !proven_absent(allocation, gang_start_s)) continue;
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -49,7 +49,7 @@
         if (machine->liveness.heartbeat_acknowledged) machine->liveness.ignored_responses++;
         if (clock_seconds_since(machine->commands.last_probe) > TOKEN_PROBE_INTERVAL_S) {
             machine->commands.last_probe = clock_now();
-            machine->commands.needs_token_probe = machine->commands.wake = true;
+            machine->commands.needs_token_probe = machine->commands.send_pending = true;
             events_publish(EVENT_DISPATCH);
         }
     }
@@ -62,8 +62,8 @@
     int ignored_starts = 0;
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
-        ignored_starts +=
-            !allocation->seen && !allocation->stop_requested && allocation->starts_sent >= IGNORED_AFTER_STARTS_SENT;
+        ignored_starts += !allocation->was_listed && !allocation->stop_requested &&
+                          allocation->starts_sent >= IGNORED_AFTER_STARTS_SENT;
     }
     struct machine_liveness *liveness = &machine->liveness;
     if (new_incarnation && liveness->heartbeat_acknowledged &&
@@ -87,7 +87,7 @@
 
 static void mark_alive(struct machine *machine, int64_t fencing_token, enum worker_channel channel) {
     struct machine_liveness *liveness = &machine->liveness;
-    machine->agent.seen_token = fencing_token;
+    machine->agent.reported_token = fencing_token;
     liveness->last_heard = clock_now();
     liveness->unanswered_probes = 0;
     /* The machine's first message may be the answer to a probe, long after the rental: its heartbeats are expected only
@@ -109,17 +109,17 @@
     if (liveness->preemption_notice_s < 0)
         log_info("machine %s: preemption notice, reclaimed in %.0f s", machine->id, heartbeat->preemption_notice_s);
     liveness->preemption_notice_s = heartbeat->preemption_notice_s;
-    liveness->notice_received = liveness->last_heard;
+    liveness->notice_received_at = liveness->last_heard;
 }
 
 /* Clears the unknown outcome of a start once the worker shows a higher fencing token or incarnation, under which it no
  * longer carries that start out. */
 static void clear_unknown_outcome(struct machine *machine, const struct heartbeat *heartbeat) {
     struct machine_commands *commands = &machine->commands;
-    if (commands->outcome_unknown && !directives_start_in_flight(machine) &&
-        (heartbeat->fencing_token > commands->unknown_token ||
-         heartbeat->incarnation > commands->unknown_incarnation)) {
-        commands->outcome_unknown = false;
+    if (commands->start_outcome_unknown && !directives_start_in_flight(machine) &&
+        (heartbeat->fencing_token > commands->unknown_start_token ||
+         heartbeat->incarnation > commands->unknown_start_incarnation)) {
+        commands->start_outcome_unknown = false;
         commands->needs_token_raise = false;
     }
 }
--- a/src/workers/reconciliation_test.c
+++ b/src/workers/reconciliation_test.c
@@ -65,9 +65,9 @@
             assert_true(worker_message(machine, 1, 2, fencing_token, rows[i].first_tasks, CHANNEL_HEARTBEAT));
         machine->commands.start_incarnation = rows[i].start_incarnation;
         if (rows[i].outcome_unknown) {
-            machine->commands.outcome_unknown = true;
-            machine->commands.unknown_token = fencing_token;
-            machine->commands.unknown_incarnation = 1;
+            machine->commands.start_outcome_unknown = true;
+            machine->commands.unknown_start_token = fencing_token;
+            machine->commands.unknown_start_incarnation = 1;
         }
         worker_message(machine, rows[i].incarnation, rows[i].sequence, fencing_token - rows[i].token_lag,
                        rows[i].second_tasks, rows[i].channel);
@@ -112,12 +112,12 @@
     struct machine *machine = worker_machine("i-000901", "req-10001", ALLOCATED("i-000901"), false);
     struct allocation *allocation = machine->allocations->pdata[0];
     worker_message(machine, 1, 1, fencing_token, "", CHANNEL_HEARTBEAT);
-    machine->commands.outcome_unknown = true;
-    machine->commands.unknown_token = fencing_token;
-    machine->commands.unknown_incarnation = 1;
+    machine->commands.start_outcome_unknown = true;
+    machine->commands.unknown_start_token = fencing_token;
+    machine->commands.unknown_start_incarnation = 1;
     allocation->stop_requested = true;
     worker_message(machine, 1, 2, fencing_token, "", CHANNEL_HEARTBEAT);
-    assert_true(machine->commands.outcome_unknown);
+    assert_true(machine->commands.start_outcome_unknown);
     assert_false(allocation->released);
     char json[300];
     g_snprintf(json, sizeof json, "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"i-000901\",\"\",0,0,0,%lld,1,\"\"]]}",
@@ -126,7 +126,7 @@
     assert_int_equal(machines_fencing_token(machine), fencing_token + 7);
     assert_true(machines_find("i-000901")->allocations->pdata[0] == allocation); /* the allocation is kept */
     worker_message(machine, 1, 3, fencing_token + 7, "", CHANNEL_HEARTBEAT);
-    assert_false(machine->commands.outcome_unknown);
+    assert_false(machine->commands.start_outcome_unknown);
     assert_true(allocation->released);
     worker_machine_gone("req-10001");
     store_unlock();
@@ -243,9 +243,9 @@
         worker_message(machine, 1, 1, fencing_token, LISTED("running"), CHANNEL_HEARTBEAT);
         machine->commands.in_flight = rows[i].in_flight;
         machine->commands.probe_in_flight = rows[i].probe_in_flight;
-        machine->commands.outcome_unknown = rows[i].outcome_unknown;
-        machine->commands.unknown_token = fencing_token;
-        machine->commands.unknown_incarnation = 1;
+        machine->commands.start_outcome_unknown = rows[i].outcome_unknown;
+        machine->commands.unknown_start_token = fencing_token;
+        machine->commands.unknown_start_incarnation = 1;
         worker_message(machine, 1, 2, fencing_token, "", CHANNEL_HEARTBEAT);
         bool released = allocation->released;
         worker_machine_gone("req-10001");
--- a/src/workers/senders.c
+++ b/src/workers/senders.c
@@ -67,7 +67,7 @@
  * time, and the missing answer does not count against the machine. */
 static void count_unanswered(struct machine *machine, const struct outcome *outcome) {
     if (!outcome->valid || outcome->http == HTTP_ANSWERED || !outcome->in_time) return;
-    if (machine->liveness.unanswered_probes++ == 0) shard_states[machine->shard].suspicion_at = clock_now();
+    if (machine->liveness.unanswered_probes++ == 0) shard_states[machine->shard].machine_suspected_at = clock_now();
 }
 
 /* Clears the machine's unknown outcome if the command's start has a known one. The outcomes of other commands do not
@@ -78,9 +78,9 @@
     if (!command->has_start) return;
     if (!worker_answered(outcome) && outcome->http != HTTP_NOT_SENT) {
         log_info("machine %s: outcome of a command unknown, raising its fencing token", machine->id);
-    } else if (commands->unknown_token == command->fencing_token &&
-               commands->unknown_incarnation == command->incarnation) {
-        commands->outcome_unknown = false;
+    } else if (commands->unknown_start_token == command->fencing_token &&
+               commands->unknown_start_incarnation == command->incarnation) {
+        commands->start_outcome_unknown = false;
     }
 }
 
@@ -98,7 +98,7 @@
     }
     /* A command that was no longer valid is decided anew. After an answer to a command without starts, the worker has
      * the fencing token, and directives that waited for that are sent now rather than at its next heartbeat. */
-    if (!outcome->valid || (worker_answered(outcome) && !command->has_start)) machine->commands.wake = true;
+    if (!outcome->valid || (worker_answered(outcome) && !command->has_start)) machine->commands.send_pending = true;
 }
 
 static void send_directives(struct http_client *client, const struct command *command) {
--- a/tests/standin/owned.c
+++ b/tests/standin/owned.c
@@ -66,11 +66,11 @@
 
 /* A steady machine that this controller owns, with a free 16 CPUs, 2 GPUs, 64 GB, on page 0 and up. */
 struct machine *owned_machine(const char *id, const char *zone, bool spot) {
-    machines_rented(0, id, "g16", zone, spot);
+    machines_add_rented(0, id, "g16", zone, spot);
     struct unregistered_machine *found = g_hash_table_lookup(machines_unregistered(), id);
-    struct shard_page_fills fills;
-    machines_page_fills(0, &fills);
-    int page = found->page = machines_page_fills_add(&fills, id), count;
+    struct shard_page_usage fills;
+    machines_measure_pages(0, &fills);
+    int page = found->page = machines_assign_page(&fills, id), count;
     cJSON *value = machines_page_value(0, page, &count);
     store_apply(store_key_machine_page(0, page).text, value, owned_next_revision());
     cJSON_Delete(value);
@@ -78,7 +78,7 @@
     assert_non_null(machine);
     assert_true(machines_owned(machine));
     machine->liveness.up = true;
-    machine->agent.seen_token = machines_fencing_token(machine);
+    machine->agent.reported_token = machines_fencing_token(machine);
     machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
     machine->occupancy.n_samples = STEADY_SAMPLES;
     return machine;
@@ -89,16 +89,16 @@
     char id[MACHINE_ID];
     for (int i = 0; i < n; i++) {
         g_snprintf(id, sizeof id, "i-%06d", FIRST_MACHINE + i);
-        machines_rented(0, id, "g16", zones[i % 3], spot);
+        machines_add_rented(0, id, "g16", zones[i % 3], spot);
     }
     GHashTableIter iterator;
     gpointer value;
-    struct shard_page_fills fills;
-    machines_page_fills(0, &fills);
+    struct shard_page_usage fills;
+    machines_measure_pages(0, &fills);
     g_hash_table_iter_init(&iterator, machines_unregistered());
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct unregistered_machine *machine = value;
-        machine->page = machines_page_fills_add(&fills, machine->id);
+        machine->page = machines_assign_page(&fills, machine->id);
         assert_true(machine->page >= 0);
     }
     cJSON *pages[MACHINE_PAGES_MAX];
@@ -113,7 +113,7 @@
         struct machine *machine = all[i] = machines_of_shard(0)->pdata[i];
         assert_true(machines_owned(machine));
         machine->liveness.up = true;
-        machine->agent.seen_token = machines_fencing_token(machine);
+        machine->agent.reported_token = machines_fencing_token(machine);
         machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
         machine->occupancy.n_samples = STEADY_SAMPLES;
     }
@@ -150,7 +150,7 @@
     for (guint i = 0; i < job->allocations->len; i++) {
         struct allocation *allocation = job->allocations->pdata[i];
         allocation->inherited = false;
-        allocation->seen = true;
+        allocation->was_listed = true;
         allocation->state = TASK_RUNNING;
         allocation->state_since.tv_sec -= 100;
     }
