--- a/src/autoscaler/commanded_moves.c
+++ b/src/autoscaler/drain_eviction.c
@@ -1,4 +1,4 @@
-#include "commanded_moves.h"
+#include "drain_eviction.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -16,15 +16,16 @@
     return machine->round.used_gpus > 0 || machine->round.used_vcpus > 0;
 }
 
-/* In its own zone a replica takes its own place among a spread job's tasks. */
-static bool may_go_to(const struct machine *machine, const struct allocation *replica) {
+/* Returns whether the replica may run on the machine. In the replica's present zone the spread and single-zone rules do
+ * not apply, since the replica replaces itself there. */
+static bool may_run_on(const struct machine *machine, const struct allocation *replica) {
     const char *zone = replica->machine->zone;
     struct job job = *replica->job;
     if (strcmp(machine->zone, zone) == 0) job.spec.spread = job.spec.single_zone = false;
     return placement_allowed(machine, &job, job.spec.single_zone ? zone : NULL, NULL);
 }
 
-/* Where a replica could go on at once: room, and the image at hand; NULL: nowhere. */
+/* Returns a used machine with room and the cached image, on which the replica could start at once; NULL if none. */
 static struct machine *replica_target(const struct allocation *replica) {
     const struct job_spec *spec = &replica->job->spec;
     const GPtrArray *machines = machines_of_shard(replica->machine->shard);
@@ -32,14 +33,14 @@
         struct machine *machine = machines->pdata[i];
         if (machine == replica->machine || !machine->round.schedulable || machine->retirement.draining) continue;
         if (placement_fits(machine, spec) && image_cached(machine, spec) && in_use(machine) &&
-            may_go_to(machine, replica))
+            may_run_on(machine, replica))
             return machine;
     }
     return NULL;
 }
 
-/* Reserves the place to which a replica goes. */
-static bool movable(const struct allocation *allocation) {
+/* Returns whether the task loses almost nothing by stopping. For a replica, reserves its place on another machine. */
+static bool can_be_evicted(const struct allocation *allocation) {
     const struct job_spec *spec = &allocation->job->spec;
     if (allocation->stop_requested) return true;
     if (preemption_recently_started(allocation)) return false;
@@ -50,11 +51,11 @@
     return target != NULL;
 }
 
-/* Without such moves a drain that holds a replica would be paid for until it is cancelled. */
-void commanded_moves_empty(struct machine *machine) {
+/* Without evictions, a draining machine with a replica would be paid for until its drain is cancelled. */
+void drain_eviction_stop_tasks(struct machine *machine) {
     placement_prepare_machines(machine->shard);
     for (guint i = 0; i < machine->allocations->len; i++)
-        if (!movable(machine->allocations->pdata[i])) return;
+        if (!can_be_evicted(machine->allocations->pdata[i])) return;
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         const struct job_spec *spec = &allocation->job->spec;
--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of this package only. */
+/* The settings that the files of this package share. Internal to the package. */
 #ifndef FF_AUTOSCALER_INTERNAL_H
 #define FF_AUTOSCALER_INTERNAL_H
 #include "../settings/settings.h"
--- a/src/autoscaler/planned_machine.c
+++ b/src/autoscaler/planned_machine.c
@@ -19,17 +19,17 @@
     return (struct resources){type->vcpus, type->gpus, type->memory_gb};
 }
 
-bool scale_out_type_fits(const struct job_spec *spec, const struct machine_type *type) {
-    struct resources all = resources_of_type(type);
-    return type_allowed(spec, type->type_name) && room_for_task(&all, spec);
+bool planned_machine_type_fits(const struct job_spec *spec, const struct machine_type *type) {
+    struct resources capacity = resources_of_type(type);
+    return type_allowed(spec, type->type_name) && room_for_task(&capacity, spec);
 }
 
-bool planned_machine_take(struct planned_machine *planned, const struct job *job, const char *zone) {
+bool planned_machine_reserve_task(struct planned_machine *planned, const struct job *job, const char *zone) {
     const struct job_spec *spec = &job->spec;
     const struct rental_request *request = &planned->request;
     if (request->spot && !spec->allows_spot) return false;
-    if (planned->foreign && spec->allows_spot) return false;
-    if (planned->kept_for_gangs && spec->kind != JOB_GANG) return false;
+    if (planned->in_other_shard && spec->allows_spot) return false;
+    if (planned->reserved_for_gangs && spec->kind != JOB_GANG) return false;
     if (zone && strcmp(zone, request->zone) != 0) return false;
     if (spec->zone && strcmp(spec->zone, request->zone) != 0) return false;
     if (!type_allowed(spec, request->type_name) || !room_for_task(&planned->free, spec)) return false;
@@ -47,7 +47,7 @@
     return &g_array_index(machines, struct planned_machine, machines->len - 1);
 }
 
-bool planned_machine_whole(const struct planned_machine *planned) {
+bool planned_machine_is_empty(const struct planned_machine *planned) {
     const struct machine_type *type = machine_types_find(planned->request.type_name);
     return type && planned->free.vcpus >= type->vcpus - RESOURCES_TOLERANCE &&
            planned->free.gpus >= type->gpus - RESOURCES_TOLERANCE;
--- a/src/autoscaler/rental_choice.c
+++ b/src/autoscaler/rental_choice.c
@@ -9,40 +9,41 @@
 #include "../machine_types/machine_types.h"
 #include "planned_machine.h"
 
-#define ZONE_COST 0.001 /* part of the price that each lot of machines in a zone adds */
+#define ZONE_COST_PER_LOT 0.001 /* part of the price that is added for each lot of machines in a zone */
 
 enum {
-    TASKS_PER_MACHINE = 8, /* a guess, of tasks that wait */
-    LOT_MAX = 48           /* machines that a call to the cloud brings */
+    WAITING_TASKS_PER_MACHINE = 8, /* tasks that a machine is assumed to take */
+    LOT_MACHINES_MAX = 48          /* machines that one call to the cloud rents */
 };
 
-/* Machines of the shard by zone, counted once a plan. */
+/* The shard's machines by zone, counted anew for each plan. */
 static struct {
     const struct settings *settings;
     int n_machines[SETTINGS_ZONES_MAX];
-    int lot; /* machines that go to one zone before another is preferred */
-} zones = {.lot = 1};
+    int lot_size; /* machines that are requested in one zone before another zone is preferred */
+} zones = {.lot_size = 1};
 
 void rental_choice_init(const struct settings *settings) { zones.settings = settings; }
 
-void rental_choice_begin(int waiting_tasks) {
+void rental_choice_begin_plan(int waiting_tasks) {
     memset(zones.n_machines, 0, sizeof zones.n_machines);
-    zones.lot = CLAMP(waiting_tasks / TASKS_PER_MACHINE, 1, LOT_MAX);
+    zones.lot_size = CLAMP(waiting_tasks / WAITING_TASKS_PER_MACHINE, 1, LOT_MACHINES_MAX);
 }
 
-void rental_choice_count(const char *zone) {
+void rental_choice_count_machine(const char *zone) {
     int index = settings_zone(zones.settings, zone);
     if (index >= 0) zones.n_machines[index]++;
 }
 
-/* Among equal prices, the zone where this shard has least; a whole lot goes to one, calls are scarce. */
+/* Returns the price with a surcharge for each lot of machines that the shard has in the zone, so that at equal prices
+ * the zone with the fewest lots is chosen. A whole lot goes to one zone, since the rate of cloud calls is limited. */
 static double zone_cost(double price, const char *zone) {
     int index = settings_zone(zones.settings, zone);
-    int n_lots = index < 0 ? 0 : zones.n_machines[index] / zones.lot;
-    return price * (1 + ZONE_COST * n_lots);
+    int n_lots = index < 0 ? 0 : zones.n_machines[index] / zones.lot_size;
+    return price * (1 + ZONE_COST_PER_LOT * n_lots);
 }
 
-/* What is searched for, and the cheapest so far. */
+/* A search and its cheapest result so far. */
 struct search {
     int shard;
     const struct job *job;
@@ -79,7 +80,7 @@
     search.spot = spot;
     for (int i = 0; i < machine_types_count(); i++) {
         const struct machine_type *type = &machine_types_all()[i];
-        if (scale_out_type_fits(&search.job->spec, type)) search_type(&search, type);
+        if (planned_machine_type_fits(&search.job->spec, type)) search_type(&search, type);
     }
     return search.found;
 }
--- a/src/autoscaler/rental_choice.h
+++ b/src/autoscaler/rental_choice.h
@@ -1,5 +1,5 @@
-/* Which type of machine is rented for a job, in which zone, spot or on-demand. On the cloud's thread, with store_lock
- * held. */
+/* Chooses the type and zone of the machine to rent for a job, and whether it is spot or on-demand. Runs on the cloud's
+ * thread, with store_lock held. */
 #ifndef FF_AUTOSCALER_RENTAL_CHOICE_H
 #define FF_AUTOSCALER_RENTAL_CHOICE_H
 #include <stdbool.h>
@@ -8,20 +8,20 @@
 #include "../model/machine.h"
 #include "../settings/settings.h"
 
-/* What a job that allows spot machines may get; other jobs get on-demand ones. */
+/* The kinds of machines that a job which allows spot machines may get. Other jobs get on-demand machines. */
 enum rental_kinds {
     RENTAL_SPOT_ONLY,
-    RENTAL_SPOT_FIRST /* an on-demand one where no spot one can be had */
+    RENTAL_SPOT_FIRST /* on-demand if no spot machine is available */
 };
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void rental_choice_init(const struct settings *settings);
-/* Begins the plan of a shard in which so many tasks wait: no machine is counted in any zone. */
-void rental_choice_begin(int waiting_tasks);
-/* Counts a machine of the shard, there or requested, in its zone. */
-void rental_choice_count(const char *zone);
-/* The cheapest type that fits a task of the job, in that zone (NULL: any) and in no zone that has just refused. Sets
- * type, zone and kind of the request; false: there is none. */
+/* Begins the plan of a shard with this number of waiting tasks. Resets the machine counts of all zones. */
+void rental_choice_begin_plan(int waiting_tasks);
+/* Counts a machine of the shard in its zone. The machine exists or is requested. */
+void rental_choice_count_machine(const char *zone);
+/* Finds the cheapest machine type that fits a task of the job in the zone (NULL: any), skipping zones that have just
+ * refused a rental or are unreachable. Sets type, zone and kind of the request. Returns false if there is none. */
 bool rental_choice_find(int shard, const struct job *job, const char *zone, enum rental_kinds kinds,
                         struct rental_request *request);
 #endif
--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -1,4 +1,4 @@
-/* Which machines are returned to the cloud now. */
+/* Chooses the machines to return to the cloud. */
 #include <glib.h>
 #include <stdbool.h>
 
@@ -9,29 +9,30 @@
 #include "internal.h"
 #include "scale_in.h"
 
-/* The list that is filled. */
+/* The ids of the machines to return. */
 struct return_list {
     char (*ids)[MACHINE_ID_SIZE];
-    int n, most;
-    int n_busy; /* with tasks */
+    int n_ids, max_ids;
+    int n_busy; /* machines with tasks */
 };
 
-static void add(struct return_list *list, const struct machine *machine, bool busy) {
-    g_strlcpy(list->ids[list->n++], machine->id, MACHINE_ID_SIZE);
-    list->n_busy += busy;
+static void add_machine(struct return_list *list, const struct machine *machine, bool has_tasks) {
+    g_strlcpy(list->ids[list->n_ids++], machine->id, MACHINE_ID_SIZE);
+    list->n_busy += has_tasks;
 }
 
-/* If all controllers end between the record that drops a returned machine and the one that drops its allocations, these
- * name a machine that nobody can probe. That no record names it proves nothing, since records may be read in any order:
- * taken for returned, such machines once ran tasks that were started elsewhere. It is returned by its name; the cloud's
- * answer proves that it is gone, and a name that it does not know is ignored. */
+/* Adds machines that have allocations but no record. They remain if all controllers end after a returned machine's
+ * record was removed and before its allocations were. Such a machine cannot be probed, and the missing record does not
+ * prove its return, since records may be read in any order: machines that counted as returned were still running tasks
+ * that had been started again elsewhere. So the machine is returned by its id. The cloud's answer proves that the
+ * machine is gone; the cloud ignores ids that it does not know. */
 static void add_unrecorded(struct return_list *list) {
     if (schema_version_store_unreadable() || !membership_may_answer_workers()) return;
-    for (guint i = 0; i < machines_all()->len && list->n < list->most; i++) {
+    for (guint i = 0; i < machines_all()->len && list->n_ids < list->max_ids; i++) {
         const struct machine *machine = machines_all()->pdata[i];
         if (!machines_unrecorded(machine)) continue;
-        log_info("machine %s: tasks are allocated on it and no record names it, returning it", machine->id);
-        add(list, machine, true);
+        log_info("machine %s: it has allocations but no record, returning it", machine->id);
+        add_machine(list, machine, true);
     }
 }
 
@@ -39,25 +40,26 @@
     return machine->retirement.returning && !machine->retirement.released && machines_owned(machine);
 }
 
-static void add_of_shard(struct return_list *list, int shard, bool busy) {
+static void add_of_shard(struct return_list *list, int shard, bool has_tasks) {
     const GPtrArray *machines = machines_of_shard(shard);
-    for (guint i = 0; i < machines->len && list->n < list->most; i++) {
+    for (guint i = 0; i < machines->len && list->n_ids < list->max_ids; i++) {
         struct machine *machine = machines->pdata[i];
-        if (return_recorded(machine) && (allocations_count_on_machine(machine) > 0) == busy) add(list, machine, busy);
+        if (return_recorded(machine) && (allocations_count_on_machine(machine) > 0) == has_tasks)
+            add_machine(list, machine, has_tasks);
     }
 }
 
-static void add_owned(struct return_list *list, bool busy) {
+static void add_owned(struct return_list *list, bool has_tasks) {
     for (int shard = 0; shard < autoscaler_settings->n_shards; shard++)
-        if (membership_owns(shard)) add_of_shard(list, shard, busy);
+        if (membership_owns(shard)) add_of_shard(list, shard, has_tasks);
 }
 
-/* Those with tasks first: until the cloud has answered, these can't start elsewhere. */
-int scale_in_plan_returns(char ids[][MACHINE_ID_SIZE], int most, int *busy) {
-    struct return_list list = {.ids = ids, .most = most};
+/* Machines with tasks come first: their tasks can't start elsewhere until the cloud has confirmed the return. */
+int scale_in_plan_returns(char ids[][MACHINE_ID_SIZE], int max_ids, int *n_busy) {
+    struct return_list list = {.ids = ids, .max_ids = max_ids};
     add_owned(&list, true);
     add_owned(&list, false);
     add_unrecorded(&list);
-    *busy = list.n_busy;
-    return list.n;
+    *n_busy = list.n_busy;
+    return list.n_ids;
 }
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -1,19 +1,22 @@
-/* Scale-in: machines are drained while the headroom allows it, and returned once empty. With store_lock held, but for
- * what is pure. */
+/* Scale-in: drains machines while the headroom allows it, and lists the machines to return. All functions need
+ * store_lock, except scale_in_init and scale_in_drains_to_start. */
 #ifndef FF_AUTOSCALER_SCALE_IN_H
 #define FF_AUTOSCALER_SCALE_IN_H
 #include "../machines/machines.h"
 
-/* Called before the threads are started; the settings must outlive them. */
+/* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void scale_in_init(const struct settings *settings);
-/* Drains machines of the shard that are surplus, of each kind by its own headroom. On the scheduler's thread. */
+/* Drains surplus machines of the shard, spot and on-demand machines each by their own headroom. Runs on the scheduler's
+ * thread. */
 void scale_in_run(int shard);
-/* Pure: how many drains may start now, of n machines, so that the headroom stays above the margin; at most one machine
- * in sixteen drains at a time. */
-int scale_in_drains(int n, double headroom, double margin, double admission, int draining);
-/* Fills at most `most` ids of machines whose return is recorded, and in *busy how many of them hold tasks; their
- * number. On the cloud's thread. */
-int scale_in_plan_returns(char ids[][MACHINE_ID_SIZE], int most, int *busy);
-/* Logs the periodic line of a shard: what waits, what there is, what is left. */
+/* Returns how many drains may start now among n_machines machines. Each drain reduces the headroom by the admission
+ * threshold, and may start only while the headroom is above margin * admission_threshold. At most one machine in 16,
+ * but at least one, drains at a time. Pure. */
+int scale_in_drains_to_start(int n_machines, double headroom, double margin, double admission_threshold,
+                             int n_draining);
+/* Fills ids with at most max_ids machines whose return is recorded or that have no record, and sets *n_busy to the
+ * number of them that hold tasks. Returns the number of ids. Runs on the cloud's thread. */
+int scale_in_plan_returns(char ids[][MACHINE_ID_SIZE], int max_ids, int *n_busy);
+/* Logs the periodic status line of a shard: pending tasks, machines, GPUs, occupancy and headroom. */
 void scale_in_log_status(int shard);
 #endif
--- a/src/autoscaler/shard_status.c
+++ b/src/autoscaler/shard_status.c
@@ -1,4 +1,4 @@
-/* The periodic line of a shard. */
+/* Logs the periodic status line of a shard. */
 #include <glib.h>
 #include <stdbool.h>
 
@@ -8,18 +8,19 @@
 #include "internal.h"
 #include "scale_in.h"
 
-/* Machines of one kind: spot or on-demand. */
+/* Totals of the machines of one kind, spot or on-demand. */
 struct kind_status {
     int n_up, n_booting;
-    double gpus, gpus_allocated; /* of those that are up */
+    double gpus, gpus_allocated; /* on machines that are up */
 };
 
+/* The values of the status line. */
 struct shard_status {
     struct kind_status on_demand, spot;
     int n_draining;
-    double gpus_preemptible; /* on on-demand machines, by work that may use spot ones */
-    double occupied;         /* sum of occupancies */
-    int pending[PRIORITY_PRODUCTION + 1];
+    double gpus_preemptible;              /* allocated on on-demand machines to jobs that allow spot machines */
+    double occupied;                      /* sum of the occupancies of machines that are up */
+    int pending[PRIORITY_PRODUCTION + 1]; /* pending tasks by priority */
 };
 
 static void count_allocated(struct shard_status *status, const struct machine *machine) {
--- a/src/placement/bin_packing.h
+++ b/src/placement/bin_packing.h
@@ -1,4 +1,4 @@
-/* Which of the machines that may take a task gets it. With store_lock held; within a scheduling round, after
+/* Chooses the machine for a task. All functions need store_lock and, within a scheduling round, must be called after
  * placement_prepare_machines. */
 #ifndef FF_PLACEMENT_BIN_PACKING_H
 #define FF_PLACEMENT_BIN_PACKING_H
@@ -7,18 +7,19 @@
 #include "../model/job.h"
 #include "../model/machine.h"
 
-/* The design's thresholds of occupancy, and the shard's reception machine (NULL: it has none). */
+/* The occupancy thresholds for choosing a machine, and the shard's reception machine (NULL: it has none). */
 struct placement_rules {
-    double reception, admission;
+    double reception_threshold, admission_threshold;
     const struct machine *reception_machine;
 };
 
-/* The best machine for one task of the job; NULL: none has room. `machines` are struct machine; `zone` (NULL: any) is
- * the only one in question; `plans` (NULL: none) are the struct planned_task of this round, those of the job last. */
-struct machine *placement_choose(const GPtrArray *machines, const struct job *job, const char *zone,
-                                 const struct placement_rules *rules, const GArray *plans);
+/* Returns the best of the machines for one task of the job, or NULL if none has room. `machines` holds struct machine.
+ * If `zone` is not NULL, only machines in that zone are considered. `plans` are the struct planned_task of this round,
+ * the job's own last (NULL: none). */
+struct machine *placement_choose_machine(const GPtrArray *machines, const struct job *job, const char *zone,
+                                         const struct placement_rules *rules, const GArray *plans);
 
-/* Machines examined so far by placement_choose: what planning costs, counted in steps. Read by the tests of that cost.
- */
+/* Returns how many machines placement_choose_machine has examined since the start of the process. Tests use it to
+ * measure the cost of planning. */
 unsigned long placement_machines_examined(void);
 #endif
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -12,13 +12,14 @@
 #include "fit.h"
 #include "occupancy.h"
 
-#define HEARTBEATS_MISSED 2
-#define HEARTBEAT_DELAY_S 1 /* that a heartbeat may take beyond its interval */
+#define OVERDUE_HEARTBEAT_INTERVALS 2
+#define HEARTBEAT_DELAY_MAX_S 1 /* how much longer than its interval a heartbeat may take */
 
 static const struct settings *placement_settings;
 
 double placement_heartbeat_overdue_s(void) {
-    return clock_to_seconds(placement_settings->heartbeat_interval) * HEARTBEATS_MISSED + HEARTBEAT_DELAY_S;
+    return clock_to_seconds(placement_settings->heartbeat_interval) * OVERDUE_HEARTBEAT_INTERVALS +
+           HEARTBEAT_DELAY_MAX_S;
 }
 
 static bool is_older(const struct machine *machine, const struct machine *other) {
@@ -26,7 +27,7 @@
     return strcmp(machine->id, other->id) < 0;
 }
 
-struct machine *placement_reception(int shard) {
+struct machine *placement_reception_machine(int shard) {
     const GPtrArray *machines = machines_of_shard(shard);
     struct machine *oldest = NULL;
     for (guint i = 0; i < machines->len; i++) {
@@ -42,10 +43,11 @@
 struct placement_rules placement_rules(int shard) {
     const struct settings_tuning *tuning = &placement_settings->tuning;
     return (struct placement_rules){tuning->reception_threshold, tuning->admission_threshold,
-                                    placement_reception(shard)};
+                                    placement_reception_machine(shard)};
 }
 
-/* Counts what is allocated on the machine. What is over takes no room, and is to be written. */
+/* Adds up the resources in use by the machine's allocations. A released allocation uses none, and marks the machine
+ * dirty so that this round writes the release. */
 static void count_used(struct machine *machine) {
     struct machine_round *round = &machine->round;
     round->used_vcpus = round->used_gpus = round->used_memory_gb = 0;
@@ -60,21 +62,22 @@
     }
 }
 
-/* It stays with its shard and with the cloud. */
-static bool stays(const struct machine *machine) {
+/* Returns whether the machine stays in its shard: it is not draining, being returned, transferred or reclaimed. */
+static bool remains_in_shard(const struct machine *machine) {
     return !machines_leaving(machine) && !machine->retirement.draining && machine->rebalance.target_shard < 0 &&
            machine->liveness.preemption_notice_s < 0;
 }
 
-/* It can be sent directives, and what was sent before has a known outcome. */
-static bool takes_directives(const struct machine *machine) {
+/* Returns whether the machine accepts directives and the outcome of earlier directives is known. */
+static bool accepts_directives(const struct machine *machine) {
     return !machine->commands.needs_token_raise && !machine->commands.start_outcome_unknown &&
            machine->liveness.ignored_responses == 0 && machine->agent.reported_token >= machines_fencing_token(machine);
 }
 
 static bool is_schedulable(const struct machine *machine, int shard, double overdue_s) {
-    return machine->liveness.up && machine->page >= 0 && machine->type && stays(machine) && takes_directives(machine) &&
-           !quarantine_machine_faulty(machine) && clock_seconds_since(machine->liveness.last_heartbeat) < overdue_s &&
+    return machine->liveness.up && machine->page >= 0 && machine->type && remains_in_shard(machine) &&
+           accepts_directives(machine) && !quarantine_machine_faulty(machine) &&
+           clock_seconds_since(machine->liveness.last_heartbeat) < overdue_s &&
            machine->allocations->len < MACHINE_TASKS_MAX && !liveness_zone_unreachable(shard, machine->zone);
 }
 
--- a/src/placement/candidates.h
+++ b/src/placement/candidates.h
@@ -1,22 +1,24 @@
-/* Before a scheduling round places anything: which machines take tasks, and what is used on each. With store_lock held.
- */
+/* Prepares the machines of a shard for a scheduling round: which machines can take tasks, and how much of each is used.
+ * All functions but placement_init need store_lock. */
 #ifndef FF_PLACEMENT_CANDIDATES_H
 #define FF_PLACEMENT_CANDIDATES_H
 #include "../settings/settings.h"
 #include "bin_packing.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void placement_init(const struct settings *settings);
 
-/* Fills `round` of each of the shard's machines that are owned: schedulable, occupancy, what is used. */
+/* Sets `round` of each machine of the shard that this controller owns: whether it is schedulable, its occupancy and the
+ * resources in use. */
 void placement_prepare_machines(int shard);
 
-/* The shard's oldest steady on-demand machine, which takes tasks first; NULL: it has none. */
-struct machine *placement_reception(int shard);
+/* Returns the shard's reception machine, to which tasks go first: the oldest on-demand machine that is up, not being
+ * returned and without a preemption notice. Returns NULL if there is none. */
+struct machine *placement_reception_machine(int shard);
 
-/* The rules by which the shard's tasks are placed. */
+/* Returns the rules for choosing among the shard's machines. */
 struct placement_rules placement_rules(int shard);
 
-/* Seconds without a heartbeat after which a machine takes no more tasks. */
+/* Returns the seconds without a heartbeat after which a machine takes no more tasks. */
 double placement_heartbeat_overdue_s(void);
 #endif
--- a/src/placement/fit.c
+++ b/src/placement/fit.c
@@ -10,7 +10,7 @@
     return resources_fit(&used, spec, machine->type);
 }
 
-const char *placement_zone(const struct job *job) {
+const char *placement_job_zone(const struct job *job) {
     if (!job->spec.single_zone) return NULL;
     for (guint i = 0; i < job->allocations->len; i++) {
         const struct allocation *allocation = job->allocations->pdata[i];
@@ -19,7 +19,7 @@
     return NULL;
 }
 
-/* Tasks of the job in the zone, planned ones included. Tasks that are ending count until they are proven released. */
+/* Returns how many tasks of the job are allocated or planned in the zone. A task counts until its release is proven. */
 static int tasks_in_zone(const struct job *job, const char *zone, const GArray *plans) {
     int tasks = 0;
     for (guint i = 0; i < job->allocations->len; i++) {
@@ -28,7 +28,7 @@
     }
     for (guint i = plans ? plans->len : 0; i-- > 0;) {
         const struct planned_task *plan = &g_array_index(plans, struct planned_task, i);
-        if (plan->job != job) break; /* a job's plans follow one another, and these are the last */
+        if (plan->job != job) break; /* the job's plans are contiguous and come last */
         tasks += strcmp(plan->machine->zone, zone) == 0;
     }
     return tasks;
--- a/src/placement/fit.h
+++ b/src/placement/fit.h
@@ -1,5 +1,5 @@
-/* Whether a task may go to a machine. With store_lock held; within a scheduling round, after
- * placement_prepare_machines. */
+/* Checks whether a task may be placed on a machine. All functions need store_lock and, within a scheduling round, must
+ * be called after placement_prepare_machines. */
 #ifndef FF_PLACEMENT_FIT_H
 #define FF_PLACEMENT_FIT_H
 #include <glib.h>
@@ -8,18 +8,19 @@
 #include "../model/job.h"
 #include "../model/machine.h"
 
-/* Room is left for one more task, counting what is allocated and what this round has planned. */
+/* Returns whether the machine has room for a task besides its allocations and the tasks planned in this round. */
 bool placement_fits(const struct machine *machine, const struct job_spec *spec);
 
-/* The job allows the machine's kind, type and zone. `zone` is where the tasks of a single-zone job already are (NULL:
- * nowhere yet); `plans` (NULL: none) are struct planned_task, of which those of the job come last. */
+/* Returns whether the job allows the machine's kind (spot or on-demand), type and zone, and is within the limit on a
+ * spread job's tasks in one zone. `zone` is where a single-zone job already has tasks (NULL: nowhere yet). `plans` are
+ * the struct planned_task of this round, the job's own last (NULL: none). */
 bool placement_allowed(const struct machine *machine, const struct job *job, const char *zone, const GArray *plans);
 
-/* The zone in which a single-zone job has tasks; NULL: none, or the job is not bound to one zone. It belongs to a
- * machine. */
-const char *placement_zone(const struct job *job);
+/* Returns the zone in which a single-zone job has tasks; NULL if it has none or is not a single-zone job. The string
+ * belongs to a machine. */
+const char *placement_job_zone(const struct job *job);
 
-/* Takes or returns the room of one task in this round. */
+/* Reserves or frees the resources of one task on the machine for the rest of this round. */
 void placement_reserve(struct machine *machine, const struct job_spec *spec);
 void placement_release(struct machine *machine, const struct job_spec *spec);
 #endif
--- a/src/placement/occupancy.h
+++ b/src/placement/occupancy.h
@@ -1,13 +1,14 @@
-/* Occupancy and headroom as the design defines them. Pure but for the machine, which is read with store_lock held. */
+/* The occupancy of a machine and the headroom of a group of machines. Pure functions, but store_lock must be held to
+ * read a machine. */
 #ifndef FF_PLACEMENT_OCCUPANCY_H
 #define FF_PLACEMENT_OCCUPANCY_H
 #include "../model/machine.h"
 
-/* Part of the machine that is allocated, 0 to 1: of each component the mean over the latest samples, at most `window`
- * of them, then the largest. 0 where there is no sample yet. */
+/* Returns the allocated part of the machine, from 0 to 1: the mean of each resource over the latest `window` samples,
+ * or over all if there are fewer; then the largest of these means. Returns 0 if there are no samples. */
 double placement_occupancy(const struct machine *machine, int window);
 
-/* Headroom H = C - O of so many machines, whose occupancies add up to `occupied`: the capacity C counts the first with
- * the reception threshold and each other with the admission threshold. */
-double placement_headroom(int n, double occupied, double reception, double admission);
+/* Returns the headroom H = C - O of n_machines machines. O is `occupied`, the sum of their occupancies. The capacity C
+ * is the reception threshold for the first machine plus the admission threshold for each other one. */
+double placement_headroom(int n_machines, double occupied, double reception_threshold, double admission_threshold);
 #endif
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -1,4 +1,4 @@
-/* Headroom, occupancy and the choice of a machine, by tables of cases. */
+/* Tests of headroom, occupancy and the choice of a machine. */
 #include "placement/placement.h"
 
 #include <glib.h>
@@ -42,13 +42,14 @@
 static void occupancy_is_the_largest_mean_over_the_window(void **state) {
     (void)state;
     struct machine *machine = new_machine("za", false, 0);
-    assert_float_equal(placement_occupancy(machine, 6), 0, 1e-9); /* no samples: it admits */
+    assert_float_equal(placement_occupancy(machine, 6), 0, 1e-9); /* no samples */
     for (int i = 0; i < 8; i++) {
         machine->occupancy.samples[i][0] = i < 2 ? 1 : 0.25;
         machine->occupancy.samples[i][2] = i < 5 ? 0.5 : 0;
         machine->occupancy.n_samples++;
     }
-    /* Averages over the last six first, then the largest: vcpus 0.25, gpus 0.25. */
+    /* The mean over the window comes first, then the maximum: over 6 samples vcpus 0.25, gpus 0.25; over 8 vcpus
+     * 0.4375. */
     assert_float_equal(placement_occupancy(machine, 6), 0.25, 1e-9);
     assert_float_equal(placement_occupancy(machine, 8), 0.4375, 1e-9);
     free_machine(machine);
@@ -73,24 +74,24 @@
 static void best_machine_is_chosen(void **state) {
     (void)state;
     static const struct {
-        const char *what;
+        const char *name;
         bool allows_spot, spread, single_zone;
         const char *zone;
         int tasks;
         double gpus;
-        const char *allocated_in; /* where a task of the job is already */
-        int want;                 /* index of the machine, -1: none */
+        const char *allocated_in; /* zone in which the job already has a task */
+        int expected_index;       /* index of the chosen machine; -1: none */
     } rows[] = {
-        /* machines: 0 reception za, 1 zb half used, 2 zb empty, 3 spot za, 4 zc full */
-        {"reception first", false, false, false, NULL, 1, 1, NULL, 0},
-        {"spot first for those that allow it", true, false, false, NULL, 1, 1, NULL, 3},
-        {"the only allowed zone; the empty one last", false, false, false, "zb", 1, 1, NULL, 1},
-        {"only the empty one has room", false, false, false, "zb", 1, 3, NULL, 2},
-        {"a full one takes nothing", false, false, false, "zc", 1, 1, NULL, -1},
-        {"spread: half of two is one", false, true, false, NULL, 2, 1, "za", 1},
-        {"single zone: where the others are", false, false, true, NULL, 2, 1, "zb", 1},
-        {"single zone, which is full", false, false, true, NULL, 2, 1, "zc", -1},
-        {"no room for so much", false, false, false, NULL, 1, 5, NULL, -1},
+        /* five_machines(): 0 reception, za; 1 half used, zb; 2 empty, zb; 3 empty spot machine, za; 4 full, zc */
+        {"reception machine is preferred", false, false, false, NULL, 1, 1, NULL, 0},
+        {"spot machine is preferred if the job allows spot", true, false, false, NULL, 1, 1, NULL, 3},
+        {"only zone zb is allowed; its empty machine comes last", false, false, false, "zb", 1, 1, NULL, 1},
+        {"only the empty machine has room", false, false, false, "zb", 1, 3, NULL, 2},
+        {"the only machine of the zone is full", false, false, false, "zc", 1, 1, NULL, -1},
+        {"spread: at most one of two tasks in a zone", false, true, false, NULL, 2, 1, "za", 1},
+        {"single zone: the zone of the job's other task", false, false, true, NULL, 2, 1, "zb", 1},
+        {"single zone: the zone is full", false, false, true, NULL, 2, 1, "zc", -1},
+        {"the task needs more than any machine has", false, false, false, NULL, 1, 5, NULL, -1},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         g_autoptr(GPtrArray) machines = five_machines();
@@ -106,15 +107,16 @@
                                      .single_zone = rows[i].single_zone,
                                      .zone = (char *)rows[i].zone};
         job.allocations = g_ptr_array_new();
-        struct machine *elsewhere = new_machine(rows[i].allocated_in ? rows[i].allocated_in : "", false, 0);
-        struct allocation allocation = {.job = &job, .machine = elsewhere};
+        struct machine *other_machine = new_machine(rows[i].allocated_in ? rows[i].allocated_in : "", false, 0);
+        struct allocation allocation = {.job = &job, .machine = other_machine};
         if (rows[i].allocated_in) g_ptr_array_add(job.allocations, &allocation);
         struct placement_rules rules = {0.5, 0.8, machines->pdata[0]};
-        struct machine *chosen = placement_choose(machines, &job, NULL, &rules, NULL);
-        guint found = 99;
-        if (chosen) g_ptr_array_find(machines, chosen, &found);
-        if ((chosen ? (int)found : -1) != rows[i].want) fail_msg("%s: got %d", rows[i].what, chosen ? (int)found : -1);
-        free_machine(elsewhere);
+        struct machine *chosen = placement_choose_machine(machines, &job, NULL, &rules, NULL);
+        guint chosen_index = 99;
+        if (chosen) g_ptr_array_find(machines, chosen, &chosen_index);
+        if ((chosen ? (int)chosen_index : -1) != rows[i].expected_index)
+            fail_msg("%s: got %d", rows[i].name, chosen ? (int)chosen_index : -1);
+        free_machine(other_machine);
         g_ptr_array_free(job.allocations, TRUE);
     }
 }
--- a/src/placement/resources.c
+++ b/src/placement/resources.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-#define TASKS_UNBOUNDED 1e6 /* at most, and for a task that asks for nothing */
+#define TASKS_THAT_FIT_MAX 1e6 /* also the result for a task that requests nothing */
 
 struct resources resources_used(const struct machine *machine) {
     return (struct resources){machine->round.used_vcpus, machine->round.used_gpus, machine->round.used_memory_gb};
@@ -32,14 +32,14 @@
            used->memory_gb + spec->memory_gb <= type->memory_gb + RESOURCES_TOLERANCE;
 }
 
-static double times(double free, double asked) {
-    if (asked <= 0) return TASKS_UNBOUNDED;
-    double tasks = (free + RESOURCES_TOLERANCE) / asked;
-    return tasks < TASKS_UNBOUNDED ? tasks : TASKS_UNBOUNDED;
+static double tasks_that_fit(double free, double requested) {
+    if (requested <= 0) return TASKS_THAT_FIT_MAX;
+    double tasks = (free + RESOURCES_TOLERANCE) / requested;
+    return tasks < TASKS_THAT_FIT_MAX ? tasks : TASKS_THAT_FIT_MAX;
 }
 
 int resources_tasks_that_fit(const struct resources *free, const struct job_spec *spec) {
-    double tasks = MIN(times(free->vcpus, spec->vcpus), times(free->gpus, spec->gpus));
-    tasks = MIN(tasks, times(free->memory_gb, spec->memory_gb));
+    double tasks = MIN(tasks_that_fit(free->vcpus, spec->vcpus), tasks_that_fit(free->gpus, spec->gpus));
+    tasks = MIN(tasks, tasks_that_fit(free->memory_gb, spec->memory_gb));
     return tasks < 0 ? 0 : (int)tasks;
 }
--- a/src/preemption/preemptible.h
+++ b/src/preemption/preemptible.h
@@ -1,4 +1,4 @@
-/* Whether a task may be preempted, and what that costs. With store_lock held. */
+/* Checks whether tasks may be preempted and what their preemption costs. All functions need store_lock. */
 #ifndef FF_PREEMPTION_PREEMPTIBLE_H
 #define FF_PREEMPTION_PREEMPTIBLE_H
 #include <stdbool.h>
@@ -6,20 +6,21 @@
 #include "../model/machine.h"
 #include "../priority/priority.h"
 
-/* Whether the task may be preempted for the job: only tasks of arrays, for a job of higher priority, or for one within
- * its team's guarantee where the task's own team is beyond its guarantee. */
+/* Returns whether the task may be preempted for the entry's job. Only tasks of arrays may be: for a job of higher
+ * priority, or for a job within its team's guarantee if the task's team is beyond its own. */
 bool preemption_allowed(const struct allocation *allocation, const struct priority_entry *entry);
 
-/* Whether the task has started so lately that, preempted, it counts as never started to its user. */
+/* Returns whether the task started so recently that its user counts it as never started if it is preempted. */
 bool preemption_recently_started(const struct allocation *allocation);
 
-/* Seconds that a preempted task of the job gets for its checkpoint: 0 if it saves none, or would take `at_most` or
- * longer for it. */
-double preemption_grace_s(const struct job_spec *spec, double at_most);
+/* Returns the seconds that a preempted task of the job gets to save a checkpoint: 0 if it saves none, or if saving
+ * takes max_grace_s or longer. */
+double preemption_grace_s(const struct job_spec *spec, double max_grace_s);
 
-/* An on-demand machine all of whose tasks could run elsewhere: arrays that allow spot machines. */
-bool preemption_clears_machine(const struct machine *machine);
+/* Returns whether the machine is on-demand and all of its tasks belong to arrays that allow spot machines. False if the
+ * machine is about to leave or its address is unknown. */
+bool preemption_machine_clearable(const struct machine *machine);
 
-/* Whether the machine would have to fetch the job's image for longer than the wait that its users accept. */
-bool preemption_fetch_too_slow(const struct job *job, const struct machine *machine);
+/* Returns whether fetching the job's image on the machine would take longer than the wait that its users accept. */
+bool preemption_image_fetch_too_slow(const struct job *job, const struct machine *machine);
 #endif
--- a/src/preemption/preemption.h
+++ b/src/preemption/preemption.h
@@ -1,7 +1,7 @@
-/* Which tasks are preempted for which job, and on which machine. Called by scheduling rounds, the autoscaler and
+/* Preemption: stops tasks whose resources another job needs. Called by scheduling rounds, the autoscaler and
  * rebalancing, with store_lock held.
  *
- * team_usage.h compares what teams hold with their limits and guarantees, preemptible.h tells whether a task may be
+ * team_usage.h compares the usage of teams with their limits and guarantees, preemptible.h checks whether a task may be
  * preempted, make_room.h preempts tasks on one machine, gang_zone.h chooses the zone for a gang. */
 #ifndef FF_PREEMPTION_H
 #define FF_PREEMPTION_H
@@ -10,6 +10,6 @@
 #include "preemptible.h"
 #include "team_usage.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void preemption_init(const struct settings *settings);
 #endif
--- a/src/preemption/preemption_test.c
+++ b/src/preemption/preemption_test.c
@@ -1,4 +1,4 @@
-/* Which tasks are preempted, and on which machine. */
+/* Tests of which tasks are preempted and on which machine. */
 #include "preemption/preemption.h"
 
 #include <glib.h>
@@ -18,10 +18,10 @@
 static void only_array_tasks_of_lower_priority_are_preempted(void **state) {
     (void)state;
     static const struct {
-        const char *what;
+        const char *name;
         enum job_kind kind;
         enum job_priority priority;
-        bool released, stop_requested, want;
+        bool released, stop_requested, expected;
     } rows[] = {
         {"lower priority", JOB_ARRAY, PRIORITY_NORMAL, false, false, true},
         {"the same priority", JOB_ARRAY, PRIORITY_HIGH, false, false, false},
@@ -32,33 +32,33 @@
         {"released", JOB_ARRAY, PRIORITY_IDLE, true, false, false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct job holder = {.spec = {.kind = rows[i].kind}, .priority = rows[i].priority};
+        struct job running_job = {.spec = {.kind = rows[i].kind}, .priority = rows[i].priority};
         struct job job = {.priority = PRIORITY_HIGH};
         struct allocation allocation = {
-            .job = &holder, .released = rows[i].released, .stop_requested = rows[i].stop_requested};
+            .job = &running_job, .released = rows[i].released, .stop_requested = rows[i].stop_requested};
         struct priority_entry entry = {.job = &job};
-        if (preemption_allowed(&allocation, &entry) != rows[i].want) fail_msg("%s", rows[i].what);
+        if (preemption_allowed(&allocation, &entry) != rows[i].expected) fail_msg("%s", rows[i].name);
     }
 }
 
 static void checkpoint_is_granted_only_within_the_accepted_wait(void **state) {
     (void)state;
     static const struct {
-        double checkpoint_s, flush_s, at_most, want;
+        double checkpoint_s, flush_s, max_grace_s, expected;
     } rows[] = {{0, 2, 60, 0}, {15, 2, 60, 3}, {15, 59, 60, 0}, {15, 100, 60, 0}, {15, 100, INFINITY, 101}};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct job_spec spec = {.checkpoint_s = rows[i].checkpoint_s, .checkpoint_flush_s = rows[i].flush_s};
-        assert_float_equal(preemption_grace_s(&spec, rows[i].at_most), rows[i].want, 1e-9);
+        assert_float_equal(preemption_grace_s(&spec, rows[i].max_grace_s), rows[i].expected, 1e-9);
     }
 }
 
-/* Of two machines that are full, and of two tasks on one, what has run for longer is preempted. */
+/* The task that has run for longer is preempted, whether the tasks run on two full machines or on the same one. */
 static void task_that_counts_as_started_is_preempted_first(void **state) {
     (void)state;
     static const struct {
-        const char *what;
-        int machines, machine_of[2]; /* of the array's two tasks; the second has only just started */
-        double gpus;                 /* of the job: what is free, and what one task of the array takes */
+        const char *name;
+        int n_machines, machine_of[2]; /* index of the machine of each task of the array; task 1 has just started */
+        double gpus; /* requested by the job: the free GPUs of a machine plus those of one task of the array */
     } rows[] = {{"on two machines", 2, {0, 1}, 2}, {"on one machine", 1, {0, 0}, 1}};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char array_id[32], job_id[32];
@@ -66,9 +66,9 @@
         g_snprintf(job_id, sizeof job_id, "req-86%zu01", i);
         store_lock();
         struct machine *machines[] = {owned_machine("i-860000", "za", false), owned_machine("i-860001", "za", false)};
-        struct machine *on[] = {machines[rows[i].machine_of[0]], machines[rows[i].machine_of[1]]};
+        struct machine *task_machines[] = {machines[rows[i].machine_of[0]], machines[rows[i].machine_of[1]]};
         struct job *array = owned_job(array_id, "batch", "normal", 2, 8, 1, false, false, 200);
-        owned_allocate(array, on, 2);
+        owned_allocate(array, task_machines, 2);
         for (guint k = 0; k < 2; k++) {
             struct allocation *allocation = array->allocations->pdata[k];
             allocation->state = TASK_RUNNING;
@@ -79,8 +79,8 @@
         placement_prepare_machines(0);
         struct team_usage usage[SETTINGS_TEAMS_MAX] = {{0, 0}};
         g_autoptr(GPtrArray) candidates = g_ptr_array_new();
-        for (int k = rows[i].machines - 1; k >= 0; k--) g_ptr_array_add(candidates, machines[k]);
-        bool made = preemption_make_room(&entry, candidates, NULL, usage);
+        for (int k = rows[i].n_machines - 1; k >= 0; k--) g_ptr_array_add(candidates, machines[k]);
+        bool made_room = preemption_make_room(&entry, candidates, NULL, usage);
         bool stopped[2] = {false, false};
         for (guint k = 0; k < 2; k++) {
             const struct allocation *allocation = array->allocations->pdata[k];
@@ -88,8 +88,8 @@
         }
         owned_clear();
         store_unlock();
-        if (!made || !stopped[0] || stopped[1])
-            fail_msg("%s: made %d, stopped %d %d", rows[i].what, made, stopped[0], stopped[1]);
+        if (!made_room || !stopped[0] || stopped[1])
+            fail_msg("%s: room made %d, tasks stopped %d %d", rows[i].name, made_room, stopped[0], stopped[1]);
     }
 }
 
--- a/src/preemption/team_usage.h
+++ b/src/preemption/team_usage.h
@@ -1,23 +1,24 @@
-/* What teams hold, against their limits and guarantees. With store_lock held. */
+/* The resources that teams use, compared with their limits and guarantees. All functions need store_lock. */
 #ifndef FF_PREEMPTION_TEAM_USAGE_H
 #define FF_PREEMPTION_TEAM_USAGE_H
 #include <stdbool.h>
 
 #include "../model/job.h"
 
-/* What a team's tasks take of a shard. */
+/* The CPUs and GPUs in use by a team's tasks. */
 struct team_usage {
     double vcpus, gpus;
 };
 
-/* Whether the team's limit, or its shard's part of it, leaves room for so many more tasks of the job. */
-bool preemption_quota_left(const struct team_usage *usage, const struct job *job, int tasks);
+/* Returns whether the team's limit, or the shard's part of it, leaves room for `tasks` more tasks of the job. `usage`
+ * is the team's usage in the job's shard. */
+bool preemption_quota_allows(const struct team_usage *usage, const struct job *job, int tasks);
 
-/* Counts what each team holds in all shards. Once before a scheduling round: counted for every task on every machine,
- * it once took most of a round's time. */
-void preemption_refresh(void);
+/* Adds up each team's usage over all shards. Called once before a scheduling round: doing this for every task on every
+ * machine took most of a round's time. */
+void preemption_refresh_team_usage(void);
 
-/* What a team held beyond its guarantee when it was last counted, in GPUs, or in CPUs where only those are guaranteed;
- * below 0: within it. 0 for team -1. */
-double preemption_over_guarantee(int team);
+/* Returns by how much the team's usage exceeded its guarantee at the last refresh: in GPUs, or in CPUs if the guarantee
+ * names only CPUs. Negative within the guarantee; 0 for team -1. */
+double preemption_guarantee_excess(int team);
 #endif
--- a/src/rebalancing/donation.h
+++ b/src/rebalancing/donation.h
@@ -1,10 +1,10 @@
-/* The machine that a shard gives for a job of another. Internal to the package; with store_lock held. */
+/* Chooses the machine that a shard gives to a job of another shard. Internal to the package. Needs store_lock. */
 #ifndef FF_REBALANCING_DONATION_H
 #define FF_REBALANCING_DONATION_H
 #include "../model/machine.h"
 #include "../priority/priority.h"
 
-/* The machine of the shard that is easiest to spare for the job: an empty one, else one whose tasks may all be
- * preempted for it. NULL: none, or the shard's own work comes first. */
-struct machine *donation_choose(int shard, const struct priority_entry *entry);
+/* Returns the machine of the shard that costs least to give to the job, among empty machines and those whose tasks may
+ * all be preempted for the job. Returns NULL if there is none or the shard's own jobs come first. */
+struct machine *donation_choose_machine(int shard, const struct priority_entry *entry);
 #endif
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -11,16 +11,17 @@
 #include "../preemption/preemption.h"
 #include "../quota/quota.h"
 #include "donation.h"
-#include "needy_job.h"
+#include "waiting_job.h"
 
-#define TRANSFER_MAX_S 12          /* a machine that was not transferred by then stays */
-#define PAUSE_PER_MACHINE_S 0.0008 /* between two searches, for each machine of the deployment */
+#define TRANSFER_TIMEOUT_S 12                /* a machine that is not transferred by then stays in its shard */
+#define SEARCH_INTERVAL_PER_MACHINE_S 0.0008 /* for each machine of the deployment */
 
 static const struct settings *rebalancing_settings;
 
-/* Not in a round that allocates on it or releases from it: the plan is not in its list yet. A machine was once
- * transferred together with a task of its old shard's, which then counted nowhere against the team's limit. */
-bool rebalancing_allowed(const struct machine *machine) {
+/* A machine on which this round allocates or releases tasks is refused: its list does not hold the planned tasks yet.
+ * Once a machine was transferred together with a task of the old shard, which no longer counted against its team's
+ * limit. */
+bool rebalancing_transfer_allowed(const struct machine *machine) {
     return machine->rebalance.target_shard >= 0 && machine->allocations->len == 0 && machine->page >= 0 &&
            !machine->round.dirty && !machine->commands.start_outcome_unknown && !machine->commands.in_flight &&
            !machine->commands.needs_token_raise && !machine->retirement.return_wanted &&
@@ -31,23 +32,24 @@
     const GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len; i++) {
         struct machine_rebalance *rebalance = &((struct machine *)machines->pdata[i])->rebalance;
-        if (rebalance->target_shard >= 0 && clock_seconds_since(rebalance->chosen_at) > TRANSFER_MAX_S)
+        if (rebalance->target_shard >= 0 && clock_seconds_since(rebalance->chosen_at) > TRANSFER_TIMEOUT_S)
             rebalance->target_shard = -1;
     }
 }
 
-/* Examining the needs of every other shard is the dearest part of a round, and no transfer is faster than this. */
+/* Returns whether the next search is due, and if so records its time. Examining the jobs of every other shard is the
+ * most expensive part of a round, and no transfer completes within this interval. */
 static bool search_due(int shard) {
     struct timespec *searched_at = &shard_states[shard].rebalanced_at;
-    if (clock_seconds_since(*searched_at) < machines_all()->len * PAUSE_PER_MACHINE_S) return false;
+    if (clock_seconds_since(*searched_at) < machines_all()->len * SEARCH_INTERVAL_PER_MACHINE_S) return false;
     *searched_at = clock_now();
     return true;
 }
 
-static void begin_transfer(struct machine *machine, int to, const struct job *job) {
-    machine->rebalance.target_shard = to;
+static void begin_transfer(struct machine *machine, int to_shard, const struct job *job) {
+    machine->rebalance.target_shard = to_shard;
     machine->rebalance.chosen_at = clock_now();
-    log_info("machine %s: rebalancing from shard %d to shard %d for job %s", machine->id, machine->shard, to,
+    log_info("machine %s: rebalancing from shard %d to shard %d for job %s", machine->id, machine->shard, to_shard,
              job->spec.job_id);
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
@@ -56,15 +58,15 @@
     }
 }
 
-/* Gives a machine of the shard to a job of the other, if one is needed there and can be spared here. */
-static void serve_shard(int shard, int other) {
-    static const enum needy_jobs turns[] = {NEEDY_ON_DEMAND_ONLY, NEEDY_ALLOWING_SPOT};
-    for (size_t i = 0; i < G_N_ELEMENTS(turns); i++) {
+/* Starts the transfer of one machine if a job of the other shard waits for a machine and this shard can spare one. */
+static void transfer_to_shard(int shard, int other_shard) {
+    static const enum waiting_job_kind job_kinds[] = {WAITING_JOB_ON_DEMAND_ONLY, WAITING_JOB_ALLOWING_SPOT};
+    for (size_t i = 0; i < G_N_ELEMENTS(job_kinds); i++) {
         struct priority_entry entry;
-        if (!needy_job_find(rebalancing_settings, other, turns[i], &entry)) continue;
-        struct machine *machine = donation_choose(shard, &entry);
+        if (!waiting_job_find(rebalancing_settings, other_shard, job_kinds[i], &entry)) continue;
+        struct machine *machine = donation_choose_machine(shard, &entry);
         if (!machine) continue;
-        begin_transfer(machine, other, entry.job);
+        begin_transfer(machine, other_shard, entry.job);
         return;
     }
 }
@@ -72,8 +74,8 @@
 void rebalancing_plan(int shard) {
     cancel_overdue_transfers(shard);
     if (!search_due(shard)) return;
-    for (int other = 0; other < rebalancing_settings->n_shards; other++)
-        if (other != shard && jobs_active_in_shard(other)->len > 0) serve_shard(shard, other);
+    for (int other_shard = 0; other_shard < rebalancing_settings->n_shards; other_shard++)
+        if (other_shard != shard && jobs_active_in_shard(other_shard)->len > 0) transfer_to_shard(shard, other_shard);
 }
 
 void rebalancing_init(const struct settings *settings) { rebalancing_settings = settings; }
--- a/src/rebalancing/rebalancing.h
+++ b/src/rebalancing/rebalancing.h
@@ -1,5 +1,6 @@
-/* Transfers of machines between shards. Each owner looks for jobs of other shards that wait for a machine, and gives
- * one of its own. Called by the scheduler's thread in each scheduling round, with store_lock held. */
+/* Transfers machines between shards. The owner of a shard looks for jobs of other shards that wait for a machine, and
+ * transfers machines of its own to these shards. Called by the scheduler's thread in each scheduling round, with
+ * store_lock held. */
 #ifndef FF_REBALANCING_H
 #define FF_REBALANCING_H
 #include <stdbool.h>
@@ -7,13 +8,13 @@
 #include "../model/machine.h"
 #include "../settings/settings.h"
 
-/* Once, before the threads start. The settings stay the caller's. */
+/* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void rebalancing_init(const struct settings *settings);
 
-/* Chooses machines of the shard for jobs of others: at most one for each other shard. What runs there is asked to stop;
- * the machine is transferred once it is empty, or stays after a while. */
+/* Chooses machines of the shard for jobs of other shards, at most one for each other shard, and asks their tasks to
+ * stop. A chosen machine is transferred once it is empty; if that takes too long, it stays in the shard. */
 void rebalancing_plan(int shard);
 
-/* Whether the machine, chosen before, may be transferred in this round. */
-bool rebalancing_allowed(const struct machine *machine);
+/* Returns whether the machine was chosen for a transfer and can be transferred in this round. */
+bool rebalancing_transfer_allowed(const struct machine *machine);
 #endif
--- a/src/rebalancing/rebalancing_test.c
+++ b/src/rebalancing/rebalancing_test.c
@@ -1,4 +1,4 @@
-/* Transfers of machines between shards. */
+/* Tests of transferring machines between shards. */
 #include "rebalancing/rebalancing.h"
 
 #include <glib.h>
@@ -15,15 +15,15 @@
 
 static struct settings cfg;
 
-/* What keeps a machine from being transferred to another shard. */
-static void machine_is_transferred_only_if_nothing_is_under_way(void **state) {
+/* Each condition by itself keeps a machine from being transferred to another shard. */
+static void machine_is_transferred_only_if_no_operation_is_pending(void **state) {
     (void)state;
     static const struct {
-        int to;
-        bool dirty, outcome_unknown, in_flight, needs_raise, returned, want;
+        int to_shard;
+        bool dirty, outcome_unknown, in_flight, needs_token_raise, return_wanted, expected;
     } rows[] = {
         {1, false, false, false, false, false, true}, {-1, false, false, false, false, false, false},
-        {1, true, false, false, false, false, false}, /* this round allocates on it */
+        {1, true, false, false, false, false, false}, /* the round allocates on the machine */
         {1, false, true, false, false, false, false}, {1, false, false, true, false, false, false},
         {1, false, false, false, true, false, false}, {1, false, false, false, false, true, false},
     };
@@ -31,29 +31,30 @@
         struct machine machine;
         memset(&machine, 0, sizeof machine);
         machine.allocations = g_ptr_array_new();
-        machine.rebalance.target_shard = rows[i].to;
+        machine.rebalance.target_shard = rows[i].to_shard;
         machine.round.dirty = rows[i].dirty;
         machine.commands.start_outcome_unknown = rows[i].outcome_unknown;
         machine.commands.in_flight = rows[i].in_flight;
-        machine.commands.needs_token_raise = rows[i].needs_raise;
-        machine.retirement.return_wanted = rows[i].returned;
-        assert_int_equal(rebalancing_allowed(&machine), rows[i].want);
+        machine.commands.needs_token_raise = rows[i].needs_token_raise;
+        machine.retirement.return_wanted = rows[i].return_wanted;
+        assert_int_equal(rebalancing_transfer_allowed(&machine), rows[i].expected);
         g_ptr_array_free(machine.allocations, TRUE);
     }
 }
 
-/* A job of team blue, which is shard 1's, asks for a machine; shard 0 has two, the older of which is its reception. */
-static void spare_machine_is_given_to_a_needy_shard(void **state) {
+/* A job of team blue, whose home is shard 1, waits for a machine. Shard 0 has two machines; the older one is its
+ * reception machine, which it keeps. */
+static void spare_machine_is_transferred_to_a_waiting_job(void **state) {
     (void)state;
     static const struct {
-        const char *what, *priority;
-        bool eligible, own_work_waits;
-        int want; /* shard that the second machine is to go to; -1: it stays */
+        const char *name, *priority;
+        bool eligible, own_job_waits;
+        int expected; /* shard to which the second machine is transferred; -1: none */
     } rows[] = {
-        {"an idle machine", "normal", true, false, 1},
-        {"a job that has waited for a moment only", "normal", false, false, -1},
-        {"work of the same priority waits here as well", "normal", true, true, -1},
-        {"of higher priority than the work that waits here", "high", true, true, 1},
+        {"the spare machine is idle", "normal", true, false, 1},
+        {"the job became eligible just now", "normal", false, false, -1},
+        {"a job of the same priority waits in shard 0", "normal", true, true, -1},
+        {"the job has a higher priority than the job that waits in shard 0", "high", true, true, 1},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char job_id[32], own_id[32], key[64];
@@ -67,27 +68,27 @@
             "\"state\":\"queued\",\"at\":%f}",
             job_id, rows[i].priority, clock_time_of_day() - 10);
         store_lock();
-        struct machine *reception = owned_machine("i-870000", "za", false);
-        struct machine *spare = owned_machine("i-870001", "za", false);
-        reception->created_at = spare->created_at - 1;
-        g_strlcpy(reception->address, "10.0.0.1:9000", sizeof reception->address);
-        g_strlcpy(spare->address, "10.0.0.2:9000", sizeof spare->address);
-        reception->owned_since = spare->owned_since = (struct timespec){0, 0};
+        struct machine *reception_machine = owned_machine("i-870000", "za", false);
+        struct machine *spare_machine = owned_machine("i-870001", "za", false);
+        reception_machine->created_at = spare_machine->created_at - 1;
+        g_strlcpy(reception_machine->address, "10.0.0.1:9000", sizeof reception_machine->address);
+        g_strlcpy(spare_machine->address, "10.0.0.2:9000", sizeof spare_machine->address);
+        reception_machine->owned_since = spare_machine->owned_since = (struct timespec){0, 0};
         owned_put(key, record);
         struct job *job = jobs_find(job_id);
         assert_non_null(job);
         assert_int_equal(jobs_shard(job), 1);
         if (rows[i].eligible) job->eligible_since = (struct timespec){0, 0};
-        if (rows[i].own_work_waits) owned_job(own_id, "batch", "normal", 1, 1, 0, false, false, 5)->unplaced = true;
+        if (rows[i].own_job_waits) owned_job(own_id, "batch", "normal", 1, 1, 0, false, false, 5)->unplaced = true;
         placement_prepare_machines(0);
         shard_states[0].rebalanced_at = (struct timespec){0, 0};
         rebalancing_plan(0);
-        int reception_to = reception->rebalance.target_shard, spare_to = spare->rebalance.target_shard;
+        int reception_to = reception_machine->rebalance.target_shard, spare_to = spare_machine->rebalance.target_shard;
         owned_put(key, NULL);
         owned_clear();
         store_unlock();
-        if (reception_to >= 0 || spare_to != rows[i].want)
-            fail_msg("%s: to shard %d, reception to %d", rows[i].what, spare_to, reception_to);
+        if (reception_to >= 0 || spare_to != rows[i].expected)
+            fail_msg("%s: spare machine to shard %d, reception machine to %d", rows[i].name, spare_to, reception_to);
     }
 }
 
@@ -96,7 +97,7 @@
     store_lock();
     owned_put_machine_type();
     store_unlock();
-    const struct CMUnitTest tests[] = {cmocka_unit_test(machine_is_transferred_only_if_nothing_is_under_way),
-                                       cmocka_unit_test(spare_machine_is_given_to_a_needy_shard)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(machine_is_transferred_only_if_no_operation_is_pending),
+                                       cmocka_unit_test(spare_machine_is_transferred_to_a_waiting_job)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -145,7 +145,7 @@
     };
     sum_team_usage(shard, pass->usage);
     quota_refresh();
-    preemption_refresh();
+    preemption_refresh_team_usage();
     pass->missing_tasks = count_missing(pass->order);
     pass->machines_with_room = find_machines_with_room(pass->machines, pass->order, pass->missing_tasks);
     pass->capacity_left = sum_free_capacity(pass->machines_with_room);
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -36,7 +36,7 @@
     int64_t attempt = planning_next_attempt(pass->round->shard);
     for (int task = 0; task < job->spec.tasks; task++) {
         struct machine *machine =
-            placement_choose(pass->machines_with_room, job, zone, &pass->rules, pass->round->planned_tasks);
+            placement_choose_machine(pass->machines_with_room, job, zone, &pass->rules, pass->round->planned_tasks);
         if (!machine) {
             undo_plans(pass, job, saved);
             return false;
@@ -73,7 +73,7 @@
     for (int task = 0; task < job->spec.tasks; task++) {
         if (task_bits_get(allocated, task)) continue;
         struct machine *machine =
-            placement_choose(pass->machines_with_room, job, NULL, &pass->rules, pass->round->planned_tasks);
+            placement_choose_machine(pass->machines_with_room, job, NULL, &pass->rules, pass->round->planned_tasks);
         if (!machine || lists_attempt(machine, job, task, attempt)) {
             undo_plans(pass, job, saved);
             return false;
@@ -87,7 +87,7 @@
 static bool replace_lost_tasks(struct planning_pass *pass, struct job *job) {
     int64_t attempt = allocations_open_gang_attempt(job);
     int lost = job->spec.tasks - allocations_count(job);
-    if (!attempt || !preemption_quota_left(&pass->usage[job->spec.team], job, lost)) return false;
+    if (!attempt || !preemption_quota_allows(&pass->usage[job->spec.team], job, lost)) return false;
     if (!place_lost_tasks(pass, job, attempt)) return false;
     log_info("gang %s: %d of its %d tasks replaced under the same attempt", job->spec.job_id, lost, job->spec.tasks);
     return true;
@@ -114,7 +114,7 @@
 static void make_room_for_gang(struct planning_pass *pass, const struct priority_entry *entry) {
     struct job *job = entry->job;
     struct gang_zone best_zone = preemption_gang_zone(entry, pass->machines);
-    bool enough_with_preemption = best_zone.with_preemption >= job->spec.tasks;
+    bool enough_with_preemption = best_zone.tasks_with_preemption >= job->spec.tasks;
     const char *zone = !enough_with_preemption && job->zone ? job->zone : best_zone.name;
     int reserved = reserve_room(pass, job, zone);
     /* Preempting tasks for a part of the gang would be useless: a gang starts as a whole. */
@@ -129,7 +129,7 @@
 static bool plan_new_gang(struct planning_pass *pass, const struct priority_entry *entry) {
     struct job *job = entry->job;
     if (job->n_reported_done == job->spec.tasks) return false;
-    if (!preemption_quota_left(&pass->usage[job->spec.team], job, job->spec.tasks)) return false;
+    if (!preemption_quota_allows(&pass->usage[job->spec.team], job, job->spec.tasks)) return false;
     if (place_gang(pass, job)) return false;
     if (!quarantine_job_suspect(job)) make_room_for_gang(pass, entry);
     return true;
--- a/src/scheduler/plan_tasks.c
+++ b/src/scheduler/plan_tasks.c
@@ -61,7 +61,7 @@
 static struct machine *choose_next_machine(const struct planning_pass *pass, const struct job *job,
                                            struct machine *previous) {
     if (previous && !job->spec.spread && placement_fits(previous, &job->spec)) return previous;
-    return placement_choose(pass->machines_with_room, job, NULL, &pass->rules, pass->round->planned_tasks);
+    return placement_choose_machine(pass->machines_with_room, job, NULL, &pass->rules, pass->round->planned_tasks);
 }
 
 /* Returns a bit for each task: whether it is allocated or reported done. The caller frees the array. */
@@ -78,13 +78,13 @@
     g_autofree uint8_t *allocated_or_done = allocated_or_done_tasks(job);
     for (int task = 0; task < job->spec.tasks && missing > 0; task++) {
         if (task_bits_get(allocated_or_done, task)) continue;
-        if (!preemption_quota_left(&pass->usage[job->spec.team], job, 1)) return false;
+        if (!preemption_quota_allows(&pass->usage[job->spec.team], job, 1)) return false;
         if (pass->round->planned_tasks->len >= PLANNED_TASKS_MAX) {
             pass->round->has_deferred_work = true;
             return false;
         }
         machine = choose_next_machine(pass, job, machine);
-        bool starts_in_time = machine && !preemption_fetch_too_slow(job, machine);
+        bool starts_in_time = machine && !preemption_image_fetch_too_slow(job, machine);
         if (!starts_in_time && preempt_for_tasks(pass, entry, missing)) return false;
         if (!machine) return true;
         if (!chunk_fill_add(&fill, job, task, machine)) {
--- a/src/scheduler/stage_pages.c
+++ b/src/scheduler/stage_pages.c
@@ -83,7 +83,7 @@
 /* Plans to raise the machine's fencing token, or to transfer the machine to another shard, if the transaction for
  * raises has room. */
 static void plan_token_raise(struct page_plan *plan, struct machine *machine, int page) {
-    bool transfer = rebalancing_allowed(machine);
+    bool transfer = rebalancing_transfer_allowed(machine);
     if (!transfer && !machine->commands.needs_token_raise) return;
     int writes = (transfer ? 1 : 0) + ((plan->needs[page] & PAGE_RAISE_TOKENS) ? 0 : 1);
     if (plan->raise_writes + writes > scheduler_settings->txn_ops) return;
