--- a/src/autoscaler/drain_eviction.c
+++ b/src/autoscaler/drain_eviction.c
@@ -16,8 +16,8 @@
     return machine->round.used_gpus > 0 || machine->round.used_vcpus > 0;
 }
 
-/* Returns whether the replica may run on the machine. In the replica's present zone the spread and single-zone rules do
- * not apply, since the replica replaces itself there. */
+/* Returns whether the replica may move to the machine. Within its present zone, the spread and single-zone rules do not
+ * apply, since its job keeps as many replicas in each zone. */
 static bool may_run_on(const struct machine *machine, const struct allocation *replica) {
     const char *zone = replica->machine->zone;
     struct job job = *replica->job;
@@ -51,7 +51,7 @@
     return target != NULL;
 }
 
-/* Without evictions, a draining machine with a replica would be paid for until its drain is cancelled. */
+/* Without evictions, a machine with a replica would stay busy, and be paid for, until its drain is cancelled. */
 void drain_eviction_stop_tasks(struct machine *machine) {
     placement_prepare_machines(machine->shard);
     for (guint i = 0; i < machine->allocations->len; i++)
--- a/src/autoscaler/planned_machine.h
+++ b/src/autoscaler/planned_machine.h
@@ -18,8 +18,8 @@
 
 /* Returns whether the job allows the machine type and a task of the job fits on an empty machine of it. */
 bool planned_machine_type_fits(const struct job_spec *spec, const struct machine_type *type);
-/* Reserves room for one task of the job in the zone (NULL: any). Returns false if the machine has no room or the job
- * may not run on it. */
+/* Reserves room for one task of the job. Returns false if the machine has no room, the job may not run on it, or it is
+ * not in the zone (NULL: any zone). */
 bool planned_machine_reserve_task(struct planned_machine *planned, const struct job *job, const char *zone);
 /* Adds an empty machine to an array of struct planned_machine and returns it. The pointer belongs to the array and is
  * valid until the next machine is added. Returns NULL and adds nothing if the type is not known. */
--- a/src/autoscaler/rental_choice.c
+++ b/src/autoscaler/rental_choice.c
@@ -9,7 +9,7 @@
 #include "../machine_types/machine_types.h"
 #include "planned_machine.h"
 
-#define ZONE_COST_PER_LOT 0.001 /* part of the price that is added for each lot of machines in a zone */
+#define ZONE_COST_PER_LOT 0.001 /* fraction of the price that is added for each lot of machines in a zone */
 
 enum {
     WAITING_TASKS_PER_MACHINE = 8, /* tasks that a machine is assumed to take */
--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -21,12 +21,12 @@
     list->n_busy += has_tasks;
 }
 
-/* Adds machines that have allocations but no record. They remain if all controllers end after a returned machine's
- * record was removed and before its allocations were. Such a machine cannot be probed, and the missing record does not
- * prove its return, since records may be read in any order: machines that counted as returned were still running tasks
- * that had been started again elsewhere. So the machine is returned by its id. The cloud's answer proves that the
- * machine is gone; the cloud ignores ids that it does not know. */
-static void add_unrecorded(struct return_list *list) {
+/* Adds machines that have allocations but no record. This state is left if all controllers end after the record of a
+ * returned machine was removed but before its allocations were. Such a machine cannot be probed, and the missing record
+ * does not prove its return, since records may be read in any order: machines without a record that counted as returned
+ * still ran tasks that had been started again elsewhere. So the machine is returned by its id. The cloud's answer
+ * proves that the machine is gone; the cloud ignores ids that it does not know. */
+static void add_unrecorded_machines(struct return_list *list) {
     if (schema_version_store_unreadable() || !membership_may_answer_workers()) return;
     for (guint i = 0; i < machines_all()->len && list->n_ids < list->max_ids; i++) {
         const struct machine *machine = machines_all()->pdata[i];
@@ -40,7 +40,7 @@
     return machine->retirement.returning && !machine->retirement.released && machines_owned(machine);
 }
 
-static void add_of_shard(struct return_list *list, int shard, bool has_tasks) {
+static void add_machines_of_shard(struct return_list *list, int shard, bool has_tasks) {
     const GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len && list->n_ids < list->max_ids; i++) {
         struct machine *machine = machines->pdata[i];
@@ -49,17 +49,17 @@
     }
 }
 
-static void add_owned(struct return_list *list, bool has_tasks) {
+static void add_machines_of_owned_shards(struct return_list *list, bool has_tasks) {
     for (int shard = 0; shard < autoscaler_settings->n_shards; shard++)
-        if (membership_owns(shard)) add_of_shard(list, shard, has_tasks);
+        if (membership_owns(shard)) add_machines_of_shard(list, shard, has_tasks);
 }
 
 /* Machines with tasks come first: their tasks can't start elsewhere until the cloud has confirmed the return. */
 int scale_in_plan_returns(char ids[][MACHINE_ID_SIZE], int max_ids, int *n_busy) {
     struct return_list list = {.ids = ids, .max_ids = max_ids};
-    add_owned(&list, true);
-    add_owned(&list, false);
-    add_unrecorded(&list);
+    add_machines_of_owned_shards(&list, true);
+    add_machines_of_owned_shards(&list, false);
+    add_unrecorded_machines(&list);
     *n_busy = list.n_busy;
     return list.n_ids;
 }
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -45,7 +45,7 @@
     int n_draining;
 };
 
-/* Returns whether the machine was rented recently and has had no task yet: it is kept for the waiting tasks. */
+/* Returns whether the machine was rented recently and has had no task yet. It is kept for the waiting tasks. */
 static bool awaits_first_task(const struct machine *machine) {
     return !machine->had_task && clock_time_of_day() - machine->created_at < provisioning_boot_timeout_s(machine);
 }
@@ -91,8 +91,8 @@
 }
 
 /* Returns whether drains may start in the shard: all tasks found a place, and at most one machine in MACHINES_PER_DRAIN
- * lacks a full window of samples. In a large fleet some machines have always just booted; while they are few, only
- * these machines may not drain. */
+ * lacks a full window of samples. In a large fleet some machines have always just booted; while they are few, they
+ * don't keep other machines from draining. */
 static bool may_drain(int shard, const struct occupancy_summary *summary) {
     return summary->n_without_full_window * MACHINES_PER_DRAIN <= summary->n_machines &&
            !shard_states[shard].has_unplaced_tasks;
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -6,8 +6,8 @@
 
 /* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void scale_in_init(const struct settings *settings);
-/* Drains surplus machines of the shard, spot and on-demand machines each by their own headroom. Runs on the scheduler's
- * thread. */
+/* Drains surplus machines of the shard. Spot and on-demand machines each have their own headroom. Runs on the
+ * scheduler's thread. */
 void scale_in_run(int shard);
 /* Returns how many drains may start now among n_machines machines. Each drain reduces the headroom by the admission
  * threshold, and may start only while the headroom is above margin * admission_threshold. At most one machine in 16,
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -18,8 +18,8 @@
 
 #define OWNED_MIN_S 4        /* a newer owner may not have read yet which machines are on their way */
 #define FINISH_DEFAULT_S 120 /* time to finish a job if its class has no objective */
-#define RUNTIME_MIN_S 1.0    /* shortest run time that a task counts with in the backlog */
-#define RECENT_GANG_S 100    /* a shard whose last gang became ready within this time runs gangs */
+#define RUNTIME_MIN_S 1.0    /* a task with a shorter run time counts as this in the backlog */
+#define RECENT_GANG_S 100    /* a shard runs gangs if one of them became ready within this time */
 #define SPARE_WEIGHT 1
 
 enum {
@@ -36,8 +36,8 @@
     shard_plan_init(loaded_settings);
 }
 
-/* State of planning the rentals for a job. first_machine is kept between tasks: examining all machines for each task
- * took most of a controller's processor time at 4,000 machines. */
+/* State of planning the rentals for a job. first_machine is kept between tasks: at 4,000 machines, examining all of
+ * them for each task took most of a controller's processor time. */
 struct job_rental {
     struct job *job;
     bool within_guarantee;
@@ -88,8 +88,8 @@
 }
 
 /* Adds the job's next task to the backlog and returns the kinds of machines that may be rented for it. A job that
- * allows spot machines and is beyond its team's guarantee gets on-demand machines only if the present machines can't
- * finish the backlog within a set part of the time in which its users want it done. */
+ * allows spot machines and is beyond its team's guarantee gets on-demand machines only if the present machines need
+ * longer for the backlog than tuning.spot_backlog times the completion objective of its class. */
 static enum rental_kinds kinds_for_task(struct shard_plan *plan, const struct job_rental *rental) {
     const struct job_spec *spec = &rental->job->spec;
     if (!spec->allows_spot) return RENTAL_SPOT_FIRST;
@@ -162,8 +162,8 @@
     job->zone = zone < 0 ? NULL : settings->zones[zone];
 }
 
-/* Returns a job on the machine that needs on-demand machines; NULL if there is none. The machine that is rented for
- * headroom must fit such a job. */
+/* Returns a job on the machine that needs on-demand machines; NULL if there is none. A machine that is rented for
+ * headroom must fit this job. */
 static const struct job *find_on_demand_job(const struct machine *machine) {
     const struct job *found = NULL;
     for (guint i = 0; i < machine->allocations->len; i++) {
@@ -188,6 +188,7 @@
         planned_machine_add(plan->machines, request.type_name, request.zone, request.spot);
 }
 
+/* Returns a gang that needs on-demand machines and became ready recently; NULL if there is none. */
 static const struct job *recent_gang(const GArray *jobs) {
     for (guint i = 0; i < jobs->len; i++) {
         const struct job *job = g_array_index(jobs, struct priority_entry, i).job;
@@ -229,7 +230,8 @@
 
 /* Returns the shard's request for the wanted type, zone and kind, added to the list if missing; NULL if the list is
  * full. */
-static struct rental_request *find_or_add(struct request_list *list, int shard, const struct rental_request *wanted) {
+static struct rental_request *find_or_add_request(struct request_list *list, int shard,
+                                                  const struct rental_request *wanted) {
     for (int i = 0; i < list->n_requests; i++) {
         struct rental_request *request = &list->requests[i];
         if (request->shard == shard && request->spot == wanted->spot &&
@@ -248,7 +250,7 @@
     for (guint i = plan->first_requested; i < plan->machines->len; i++) {
         const struct rental_request *machine_request =
             &g_array_index(plan->machines, struct planned_machine, i).request;
-        struct rental_request *request = find_or_add(list, plan->shard, machine_request);
+        struct rental_request *request = find_or_add_request(list, plan->shard, machine_request);
         if (!request || request->count >= REQUEST_MACHINES_MAX) continue;
         request->count++;
         request->weight += machine_request->weight;
--- a/src/autoscaler/shard_plan.c
+++ b/src/autoscaler/shard_plan.c
@@ -14,14 +14,14 @@
 #include "../provisioning/provisioning.h"
 #include "rental_choice.h"
 
-#define TRANSFER_WAIT_S 4 /* how long a transfer from another shard is awaited before a machine is rented */
+#define TRANSFER_WAIT_S 4 /* how long a job waits for a transfer from another shard before a machine is rented */
 
 static const struct settings *settings;
 
 void shard_plan_init(const struct settings *loaded_settings) { settings = loaded_settings; }
 
-/* Returns the GPUs of the machine that process the backlog of jobs which allow spot machines: all GPUs of a spot
- * machine, and those that such jobs use on an on-demand machine. */
+/* Returns the number of the machine's GPUs that process the backlog of jobs that allow spot machines: all GPUs of a
+ * spot machine, but only those that such jobs use on an on-demand machine. */
 static double backlog_gpus(const struct machine *machine) {
     if (machine->spot) {
         const struct machine_type *type = machine_types_find(machine->type_name);
@@ -36,7 +36,7 @@
 }
 
 static void count_booting(struct shard_plan *plan, const struct machine *machine) {
-    /* A machine in an unreachable zone is not counted: it is not known when the machine will be heard. */
+    /* A machine in an unreachable zone is not counted: it is not known when the machine will be reachable. */
     if (liveness_zone_unreachable(plan->shard, machine->zone)) return;
     /* An overdue machine may never come up and is not counted, so that a replacement is rented. Only a few are replaced
      * at a time: a period of slow boots must not multiply the costs. */
--- a/src/liveness/isolation.c
+++ b/src/liveness/isolation.c
@@ -1,4 +1,4 @@
-/* Detects that this controller is cut off from its workers, as opposed to the workers being down. */
+/* Detects that this controller is isolated from its workers, as opposed to the workers being down. */
 #include <glib.h>
 #include <math.h>
 #include <stdbool.h>
@@ -45,7 +45,7 @@
     return summary;
 }
 
-/* Whether the worker answers an inspect request within the timeout. */
+/* Returns whether the worker answers an inspect request within the timeout. */
 static bool answers_probe(struct http_client *client, const char *url) {
     long status = 0;
     cJSON *answer = NULL;
@@ -54,7 +54,7 @@
     return answered && status == HTTP_OK;
 }
 
-/* Picks workers at random, possibly one of them twice; returns the number of URLs. */
+/* Fills urls for workers chosen at random, possibly the same worker twice. Returns the number of URLs. */
 static int choose_probe_urls(char urls[PROBED_WORKERS][URL_MAX]) {
     int n_urls = 0;
     store_lock();
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -18,7 +18,7 @@
 #define ZONE_PROBES_PER_S 4.0     /* to all machines of an unreachable zone together */
 #define PROBE_AFTER_INTERVALS 1.1 /* heartbeat intervals of silence after which a machine is probed */
 #define CHECKPOINT_STOP_LEAD_S 6  /* for the stop to reach the worker before it saves the checkpoint */
-#define HEARD_ZONE_MACHINES_MIN 4 /* fewer machines of a zone don't show that this controller hears workers */
+#define HEARD_ZONE_MACHINES_MIN 4 /* in a zone with fewer machines up, hearing most of them proves nothing */
 #define HEARD_ZONE_PERCENT_MIN 80 /* percentage of these machines that has to be heard recently */
 
 const struct settings *liveness_settings;
@@ -28,8 +28,9 @@
     zones_reset();
 }
 
-/* Whether this controller hears enough machines to treat the silent ones as unreachable. If most machines are silent,
- * the controller itself is probably cut off, unless it still hears most machines of a zone: then other zones are. */
+/* Returns whether this controller hears enough machines to treat the silent ones as unreachable. If most machines are
+ * silent, the controller itself is probably isolated, unless it still hears most machines of one zone: then the other
+ * zones are unreachable. */
 static bool controller_hears_workers(const struct liveness_summary *summary, const struct zone_contact *contacts) {
     if (summary->heard * 2 >= summary->up - 1) return true;
     for (int i = 0; i < liveness_settings->n_zones; i++) {
@@ -40,23 +41,23 @@
     return false;
 }
 
-/* Probes to an unreachable zone are limited to ZONE_PROBES_PER_S, because each unanswered probe blocks a sender thread
- * until its timeout. */
+/* Returns the time between two probes of the machine. Probes to an unreachable zone are limited to ZONE_PROBES_PER_S,
+ * because each unanswered probe blocks a sender thread until its timeout. */
 static double probe_interval_s(const struct machine *machine, const struct shard_check *check) {
     int zone = settings_zone(liveness_settings, machine->zone);
     if (zone < 0 || !zones_unreachable(check->shard, zone)) return PROBE_INTERVAL_S;
     return fmax(PROBE_INTERVAL_S, check->contacts[zone].up / ZONE_PROBES_PER_S);
 }
 
-/* The silence after which a machine of the shard is probed. It is shorter just after a machine did not answer a probe,
- * because the same failure may have hit a hundred machines at once. */
+/* Returns the silence after which a machine of the shard is probed. It is shorter just after a machine did not answer a
+ * probe, because the same failure may have hit a hundred machines at once. */
 static double probe_after_s(int shard) {
     if (clock_seconds_since(shard_states[shard].machine_suspected_at) < SUSPICION_WINDOW_S)
         return SUSPICION_WINDOW_S / 2;
     return clock_to_seconds(liveness_settings->heartbeat_interval) * PROBE_AFTER_INTERVALS;
 }
 
-/* Probes a silent machine directly, as its heartbeat may only be delayed on its way through other controllers. */
+/* Probes a silent machine directly, since its heartbeat may just be delayed on its way through other controllers. */
 static void probe_if_silent(struct machine *machine, const struct shard_check *check) {
     if (!machine->liveness.up || clock_seconds_since(machine->liveness.last_heard) <= probe_after_s(check->shard) ||
         clock_seconds_since(machine->commands.last_probe) <= probe_interval_s(machine, check))
@@ -103,7 +104,8 @@
     allocations_request_stop(allocation, allocation->job->spec.checkpoint_flush_s + ALLOCATIONS_CHECKPOINT_GRACE_S);
 }
 
-/* Stops all tasks of a gang together: a gang can save a checkpoint only if all its tasks stop at about the same time.
+/* Stops the task. A gang's tasks are all stopped together, since a gang can save a checkpoint only if they stop at
+ * about the same time.
  */
 static void stop_for_checkpoint(struct allocation *allocation) {
     if (allocation->job->spec.kind != JOB_GANG) {
@@ -130,7 +132,7 @@
     if (machine->allocations->len == 0) machine->retirement.return_wanted = true;
 }
 
-/* Requests the return of a drained machine once it is empty. A drain that takes longer than tuning.drain_reopen is
+/* Requests the return of a drained machine once it is empty. A drain that takes longer than tuning.drain_timeout is
  * cancelled. */
 static void handle_drain(struct machine *machine) {
     struct machine_retirement *retirement = &machine->retirement;
@@ -167,7 +169,7 @@
 }
 
 /* Without this reset, a controller that had been paused for a minute counted its own pause as silence of all machines.
- * As soon as it heard the first machines again, the others seemed to be unreachable. */
+ * As soon as it heard the first machines again, it took the others for unreachable. */
 void liveness_reset_silence(void) {
     for (guint i = 0; i < machines_all()->len; i++) {
         struct machine *machine = machines_all()->pdata[i];
--- a/src/liveness/liveness.h
+++ b/src/liveness/liveness.h
@@ -1,5 +1,5 @@
 /* Decides which machines are unreachable and which have to be returned to the cloud, and detects that this controller
- * itself is cut off from the workers. A machine is heard when its heartbeat or its answer to a command arrives; its
+ * itself is isolated from the workers. A machine is heard when its heartbeat or its answer to a command arrives; its
  * silence is the time since it was last heard. */
 #ifndef FF_LIVENESS_H
 #define FF_LIVENESS_H
@@ -8,11 +8,11 @@
 #include "../http/client.h"
 #include "../machines/machines.h"
 
-/* Call before any thread is started; the settings must outlive the threads. */
+/* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void liveness_init(const struct settings *settings);
 
-/* Probes up to three workers, chosen at random: true if one of them answers or no chosen one has an address. Called
- * without store_lock, on membership's thread; each worker that does not answer takes up to half a second. */
+/* Probes up to three workers, chosen at random. Returns true if one of them answers or none of them has an address.
+ * Called without store_lock, on membership's thread; each worker that does not answer takes up to half a second. */
 bool liveness_probe_workers(struct http_client *client);
 
 /* Counts over the machines that are up and not being returned, of all shards that this controller owns. */
@@ -23,9 +23,9 @@
     double shortest_silence_s; /* time since any of the machines was heard; HUGE_VAL if none is up */
 };
 
-/* Whether this controller is cut off from its workers: enough machines are up that a silence of all of them for
- * shortest_silence_s can't be explained by failed machines. Every machine sends a heartbeat each heartbeat_interval_s.
- * Pure. */
+/* Returns whether this controller is isolated from its workers: so many machines are up that a silence of all of them
+ * for shortest_silence_s can't be explained by failed machines. Every machine sends a heartbeat each
+ * heartbeat_interval_s. Pure. */
 bool liveness_controller_isolated(int n_up, double shortest_silence_s, double heartbeat_interval_s);
 
 /* The functions below are called with store_lock held. */
@@ -35,8 +35,8 @@
 /* Requests the return of the shard's machines that are unreachable, faulty, drained or preempted, and has silent
  * machines probed. The summary covers all owned shards. Called on the scheduler's thread. */
 void liveness_check_machines(int shard, const struct liveness_summary *summary);
-/* Whether the last liveness_check_machines of the shard found the zone unreachable: none of the shard's machines there
- * was heard for too long. False if the shard is not owned. */
+/* Returns whether the last liveness_check_machines of the shard found the zone unreachable: none of the shard's
+ * machines there was heard within the zone's silence limit. Returns false if this controller does not own the shard. */
 bool liveness_zone_unreachable(int shard, const char *zone);
 /* Restarts the measurement of silence for all machines, after this process was paused. */
 void liveness_reset_silence(void);
--- a/src/liveness/process_pause.c
+++ b/src/liveness/process_pause.c
@@ -9,7 +9,7 @@
 #include "liveness.h"
 
 #define TICK_INTERVAL_S 0.25
-#define TICK_DELAY_MAX_S 1.0 /* a busy processor alone does not delay a tick by more */
+#define TICK_DELAY_MAX_S 1.0 /* a longer delay is a pause: a busy processor alone does not delay a tick by more */
 
 double process_pause_length(double waited_s, double tick_s) {
     return waited_s > tick_s + TICK_DELAY_MAX_S ? waited_s - tick_s : 0;
--- a/src/liveness/return_checks.c
+++ b/src/liveness/return_checks.c
@@ -12,14 +12,14 @@
 #include "internal.h"
 #include "silence.h"
 
-#define IGNORED_RESPONSES_LIMIT 3 /* a machine that has ignored so many responses is returned */
-#define UNANSWERED_PROBES_MIN 2   /* in a row */
-#define UNANSWERED_SILENCE_S 5.0  /* silence required in addition to the unanswered probes */
-#define FAULTY_GRACE_S 5.0        /* time for failures on other machines to show that a job is at fault */
+#define IGNORED_RESPONSES_LIMIT 3 /* a machine that has ignored this many responses is returned */
+#define UNANSWERED_PROBES_MIN 2   /* probes in a row */
+#define UNANSWERED_SILENCE_S 5.0  /* silence that is required in addition to the unanswered probes */
+#define FAULTY_GRACE_S 5.0        /* during this time, failures on other machines may show that a job is at fault */
 #define OWNED_MIN_S 20            /* a new owner may need this long to hear from a machine that has booted */
 #define STOP_LEAD_S 4             /* time to record the return and call the cloud, after a few earlier returns */
 #define ZONE_BRIEF_OUTAGE_S 5     /* a zone that was unreachable for less may be reachable again at once */
-#define BOOT_DEFAULT_S 60         /* if the machine type is not known */
+#define BOOT_DEFAULT_S 60         /* nominal boot time if the machine type is not known */
 #define BOOT_TIME_FACTOR 1.5      /* a boot may take this multiple of its nominal time */
 
 bool return_checks_responses_lost(const struct machine *machine) {
@@ -33,7 +33,7 @@
     }
 }
 
-/* Whether the machine may run tasks: tasks that it has listed, or that an earlier owner of the shard allocated. */
+/* Returns whether the machine may run tasks: it has listed them, or an earlier owner of the shard allocated them. */
 static bool runs_tasks(const struct machine *machine) {
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
@@ -42,9 +42,9 @@
     return false;
 }
 
-/* Whether to keep a machine of an unreachable zone for now. Its tasks run on for a while, and the zone may be reachable
- * again before they end. Its replicas are noted as at risk early enough for other machines to boot in time. */
-static bool keep_until_zone_returns(const struct machine *machine, const struct zone_contact *contact) {
+/* Returns whether a machine of an unreachable zone is kept for now. Its tasks run on for a while, and the zone may be
+ * reachable again before they end. Its replicas are noted as at risk early enough for other machines to boot. */
+static bool is_kept_in_unreachable_zone(const struct machine *machine, const struct zone_contact *contact) {
     double survival_s = zones_task_survival_s(machine->zone);
     double boot_s = machine->type ? machine->type->startup_s : BOOT_DEFAULT_S;
     if (contact->shortest_silence_s >= survival_s) return false;
@@ -56,8 +56,8 @@
     return runs_tasks(machine) || machine->allocations->len == 0 || contact->shortest_silence_s < ZONE_BRIEF_OUTAGE_S;
 }
 
-/* Unanswered probes reveal an unreachable machine before the silence limit does. They are used only if an outage of the
- * whole zone would have been detected before them. */
+/* Unanswered probes reveal an unreachable machine before the silence limit does. They count only if an outage of the
+ * whole zone would have been detected earlier. */
 static bool probes_unanswered(const struct machine *machine, const struct zone_contact *contact) {
     double zone_silence_s = zones_silence_limit_s(contact->up, clock_to_seconds(liveness_settings->heartbeat_interval));
     return machine->liveness.unanswered_probes >= UNANSWERED_PROBES_MIN &&
@@ -65,18 +65,18 @@
            zone_silence_s < UNANSWERED_SILENCE_S - 1;
 }
 
-/* Whether the machine was not heard for the silence limit, or sent no heartbeat for that limit plus a lease. */
+/* Returns whether the machine was not heard for the silence limit, or sent no heartbeat for that limit plus a lease. */
 static bool silent_for_long(const struct machine *machine) {
     return clock_seconds_since(machine->liveness.last_heard) > silence_limit_s() ||
            clock_seconds_since(machine->liveness.last_heartbeat) >
                clock_to_seconds(liveness_settings->worker_lease) + silence_limit_s();
 }
 
-static bool has_been_silent(const struct machine *machine, const struct shard_check *check) {
+static bool counts_as_unreachable(const struct machine *machine, const struct shard_check *check) {
     int zone = settings_zone(liveness_settings, machine->zone);
     if (zone < 0) return silent_for_long(machine);
     const struct zone_contact *contact = &check->contacts[zone];
-    if (zones_unreachable(check->shard, zone)) return !keep_until_zone_returns(machine, contact);
+    if (zones_unreachable(check->shard, zone)) return !is_kept_in_unreachable_zone(machine, contact);
     /* When a zone becomes reachable again, its machines are heard one after the other. Without this wait, 65 healthy
      * machines were returned when the first one answered. */
     if (zones_seconds_since_reachable(check->shard, zone) < silence_limit_s()) return false;
@@ -84,7 +84,7 @@
 }
 
 bool return_checks_unreachable(const struct machine *machine, const struct shard_check *check) {
-    return machine->liveness.up && has_been_silent(machine, check) && check->workers_heard;
+    return machine->liveness.up && counts_as_unreachable(machine, check) && check->workers_heard;
 }
 
 /* A faulty machine gets no new tasks. It is returned after FAULTY_GRACE_S, unless its jobs turn out to be at fault. */
--- a/src/liveness/zones.c
+++ b/src/liveness/zones.c
@@ -15,10 +15,10 @@
 #include "silence.h"
 
 #define NEVER_S 1e9               /* longer than any silence */
-#define ZONE_MACHINES_MIN 4       /* with fewer, an unreachable zone can't be told from failed machines */
-#define ZONE_MISSED_HEARTBEATS 5  /* due from the zone's machines together, none of them received */
+#define ZONE_MACHINES_MIN 4       /* with fewer machines, an unreachable zone can't be told from failed machines */
+#define ZONE_MISSED_HEARTBEATS 5  /* heartbeats due from all machines of the zone together, none of which arrived */
 #define ZONE_SILENCE_MIN_S 1.5    /* silence limit of a zone with very many machines */
-#define ZONE_SILENCE_MARGIN_S 1   /* after the heartbeat of each machine is due */
+#define ZONE_SILENCE_MARGIN_S 1   /* added to the time by which each machine's heartbeat is due */
 #define PROXY_RESPONSE_MARGIN_S 1 /* for the last response of a controller in the zone to reach the worker */
 
 static struct {
@@ -45,8 +45,8 @@
     return index >= 0 && membership_owns(shard) && zones.unreachable[shard][index];
 }
 
-/* The tasks end when the lease of their machine expires. A controller that is cut off together with the zone still
- * answers the machine's heartbeats, which renews the lease, for as long as its last read of the store is valid. */
+/* The tasks end when the lease of their machine expires. A controller that is in the unreachable zone still answers the
+ * machine's heartbeats, which renews the lease, for as long as its last read of the store is valid. */
 double zones_task_survival_s(const char *zone) {
     const struct settings *settings = liveness_settings;
     bool controller_in_zone = strcmp(settings->zone, zone) == 0;
--- a/src/liveness/zones.h
+++ b/src/liveness/zones.h
@@ -17,13 +17,13 @@
 void zones_reset(void);
 /* Fills contacts, one per zone, and updates which zones are unreachable for the shard. */
 void zones_update(int shard, struct zone_contact contacts[SETTINGS_ZONES_MAX]);
-/* Whether the last zones_update of the shard found the zone unreachable. */
+/* Returns whether the last zones_update of the shard found the zone unreachable. */
 bool zones_unreachable(int shard, int zone);
-/* Time since the zone was last found reachable again. */
+/* Returns the time since the zone was last found reachable again. */
 double zones_seconds_since_reachable(int shard, int zone);
-/* How long tasks in an unreachable zone may run on after their machine was last heard. */
+/* Returns how long tasks in an unreachable zone may run on after their machine was last heard. */
 double zones_task_survival_s(const char *zone);
-/* The silence of all machines of a zone after which the zone is unreachable; very large for a zone with few machines.
- * Pure. */
+/* Returns the silence of all machines of a zone after which the zone counts as unreachable; very large for a zone with
+ * few machines. Pure. */
 double zones_silence_limit_s(int machines, double heartbeat_interval_s);
 #endif
--- a/src/placement/bin_packing.c
+++ b/src/placement/bin_packing.c
@@ -38,7 +38,7 @@
     return is_reception ? SCORE_RECEPTION_BUSY - occupancy / BUSY_OCCUPANCY_DIVISOR : SCORE_OTHERS_BUSY;
 }
 
-static double score(const struct machine *machine, const struct job *job, const struct placement_rules *rules) {
+static double total_score(const struct machine *machine, const struct job *job, const struct placement_rules *rules) {
     double score = base_score(machine, rules);
     if (machine->round.used_gpus <= 0 && machine->round.used_vcpus <= 0) score += SCORE_EMPTY_MACHINE;
     if (job->spec.allows_spot && machine->spot) score += SCORE_SPOT_ALLOWED;
@@ -68,7 +68,7 @@
         struct machine *machine = machines->pdata[i];
         if (!machine->round.schedulable || (zone && strcmp(zone, machine->zone) != 0)) continue;
         if (!placement_fits(machine, &job->spec) || !placement_allowed(machine, job, job_zone, plans)) continue;
-        double machine_score = score(machine, job, rules);
+        double machine_score = total_score(machine, job, rules);
         if (best && machine_score <= best_score) continue;
         best = machine;
         best_score = machine_score;
--- a/src/placement/bin_packing.h
+++ b/src/placement/bin_packing.h
@@ -14,8 +14,8 @@
 };
 
 /* Returns the best of the machines for one task of the job, or NULL if none has room. `machines` holds struct machine.
- * If `zone` is not NULL, only machines in that zone are considered. `plans` are the struct planned_task of this round,
- * the job's own last (NULL: none). */
+ * If `zone` is not NULL, only machines in that zone are considered. `plans` holds this round's struct planned_task,
+ * those of the job last (NULL: none). */
 struct machine *placement_choose_machine(const GPtrArray *machines, const struct job *job, const char *zone,
                                          const struct placement_rules *rules, const GArray *plans);
 
--- a/src/placement/candidates.h
+++ b/src/placement/candidates.h
@@ -8,15 +8,15 @@
 /* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void placement_init(const struct settings *settings);
 
-/* Sets `round` of each machine of the shard that this controller owns: whether it is schedulable, its occupancy and the
- * resources in use. */
+/* Sets the member `round` of the shard's machines that this controller owns: whether the machine is schedulable, its
+ * occupancy and its resources in use. */
 void placement_prepare_machines(int shard);
 
 /* Returns the shard's reception machine, to which tasks go first: the oldest on-demand machine that is up, not being
  * returned and without a preemption notice. Returns NULL if there is none. */
 struct machine *placement_reception_machine(int shard);
 
-/* Returns the rules for choosing among the shard's machines. */
+/* Returns the rules for choosing a machine of the shard. */
 struct placement_rules placement_rules(int shard);
 
 /* Returns the seconds without a heartbeat after which a machine takes no more tasks. */
--- a/src/placement/fit.h
+++ b/src/placement/fit.h
@@ -12,15 +12,15 @@
 bool placement_fits(const struct machine *machine, const struct job_spec *spec);
 
 /* Returns whether the job allows the machine's kind (spot or on-demand), type and zone, and is within the limit on a
- * spread job's tasks in one zone. `zone` is where a single-zone job already has tasks (NULL: nowhere yet). `plans` are
- * the struct planned_task of this round, the job's own last (NULL: none). */
+ * spread job's tasks in one zone. `zone` is where a single-zone job already has tasks (NULL: nowhere yet). `plans`
+ * holds this round's struct planned_task, those of the job last (NULL: none). */
 bool placement_allowed(const struct machine *machine, const struct job *job, const char *zone, const GArray *plans);
 
 /* Returns the zone in which a single-zone job has tasks; NULL if it has none or is not a single-zone job. The string
  * belongs to a machine. */
 const char *placement_job_zone(const struct job *job);
 
-/* Reserves or frees the resources of one task on the machine for the rest of this round. */
+/* Reserve or free the resources of one task on the machine for the rest of this round. */
 void placement_reserve(struct machine *machine, const struct job_spec *spec);
 void placement_release(struct machine *machine, const struct job_spec *spec);
 #endif
--- a/src/placement/resources.h
+++ b/src/placement/resources.h
@@ -20,7 +20,7 @@
 /* Returns the resources of the machine that are not in use. The machine's type must be known. */
 struct resources resources_free(const struct machine *machine);
 
-/* Adds or subtracts the resources that one task requests. */
+/* Add or subtract the resources that one task requests. */
 void resources_add_task(struct resources *resources, const struct job_spec *spec);
 void resources_remove_task(struct resources *resources, const struct job_spec *spec);
 
--- a/src/preemption/gang_zone.c
+++ b/src/preemption/gang_zone.c
@@ -7,7 +7,7 @@
 #include "internal.h"
 #include "preemptible.h"
 
-/* How many tasks of a gang fit in a zone: now, and after preempting all tasks that may be preempted. */
+/* How many tasks of a gang fit in a zone: now, and once all tasks that may be preempted or are stopping have ended. */
 struct zone_fit {
     int tasks_now, tasks_with_preemption;
 };
--- a/src/preemption/preemptible.c
+++ b/src/preemption/preemptible.c
@@ -9,15 +9,15 @@
 #include "internal.h"
 #include "team_usage.h"
 
-#define GUARANTEE_EXCESS_MIN 1e-3 /* required for a task that requests no GPU */
+#define GUARANTEE_EXCESS_MIN 1e-3 /* excess over a guarantee that is required to preempt a task without GPUs */
 #define STARTED_RUNTIME_MIN_S 32  /* a task that has run for this long counts as started */
 #define STOP_DELAY_S 1            /* from the request to stop until the task begins its checkpoint */
 #define FETCH_RATE_MIN_GB_PER_S 1e-3
 #define WAIT_UNLIMITED_S 1e9 /* accepted wait if no objective names one */
 
-/* Returns whether the job may take the task's resources for its team's guarantee: the job's team stays within its
- * guarantee with the job, and the task's team stays at or above its own without the task. Without these conditions, two
- * teams that each had work beyond their guarantees preempted each other's tasks for minutes. */
+/* Returns whether the task may be preempted to give the job's team its guarantee: with one more task, the job's team
+ * stays within its guarantee, and without the preempted task, the task's team still has its own. Without these
+ * conditions, two teams that each had work beyond their guarantees preempted each other's tasks for minutes. */
 static bool claimable_for_guarantee(const struct allocation *allocation, const struct job *job) {
     const struct job_spec *task_spec = &allocation->job->spec;
     double excess_min = task_spec->gpus > GUARANTEE_EXCESS_MIN ? task_spec->gpus : GUARANTEE_EXCESS_MIN;
--- a/src/preemption/preemptible.h
+++ b/src/preemption/preemptible.h
@@ -1,4 +1,4 @@
-/* Checks whether tasks may be preempted and what their preemption costs. All functions need store_lock. */
+/* Checks whether tasks may be preempted and what they lose by it. All functions need store_lock. */
 #ifndef FF_PREEMPTION_PREEMPTIBLE_H
 #define FF_PREEMPTION_PREEMPTIBLE_H
 #include <stdbool.h>
@@ -7,10 +7,11 @@
 #include "../priority/priority.h"
 
 /* Returns whether the task may be preempted for the entry's job. Only tasks of arrays may be: for a job of higher
- * priority, or for a job within its team's guarantee if the task's team is beyond its own. */
+ * priority, or for a job within its team's guarantee if the task's team exceeds its own guarantee. */
 bool preemption_allowed(const struct allocation *allocation, const struct priority_entry *entry);
 
-/* Returns whether the task started so recently that its user counts it as never started if it is preempted. */
+/* Returns whether the task has not started yet, or so recently that its user counts it as never started if it is
+ * preempted. */
 bool preemption_recently_started(const struct allocation *allocation);
 
 /* Returns the seconds that a preempted task of the job gets to save a checkpoint: 0 if it saves none, or if saving
--- a/src/preemption/preemption_test.c
+++ b/src/preemption/preemption_test.c
@@ -57,7 +57,7 @@
     (void)state;
     static const struct {
         const char *name;
-        int n_machines, machine_of[2]; /* index of the machine of each task of the array; task 1 has just started */
+        int n_machines, machine_index[2]; /* of each task of the array; task 1 has just started */
         double gpus; /* requested by the job: the free GPUs of a machine plus those of one task of the array */
     } rows[] = {{"on two machines", 2, {0, 1}, 2}, {"on one machine", 1, {0, 0}, 1}};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -66,7 +66,7 @@
         g_snprintf(job_id, sizeof job_id, "req-86%zu01", i);
         store_lock();
         struct machine *machines[] = {owned_machine("i-860000", "za", false), owned_machine("i-860001", "za", false)};
-        struct machine *task_machines[] = {machines[rows[i].machine_of[0]], machines[rows[i].machine_of[1]]};
+        struct machine *task_machines[] = {machines[rows[i].machine_index[0]], machines[rows[i].machine_index[1]]};
         struct job *array = owned_job(array_id, "batch", "normal", 2, 8, 1, false, false, 200);
         owned_allocate(array, task_machines, 2);
         for (guint k = 0; k < 2; k++) {
--- a/src/preemption/team_usage.h
+++ b/src/preemption/team_usage.h
@@ -14,7 +14,7 @@
  * is the team's usage in the job's shard. */
 bool preemption_quota_allows(const struct team_usage *usage, const struct job *job, int tasks);
 
-/* Adds up each team's usage over all shards. Called once before a scheduling round: doing this for every task on every
+/* Adds up each team's usage over all shards. Called once in each scheduling round: adding it up for every task on every
  * machine took most of a round's time. */
 void preemption_refresh_team_usage(void);
 
--- a/src/priority/due.c
+++ b/src/priority/due.c
@@ -13,7 +13,7 @@
     return false;
 }
 
-/* Longest completion objective of all classes. */
+/* Returns the longest completion objective of all classes. */
 static double longest_objective_s(const struct settings *settings) {
     double longest = 0;
     for (int i = 0; i < settings->n_objectives; i++) {
@@ -23,7 +23,7 @@
     return longest > 0 ? longest : DEFAULT_OBJECTIVE_S;
 }
 
-/* The class's shortest completion objective that is longer than `after`; -1 if there is none. */
+/* Returns the class's shortest completion objective that is longer than `after`; -1 if there is none. */
 static double next_objective_s(const struct settings *settings, const char *job_class, double after) {
     double next = -1;
     for (int i = 0; i < settings->n_objectives; i++) {
@@ -36,7 +36,7 @@
 
 static bool has_started_tasks(const struct job *job) { return job->allocations->len > 0 || job->n_reported_done > 0; }
 
-/* Doubles the missed objective until the job can still meet it. */
+/* Doubles the missed objective, at least once, until the job can still meet it. */
 static double next_after_missed_s(double missed_s, double earliest_end_s) {
     double next = missed_s * 2;
     while (earliest_end_s > next) next *= 2;
@@ -59,7 +59,7 @@
     if (missed_s > 0) return job->ready_at + next_after_missed_s(missed_s, earliest_end_s);
     if (due_has_objective(settings, job))
         return job->ready_at + settings_shortest_objective_s(settings, OBJECTIVE_WAIT, job->spec.job_class, 0);
-    /* A job without an objective ranks like a job that has missed the longest objective. Treated as due at once, a
-     * guest team's arrays without an objective kept arrays with an objective waiting for 400 s. */
+    /* A job without an objective ranks like a job that has missed the longest objective. When such jobs were treated as
+     * due at once, one team's arrays without an objective kept arrays with an objective waiting for 400 s. */
     return job->ready_at + next_after_missed_s(longest_objective_s(settings), earliest_end_s);
 }
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -24,7 +24,7 @@
 
 static int compare_entries(gconstpointer left, gconstpointer right) {
     const struct priority_entry *first = left, *second = right;
-    /* A job that fails on every machine must not delay others. */
+    /* A suspect job is likely to fail again and must not delay others. */
     bool first_is_suspect = quarantine_job_suspect(first->job), second_is_suspect = quarantine_job_suspect(second->job);
     if (first_is_suspect != second_is_suspect) return second_is_suspect ? -1 : 1;
     if (first->within_guarantee != second->within_guarantee) return first->within_guarantee ? -1 : 1;
@@ -55,8 +55,8 @@
            (team->gpus <= 0 || demand->gpus[job->spec.team] <= team->gpus + PRIORITY_SUM_TOLERANCE);
 }
 
-/* Orders the jobs that match the filter; `jobs` are sorted oldest first. Jobs of other shards only add to the demand of
- * their team. */
+/* Orders the jobs that match the filter; `jobs` are sorted oldest first. A team's jobs in other shards only add to its
+ * demand. */
 static GArray *order_jobs(const GPtrArray *jobs, struct order_filter filter) {
     GArray *order = g_array_new(FALSE, FALSE, sizeof(struct priority_entry));
     struct team_demand demand = {{0}, {0}};
--- a/src/priority/priority_test.c
+++ b/src/priority/priority_test.c
@@ -44,13 +44,13 @@
     }
 }
 
-/* A job with an objective goes before a job of the same priority without one, even if that one is older, except shortly
- * before the other's default due time. */
+/* A job with an objective goes before a job of the same priority without one, even if that one is older, unless the
+ * default due time of the job without an objective comes first. */
 static void job_with_objective_goes_first(void **state) {
     (void)state;
     static const struct {
         const char *description;
-        double other_age_s, objective_age_s; /* of the jobs without and with an objective */
+        double other_age_s, objective_age_s; /* ages of the jobs without and with an objective */
         bool objective_job_first;
     } rows[] = {
         {"both jobs are equally old", 10, 10, true},
--- a/src/quarantine/quarantine.c
+++ b/src/quarantine/quarantine.c
@@ -9,11 +9,11 @@
 #include "../logging/logging.h"
 #include "../membership/membership.h"
 
-#define SUSPECT_MACHINES_MIN 2        /* a job that has failed on so many machines is suspect */
-#define FAULTY_JOBS_MIN 2             /* a machine on which so many jobs have failed is faulty */
+#define SUSPECT_MACHINES_MIN 2        /* a job that has failed on this many machines and completed no task is suspect */
+#define FAULTY_JOBS_MIN 2             /* a machine on which this many jobs have failed is faulty */
 #define REMEMBERED_FAILURES_MAX 8     /* machines remembered per job, and jobs per machine */
 #define UNSUSPECTED_RETRY_DELAY_S 1.0 /* for a job that is not suspect, per machine on which it has failed */
-#define FAILED_TRIES_MAX 16           /* enough for QUARANTINE_RETRY_DELAY_MAX_S */
+#define FAILED_TRIES_MAX 16           /* the delay reaches QUARANTINE_RETRY_DELAY_MAX_S before */
 
 double quarantine_retry_delay_s(int failed_tries) {
     return fmin(QUARANTINE_RETRY_DELAY_MAX_S, exp2(CLAMP(failed_tries, 1, FAILED_TRIES_MAX)));
@@ -62,7 +62,7 @@
     double delay_s = quarantine_retry_delay_s(job->failed_tries);
     retry_in(job, delay_s);
     chunks_mark_dirty(job, 0); /* the first allocation record stores the number of failed tries */
-    log_info("job %s: quarantined, its tasks fail on every machine, next try in %.0f s", job->spec.job_id, delay_s);
+    log_info("job %s: quarantined, its tasks fail on several machines, next try in %.0f s", job->spec.job_id, delay_s);
 }
 
 void quarantine_record_failure(struct job *job, struct machine *machine) {
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -18,27 +18,28 @@
 
 /* Records that a task of the job ended with an error on the machine, and sets the time of the next try (retry_at). */
 void quarantine_record_failure(struct job *job, struct machine *machine);
-/* Records that a task of the job completed, or that a replica of it has run for long: the job is not suspect. */
+/* Records that a task of the job completed, or that one of its replicas has run for a long time: the job is not
+ * suspect. */
 void quarantine_record_success(struct job *job);
 
-/* Whether the job fails on every machine. A suspect job gets one allocation at a time, preempts nothing, and no machine
- * is rented for it. */
+/* Returns whether the job is suspect. A suspect job gets one allocation at a time (a gang: all of its allocations at
+ * once), preempts nothing, and no machine is rented for it. */
 bool quarantine_job_suspect(const struct job *job);
-/* Whether a task of the job has failed on the machine since the job last completed a task. At most eight machines are
- * remembered. */
+/* Returns whether a task of the job has failed on the machine since the job last completed a task. At most eight
+ * machines are remembered. */
 bool quarantine_failed_on(const struct job *job, const struct machine *machine);
-/* The number of jobs that have failed on the machine and are not suspect. At most eight jobs are remembered. */
+/* Returns the number of jobs that have failed on the machine and are not suspect. At most eight jobs are remembered. */
 int quarantine_machine_failures(const struct machine *machine);
-/* Whether so many different jobs have failed on the machine that the machine is at fault. */
+/* Returns whether the machine is faulty: several jobs that are not suspect have failed on it. */
 bool quarantine_machine_faulty(const struct machine *machine);
 
-/* The number of failed tries to store in the job's first allocation record, for the next owner of the shard; 0 if the
- * job is not suspect or no longer queued. */
+/* Returns the number of failed tries to store in the job's first allocation record, for the next owner of the shard; 0
+ * if the job is not suspect or no longer queued. */
 int quarantine_tries_to_record(const struct job *job);
 /* Called when the job's first allocation record is read, with the number of failed tries in it. The owner of the job's
  * shard keeps its own count. */
 void quarantine_restore(struct job *job, int recorded_tries);
 
-/* The delay before the next try of a suspect job, after that many failed tries. Pure; called without the lock. */
+/* Returns the delay before the next try of a suspect job after this many failed tries. Pure; needs no lock. */
 double quarantine_retry_delay_s(int failed_tries);
 #endif
--- a/src/quarantine/quarantine_test.c
+++ b/src/quarantine/quarantine_test.c
@@ -1,4 +1,4 @@
-/* Tests whether the job, the machine or neither is found at fault when tasks fail. */
+/* Tests whether the job, the machine or neither is found to be at fault when tasks fail. */
 #include "quarantine/quarantine.h"
 
 #include <glib.h>
@@ -54,7 +54,7 @@
         {"two jobs on one machine, both also on other machines", "0a 1a 1b 0c", true, false, 0},
         {"a job that has completed a task is not suspect", "0a 0+ 0b", false, false, 1},
         {"a suspect job that completes a task is no longer suspect", "0a 0b 0+", false, false, 1},
-        {"it becomes suspect again only after failing on two more machines", "0a 0b 0+ 0c", false, false, 1},
+        {"that job becomes suspect again only after failing on two more machines", "0a 0b 0+ 0c", false, false, 1},
     };
     store_lock();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -89,8 +89,8 @@
     assert_true(quarantine_retry_delay_s(1) <= 2);
 }
 
-/* A suspect job is retried with one task, only after its retry delay and only on room that other jobs leave, and it
- * does not ask for machines. */
+/* A suspect job is retried with one task, only after its retry delay and only on room that other jobs leave, and no
+ * machine is rented for it. */
 static void suspect_job_is_retried_with_one_task(void **state) {
     (void)state;
     store_lock();
@@ -100,7 +100,8 @@
     int planned_waiting = owned_planned_tasks(waiting, jobs[0]->spec.job_id);
     scheduling_round_free(waiting);
     jobs[0]->retry_at = clock_now();
-    /* The two other jobs need all the machines: the suspect job gets no task, and does not ask for a machine either. */
+    /* The two other jobs need all the machines: the suspect job gets no task, and no machine is requested for it
+     * either. */
     struct scheduling_round *full = scheduling_round_decide(0, 20);
     int planned_full = owned_planned_tasks(full, jobs[0]->spec.job_id);
     bool unplaced = jobs[0]->unplaced;
@@ -136,7 +137,7 @@
     store_apply(key.text, value, owned_next_revision());
     cJSON_Delete(value);
     assert_false(allocations_chunk_dirty(job, 0));
-    /* Once another controller owns the shard, this one only has the record. */
+    /* Once another controller owns the shard, this one knows the number only from the record. */
     owned_put("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":77}");
     job->failed_tries = 0;
     owned_put(key.text, "{\"e\":5}");
--- a/src/rebalancing/donation.c
+++ b/src/rebalancing/donation.c
@@ -19,7 +19,7 @@
 #define COST_PER_RECENT_START 1
 #define COST_IMAGE_FETCH 3
 
-/* Returns whether a job of the shard waits for a machine and has at least the priority of the other shard's job. */
+/* Returns whether a job of the shard found no room and has at least the priority of the other shard's job. */
 static bool own_job_first(int shard, const struct job *other_job) {
     const GPtrArray *jobs = jobs_active_in_shard(shard);
     for (guint i = 0; i < jobs->len; i++) {
@@ -30,8 +30,8 @@
 }
 
 /* Like own_job_first, but counts only jobs within their teams' guarantees. A job of a divided team may be in a shard
- * with few machines. If all jobs counted, it would wait forever, though within its guarantee, while the shard with the
- * machines has jobs waiting beyond their guarantees. */
+ * with few machines, while jobs beyond their teams' guarantees wait in the shard with the machines. If these counted,
+ * the job would wait forever although it is within its team's guarantee. */
 static bool own_guaranteed_job_first(int shard, const struct job *other_job) {
     GArray *order = priority_order_shard(shard);
     bool own_first = false;
@@ -48,8 +48,8 @@
     return claims_guarantee ? own_guaranteed_job_first(shard, entry->job) : own_job_first(shard, entry->job);
 }
 
-/* Returns whether the machine is up and reachable, has been owned long enough, and is neither changed by this round nor
- * about to leave the shard. */
+/* Returns whether the machine is up and recently heard, has been owned long enough, and is neither changed by this
+ * round nor about to leave the shard. */
 static bool is_settled(struct machine *machine) {
     if (machine->round.dirty || clock_seconds_since(machine->owned_since) < OWNED_MIN_S ||
         machine->rebalance.target_shard >= 0 || !machine->liveness.up || !machines_owned(machine) || !machine->type)
@@ -84,14 +84,14 @@
 struct machine *donation_choose_machine(int shard, const struct priority_entry *entry) {
     const struct job *job = entry->job;
     if (keeps_machines(shard, entry)) return NULL;
-    struct machine *best = NULL, *reception = placement_reception_machine(shard);
+    struct machine *best = NULL, *reception_machine = placement_reception_machine(shard);
     double best_cost = 0;
     const char *zone = placement_job_zone(job);
     const GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len; i++) {
         struct machine *machine = machines->pdata[i];
-        if (machine == reception || !is_settled(machine) || !planned_machine_type_fits(&job->spec, machine->type) ||
-            !placement_allowed(machine, job, zone, NULL))
+        if (machine == reception_machine || !is_settled(machine) ||
+            !planned_machine_type_fits(&job->spec, machine->type) || !placement_allowed(machine, job, zone, NULL))
             continue;
         if (!is_surplus(shard, machine, entry) || !can_be_emptied(machine, entry)) continue;
         double cost = donation_cost(machine, job);
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -18,9 +18,9 @@
 
 static const struct settings *rebalancing_settings;
 
-/* A machine on which this round allocates or releases tasks is refused: its list does not hold the planned tasks yet.
- * Once a machine was transferred together with a task of the old shard, which no longer counted against its team's
- * limit. */
+/* A machine on which this round allocates or releases tasks is not transferred, because its list of allocations does
+ * not hold the planned tasks yet. Without this check, a task of the old shard moved to the new shard with its machine,
+ * and no longer counted against its team's limit. */
 bool rebalancing_transfer_allowed(const struct machine *machine) {
     return machine->rebalance.target_shard >= 0 && machine->allocations->len == 0 && machine->page >= 0 &&
            !machine->round.dirty && !machine->commands.start_outcome_unknown && !machine->commands.in_flight &&
@@ -58,7 +58,7 @@
     }
 }
 
-/* Starts the transfer of one machine if a job of the other shard waits for a machine and this shard can spare one. */
+/* Begins the transfer of one machine if a job of the other shard waits for one and this shard can spare one. */
 static void transfer_to_shard(int shard, int other_shard) {
     static const enum waiting_job_kind job_kinds[] = {WAITING_JOB_ON_DEMAND_ONLY, WAITING_JOB_ALLOWING_SPOT};
     for (size_t i = 0; i < G_N_ELEMENTS(job_kinds); i++) {
--- a/src/rebalancing/rebalancing_test.c
+++ b/src/rebalancing/rebalancing_test.c
@@ -52,7 +52,7 @@
         int expected; /* shard to which the second machine is transferred; -1: none */
     } rows[] = {
         {"the spare machine is idle", "normal", true, false, 1},
-        {"the job became eligible just now", "normal", false, false, -1},
+        {"the job has just become eligible", "normal", false, false, -1},
         {"a job of the same priority waits in shard 0", "normal", true, true, -1},
         {"the job has a higher priority than the job that waits in shard 0", "high", true, true, 1},
     };
--- a/src/rebalancing/waiting_job.c
+++ b/src/rebalancing/waiting_job.c
@@ -68,8 +68,8 @@
     return planned_machines;
 }
 
-/* Reserves room for the tasks of the job and returns whether all of them fit. Each machine is examined once: examining
- * all machines for each task of an array of 25,000 tasks took more processor time than everything else. */
+/* Reserves room for the tasks of the job and returns whether all of them fit. Each machine is examined once: when all
+ * machines were examined for each task of an array of 25,000 tasks, that took most of the processor time. */
 static bool reserve_all(GArray *planned_machines, const struct job *job, int tasks) {
     const char *zone = placement_job_zone(job);
     for (guint i = 0; i < planned_machines->len && tasks > 0; i++) {
@@ -80,10 +80,11 @@
     return tasks <= 0;
 }
 
-/* Returns whether a limit of the team, or of the shard's part of it, keeps the tasks from starting on any machine. */
+/* Returns whether the team's limit, or the shard's part of it, keeps the tasks from starting on any machine. */
 static bool blocked_by_limit(const struct settings *settings, const struct job *job, int tasks) {
     if (!quota_allows_tasks(job, tasks)) return true;
     const struct settings_team *team = &settings->teams[job->spec.team];
+    /* The guarantee plus the excess over it is the team's usage. */
     return team->gpus_max > 0 &&
            preemption_guarantee_excess(job->spec.team) + team->gpus + tasks * job->spec.gpus > team->gpus_max;
 }
@@ -93,7 +94,8 @@
     if (job->spec.allows_spot != (waiting_kind == WAITING_JOB_ALLOWING_SPOT) || quarantine_job_suspect(job) ||
         clock_seconds_since(job->eligible_since) < ELIGIBLE_MIN_S)
         return 0;
-    /* For a job that allows spot machines and has no objective, no machine is kept: a surplus one is returned. */
+    /* No machine is transferred for a job that allows spot machines and has no objective: a surplus one is returned to
+     * the cloud. */
     if (job->spec.allows_spot && !priority_has_objective(job)) return 0;
     int n_missing = allocations_missing_tasks(job), n_at_once = job->spec.kind == JOB_ARRAY ? 1 : n_missing;
     return n_missing <= 0 || blocked_by_limit(settings, job, n_at_once) ? 0 : n_missing;
--- a/src/scheduler/isolation.h
+++ b/src/scheduler/isolation.h
@@ -7,14 +7,15 @@
 
 /* State of the detection. Used by the scheduler's thread only. */
 struct isolation_watch {
-    struct timespec workers_last_heard; /* when enough workers last sent heartbeats, or the store was unreachable */
+    /* When enough workers last sent heartbeats, or the last store read was too old. */
+    struct timespec workers_last_heard;
 };
 
 /* Initializes the detection: the workers count as heard now. */
 void isolation_watch_start(struct isolation_watch *watch);
 
 /* Called with store_lock held. Records in membership that this controller is isolated, so that other controllers take
- * over its shards: at once if none of many machines sends anything, after a heartbeat interval if most send no
- * heartbeats. */
+ * over its shards: at once if liveness_controller_isolated finds it isolated, otherwise after a heartbeat interval in
+ * which most machines sent no heartbeats. */
 void isolation_watch_check(struct isolation_watch *watch, const struct liveness_summary *summary);
 #endif
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -12,7 +12,7 @@
 #include "../quota/quota.h"
 #include "planning.h"
 
-#define PREEMPTION_INTERVAL_S 3 /* time for preempted tasks to stop */
+#define PREEMPTION_INTERVAL_S 3 /* between preemptions for one job, so that preempted tasks can stop */
 
 int64_t planning_last_attempt(int shard) {
     return attempt_number(shard_states[shard].fencing_token, shard_states[shard].attempt_counter);
@@ -40,7 +40,8 @@
 
 static bool is_retry_delayed(const struct job *job) { return clock_seconds_since(job->retry_at) < 0; }
 
-/* A suspect job, which fails on every machine, is tried with one task at a time, or as a whole if it is a gang. */
+/* Returns how many tasks of the job this round may place. A suspect job is tried with one task at a time, or as a whole
+ * if it is a gang. */
 static int tasks_to_place(const struct job *job) {
     int missing = allocations_missing_tasks(job);
     if (!quarantine_job_suspect(job) || job->spec.kind == JOB_GANG) return missing;
@@ -51,25 +52,25 @@
     return spec->kind == JOB_ARRAY && !spec->machine_types && !spec->zone && !spec->single_zone && !spec->spread;
 }
 
-/* Returns whether a task of `spec` needs at least the resources of a task of `other`, and can use no other machines. */
+/* Returns whether a task of `spec` needs at least the resources of a task of `other`, and can't use spot machines
+ * unless that task can. */
 static bool requests_at_least(const struct job_spec *spec, const struct job_spec *other) {
     return other->allows_spot >= spec->allows_spot && other->vcpus <= spec->vcpus && other->gpus <= spec->gpus &&
            other->memory_gb <= spec->memory_gb;
 }
 
-static bool is_unplaceable(const struct unplaceable_specs *unplaceable_jobs, const struct job_spec *spec) {
+static bool is_unplaceable(const struct unplaceable_specs *unplaceable, const struct job_spec *spec) {
     if (!is_unconstrained(spec)) return false;
-    for (guint i = 0; i < unplaceable_jobs->n; i++)
-        if (requests_at_least(spec, unplaceable_jobs->specs[i])) return true;
+    for (guint i = 0; i < unplaceable->n; i++)
+        if (requests_at_least(spec, unplaceable->specs[i])) return true;
     return false;
 }
 
-static void add_unplaceable(struct unplaceable_specs *unplaceable_jobs, const struct job_spec *spec) {
-    if (is_unconstrained(spec) && unplaceable_jobs->n < UNPLACEABLE_SPECS_MAX)
-        unplaceable_jobs->specs[unplaceable_jobs->n++] = spec;
+static void add_unplaceable(struct unplaceable_specs *unplaceable, const struct job_spec *spec) {
+    if (is_unconstrained(spec) && unplaceable->n < UNPLACEABLE_SPECS_MAX) unplaceable->specs[unplaceable->n++] = spec;
 }
 
-/* Sums each team's usage of this shard. Unless a team is divided, this is its whole usage. Released allocations don't
+/* Sums each team's usage of this shard, which is its whole usage unless the team is divided. Released allocations don't
  * count: their tasks are proven to be absent or ended. */
 static void sum_team_usage(int shard, struct team_usage *usage) {
     const GPtrArray *lists[] = {jobs_active_in_shard(shard), jobs_ended_in_shard(shard)};
@@ -84,7 +85,7 @@
     }
 }
 
-/* Counts the tasks to place of each job, and clears `unplaced` of jobs without any. The caller frees the array. */
+/* Counts the tasks to place for each job, and clears `unplaced` of the jobs without any. The caller frees the array. */
 static int *count_missing(const GArray *order) {
     int *missing = g_new0(int, order->len + 1);
     for (guint i = 0; i < order->len; i++) {
@@ -172,11 +173,11 @@
 
 static void plan_job(struct planning_pass *pass, const struct priority_entry *entry, int missing) {
     struct job *job = entry->job;
-    bool *fit_nowhere = &shard_states[pass->round->shard].has_unplaced_tasks;
+    bool *has_unplaced_tasks = &shard_states[pass->round->shard].has_unplaced_tasks;
     subtract_capacity(&pass->capacity_left, job, missing);
     if (!planning_may_preempt(entry) && is_unplaceable(&pass->unplaceable, &job->spec)) {
         job->unplaced = !quarantine_job_suspect(job);
-        *fit_nowhere |= job->unplaced;
+        *has_unplaced_tasks |= job->unplaced;
         return;
     }
     guint plans_before = pass->round->planned_tasks->len;
@@ -186,10 +187,10 @@
     pass->scarce_quota_reserved[job->spec.team] |= quota_reserves_for(job);
     if (job->unplaced) add_unplaceable(&pass->unplaceable, &job->spec);
     if (quarantine_job_suspect(job)) job->unplaced = false; /* it waits for room, but no machine is rented for it */
-    *fit_nowhere |= job->unplaced;
+    *has_unplaced_tasks |= job->unplaced;
 }
 
-/* Returns whether the job has no task to place, or has to wait for a retry or for quota that is reserved for another
+/* Returns whether the job has no task to place, or has to wait for its retry or for quota that is reserved for another
  * job. */
 static bool is_skipped(const struct planning_pass *pass, const struct job *job, int missing) {
     return missing <= 0 || is_retry_delayed(job) ||
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -54,8 +54,7 @@
     return false;
 }
 
-/* Returns whether the machine still lists the task under this attempt. It would ignore a directive to start it again.
- */
+/* Returns whether the machine still lists the task under this attempt, so that it would ignore a new start. */
 static bool lists_attempt(const struct machine *machine, const struct job *job, int task, int64_t attempt) {
     char name[G_SIZEOF_MEMBER(struct unknown_task, task)];
     snprintf(name, sizeof name, "%s/%d", job->spec.job_id, task);
@@ -83,7 +82,8 @@
     return true;
 }
 
-/* Replaces the tasks that a gang lost before its start, so that its other tasks need not fetch and wait again. */
+/* Replaces the tasks that a gang lost before its start, so that its other tasks need not fetch their image and wait
+ * again. */
 static bool replace_lost_tasks(struct planning_pass *pass, struct job *job) {
     int64_t attempt = allocations_open_gang_attempt(job);
     int lost = job->spec.tasks - allocations_count(job);
@@ -110,11 +110,13 @@
     return reserved;
 }
 
-/* Reserves the free room for a gang that doesn't fit, and preempts other tasks for the rest of the gang. */
+/* Reserves the free room for a gang that doesn't fit, and preempts other tasks for the rest of the gang if that makes
+ * enough room. */
 static void make_room_for_gang(struct planning_pass *pass, const struct priority_entry *entry) {
     struct job *job = entry->job;
     struct gang_zone best_zone = preemption_gang_zone(entry, pass->machines);
     bool enough_with_preemption = best_zone.tasks_with_preemption >= job->spec.tasks;
+    /* If preemption can't make enough room, the gang waits in the zone in which machines are rented for it. */
     const char *zone = !enough_with_preemption && job->zone ? job->zone : best_zone.name;
     int reserved = reserve_room(pass, job, zone);
     /* Preempting tasks for a part of the gang would be useless: a gang starts as a whole. */
--- a/src/scheduler/plan_tasks.c
+++ b/src/scheduler/plan_tasks.c
@@ -12,14 +12,14 @@
 #define PREEMPTIONS_PER_JOB_MAX 32 /* the most tasks of a job for which one round preempts others */
 
 #define ALLOCATION_ENTRY_BYTES 15 /* size of an allocation in a chunk's record, without the machine's id */
-#define RECORD_OVERHEAD_BYTES 64  /* size of a chunk's record without allocations and done tasks */
+#define RECORD_OVERHEAD_BYTES 64  /* size of a chunk's record without its allocations and done bits */
 #define DONE_TASKS_PER_BYTE 4.0   /* tasks whose done bits take one byte of a chunk's record */
 #define TASK_BITS_PER_BYTE 8      /* tasks whose bits take one byte in memory */
 
 /* The chunk whose tasks are being placed, and the number of allocations that its record is to hold. */
 struct chunk_fill {
     int chunk_size;
-    int chunk; /* -1: no task was placed yet */
+    int chunk; /* -1: no task has been placed yet */
     int entries;
 };
 
@@ -46,7 +46,7 @@
     return fill->entries * entry_bytes + done_bytes + RECORD_OVERHEAD_BYTES <= allocations_value_bytes_max();
 }
 
-/* Preempts other tasks to make room for so many tasks of the job. Returns true if any is preempted. */
+/* Preempts other tasks to make room for up to `tasks` tasks of the job. Returns true if any task is preempted. */
 static bool preempt_for_tasks(struct planning_pass *pass, const struct priority_entry *entry, int tasks) {
     if (!planning_may_preempt(entry)) return false;
     int tasks_with_room = 0;
--- a/src/scheduler/planning.h
+++ b/src/scheduler/planning.h
@@ -14,7 +14,8 @@
 
 #define PLANNED_TASKS_MAX 600 /* the most tasks that one round plans */
 
-/* Free resources of the machines with room, less the requests of the jobs visited so far. */
+/* Free resources of the machines with room, less the requests of the jobs visited so far. Negative if these request
+ * more. */
 struct free_capacity {
     double vcpus, gpus;
 };
--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -75,7 +75,7 @@
     round->has_deferred_work |= progress->len > 0 && round->writes_left <= 0;
 }
 
-/* Stages changes in the order of urgency: completions of prerequisites, other completions (users wait for them),
+/* Stages changes in order of urgency: completions of prerequisites, other completions (users wait for them),
  * machines, starts, other progress. */
 static void decide(struct scheduling_round *round) {
     placement_prepare_machines(round->shard);
@@ -108,8 +108,8 @@
     return round;
 }
 
-/* Called once a chunk of the job's allocations is committed: the round's allocations no longer count as inherited, and
- * their machines are sent directives. */
+/* Called once a chunk of the job's allocations is committed: allocations made in this round no longer count as
+ * inherited, and their machines are sent directives. */
 static void allow_starts(const struct scheduling_round *round, const struct job *job) {
     for (guint i = 0; i < job->allocations->len; i++) {
         struct allocation *allocation = job->allocations->pdata[i];
--- a/src/scheduler/round.h
+++ b/src/scheduler/round.h
@@ -1,6 +1,6 @@
 /* A scheduling round of a shard's owner. The round is decided with store_lock held and without I/O. Its transactions
- * are sent without the lock, and each is applied to the mirror, with the lock held, once the store has committed it.
- * Internal to the package and its tests; the program calls these functions from the scheduler's thread. */
+ * are sent without store_lock, and each is applied to the mirror, with store_lock held, once the store has committed
+ * it. Internal to the package and its tests; the program calls these functions from the scheduler's thread. */
 #ifndef FF_SCHEDULER_ROUND_H
 #define FF_SCHEDULER_ROUND_H
 #include <glib.h>
@@ -24,12 +24,12 @@
     GPtrArray *transactions;         /* struct store_txn, in the order of sending */
     int writes_left;                 /* writes that the store's budget still allows */
     int64_t last_attempt;            /* the highest attempt number issued before this round */
-    bool has_deferred_work;          /* another round is to follow at once and do the rest */
-    bool one_record_per_transaction; /* since the store recently rejected a transaction as invalid */
+    bool has_deferred_work;          /* another round has to follow at once and do the rest */
+    bool one_record_per_transaction; /* because the store has recently rejected a transaction as invalid */
 };
 
 /* Decides, sends and applies a round of the shard, if this controller owns it. Returns true if another round should
- * follow at once. Called without the lock. */
+ * follow at once. Called without store_lock. */
 bool scheduling_round_run(struct http_client *client, int shard);
 
 /* The following functions are called with store_lock held. */
@@ -39,7 +39,7 @@
 /* Applies a transaction of the round, which the store has committed at this revision, to the mirror. */
 void scheduling_round_apply(const struct scheduling_round *round, const struct store_txn *transaction,
                             int64_t revision);
-/* May be called without the lock as well: only the scheduler's thread uses the round. */
+/* May also be called without store_lock: only the scheduler's thread uses the round. */
 void scheduling_round_free(struct scheduling_round *round);
 
 /* Plans missing tasks on machines with room, in the order of priority, and preempts tasks where there is no room. */
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -58,14 +58,14 @@
     store_wake_watch();
 }
 
-/* The store has not carried out the transaction. For a while, records don't share transactions, so that an invalid
- * record doesn't affect others; a record that was rejected alone is skipped for REJECTED_KEY_PAUSE_S. */
+/* Handles a transaction that the store has rejected as invalid. For a while, records don't share transactions, so that
+ * an invalid record doesn't affect others; a record that was rejected alone is skipped for REJECTED_KEY_PAUSE_S. */
 static void handle_invalid(const struct scheduling_round *round, const struct store_txn *transaction) {
     if (round->one_record_per_transaction || transaction->writes == 1) rejected_keys_add(transaction);
     shard_states[round->shard].one_record_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
 }
 
-/* Sends one transaction. Returns false if the following ones must not be sent. */
+/* Sends one transaction. Returns false if the round's following transactions must not be sent. */
 static bool send_transaction(struct http_client *client, const struct scheduling_round *round,
                              struct store_txn *transaction) {
     struct store_response response;
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,5 +1,5 @@
-/* The control loop of a controller: runs the scheduling rounds that place waiting tasks, and checks the machines, of
- * each shard that it owns. It has its own thread, which EVENT_SCHEDULE wakes. */
+/* The control loop of a controller. For each shard that the controller owns, it runs scheduling rounds, which place
+ * waiting tasks, and checks the machines. The loop has its own thread, which EVENT_SCHEDULE wakes. */
 #ifndef FF_SCHEDULER_H
 #define FF_SCHEDULER_H
 #include "../settings/settings.h"
@@ -8,6 +8,6 @@
  * which must outlive the process's threads. */
 void scheduler_init(const struct settings *settings);
 
-/* Starts the control loop's thread, which runs until the process ends. Called without the lock. */
+/* Starts the control loop's thread, which runs until the process ends. Called without store_lock. */
 void scheduler_start(void);
 #endif
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -1,4 +1,5 @@
-/* Tests of the owner's decisions for a shard, without cloud and workers. A stand-in for the store assigns the shard. */
+/* Tests of the owner's decisions for a shard, without cloud and workers. A stand-in for the store makes this controller
+ * the owner. */
 #include <glib.h>
 #include <stdbool.h>
 #include <string.h>
@@ -31,8 +32,8 @@
     return largest;
 }
 
-/* A gang is placed in one zone or not at all, whole machines are reserved for it, and tasks are preempted only if that
- * makes enough room. */
+/* A gang is placed as a whole or not at all, and in one zone if it is bound to one. If it does not fit, free room is
+ * reserved for it, and tasks are preempted only if that makes enough room. */
 static void gang_is_placed_whole_or_not_at_all(void **state) {
     (void)state;
     static const struct {
@@ -176,18 +177,18 @@
     shard_states[0].owned_since = (struct timespec){0, 0};
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
         struct machine *fleet[32];
-        char id[32], gang_id[32], rest_id[32];
+        char id[32], gang_id[32], service_id[32];
         g_snprintf(gang_id, sizeof gang_id, "req-6100%zu", row);
-        g_snprintf(rest_id, sizeof rest_id, "req-6200%zu", row);
+        g_snprintf(service_id, sizeof service_id, "req-6200%zu", row);
         int total = rows[row].busy + rows[row].empty, n_requested = 0;
         for (int n = 0; n < total; n++) {
             g_snprintf(id, sizeof id, "i-8%03d", n);
             fleet[n] = owned_machine(id, zones[n % 3], false);
         }
         struct job *gang = owned_job(gang_id, "group", "high", 1, 14, 2, true, false, rows[row].gang_age_s);
-        struct job *rest = owned_job(rest_id, "standing", "high", rows[row].busy - 1, 14, 2, false, false, 600);
+        struct job *service = owned_job(service_id, "standing", "high", rows[row].busy - 1, 14, 2, false, false, 600);
         owned_allocate(gang, fleet, 1);
-        owned_allocate(rest, fleet + 1, rows[row].busy - 1);
+        owned_allocate(service, fleet + 1, rows[row].busy - 1);
         scheduling_round_free(scheduling_round_decide(0, 20));
         struct rental_request requests[16];
         int n = scale_out_plan(requests, 16);
@@ -217,7 +218,7 @@
         int n_silent;   /* of the machines in za */
         double silence_s;
         int unanswered_probes;
-        bool has_tasks, tasks_seen;
+        bool has_tasks, was_listed;
         int returned; /* expected number of machines returned */
     } rows[] = {
         {"two probes unanswered", 30, 30, 1, 6, 2, true, true, 1},
@@ -248,14 +249,14 @@
             set_last_heard(fleet[n], rows[row].silence_s);
             fleet[n]->liveness.unanswered_probes = rows[row].unanswered_probes;
             for (guint k = 0; k < fleet[n]->allocations->len; k++)
-                ((struct allocation *)fleet[n]->allocations->pdata[k])->was_listed = rows[row].tasks_seen;
+                ((struct allocation *)fleet[n]->allocations->pdata[k])->was_listed = rows[row].was_listed;
         }
         struct liveness_summary summary = liveness_summary();
         liveness_check_machines(0, &summary);
         for (int n = 0; n < total; n++) n_returned += fleet[n]->retirement.return_wanted;
-        /* One machine of the zone is heard again: the others must get time to send heartbeats as well. */
+        /* Once one machine of the zone is heard again, the others must get time to send heartbeats as well. */
         bool grace_kept = true;
-        if (rows[row].n_silent == rows[row].n_za && rows[row].n_zb && rows[row].tasks_seen && rows[row].returned == 0) {
+        if (rows[row].n_silent == rows[row].n_za && rows[row].n_zb && rows[row].was_listed && rows[row].returned == 0) {
             fleet[0]->liveness.last_heard = fleet[0]->liveness.last_heartbeat = clock_now();
             liveness_check_machines(0, &summary);
             for (int n = 0; n < total; n++) grace_kept &= !fleet[n]->retirement.return_wanted;
@@ -265,13 +266,13 @@
         store_unlock();
         if (n_returned != rows[row].returned) fail_msg("%s: %d machines returned", rows[row].description, n_returned);
         if (!grace_kept) fail_msg("%s: machines returned after the zone is reachable again", rows[row].description);
-        /* Resets liveness's state of zones for the next row. */
+        /* Marks all zones as reachable for the next row. */
         liveness_init(&cfg);
     }
 }
 
 /* In a deployment of 4,500 machines, a round examines only machines with room, and only for missing tasks. The cost is
- * counted in machines examined, not in time. */
+ * measured in machines examined, not in time. */
 static void planning_examines_only_machines_with_room(void **state) {
     (void)state;
     enum { FLEET = 4500, JOBS = 225, TASKS = 38 };
@@ -283,7 +284,7 @@
         struct machine *hosts[TASKS];
         g_snprintf(job_id, sizeof job_id, "req-7%05d", job_index);
         struct job *job = owned_job(job_id, "batch", "normal", TASKS, 8, 1, false, true, 30);
-        for (int t = 0; t < TASKS; t++) hosts[t] = fleet[(job_index * TASKS + t) / 2];
+        for (int task = 0; task < TASKS; task++) hosts[task] = fleet[(job_index * TASKS + task) / 2];
         owned_allocate(job, hosts, TASKS);
     }
     /* 4,275 machines are full, 225 have room, and 40 tasks are new. */
@@ -294,7 +295,7 @@
     assert_int_equal(owned_planned_tasks(round, NULL), 40);
     if (placement_machines_examined() - examined_before > 40 * 230)
         fail_msg("%lu machines examined", placement_machines_examined() - examined_before);
-    assert_int_equal(round_writes(round), 1); /* of one chunk, however many machines it names */
+    assert_int_equal(round_writes(round), 1); /* the record of one chunk, however many machines it names */
     scheduling_round_free(round);
     /* Without missing tasks, no machine is examined. */
     owned_put("run/req-790001/0", NULL);
--- a/src/scheduler/stage_pages.c
+++ b/src/scheduler/stage_pages.c
@@ -14,7 +14,7 @@
 #include "round.h"
 #include "transactions.h"
 
-#define MIGRATION_TARGET_PAGES_MAX 2 /* pages that a round fills with machines from oversized pages */
+#define MIGRATION_TARGET_PAGES_MAX 2 /* pages that one round may fill with machines from oversized pages */
 #define DEFERRED_WRITE_INTERVAL_S 2  /* time between deferred writes */
 
 /* Flags: when and how a round writes a page. */
@@ -30,7 +30,7 @@
     bool write_deferred;               /* deferred writes are due */
     uint8_t needs[MACHINE_PAGES_MAX];  /* enum page_need, for each page */
     bool oversized[MACHINE_PAGES_MAX]; /* the page is too large for the store's next limit */
-    struct shard_page_usage fills;
+    struct shard_page_usage usage;
     int64_t fencing_token; /* new token of machines that are raised or transferred */
     int raise_writes;      /* writes of the transaction that raises tokens, including the fencing counter */
     bool has_raises;
@@ -53,15 +53,15 @@
 
 enum migration_scope { MIGRATE_CHANGING_RECORDS, MIGRATE_ALL };
 
-/* Assigns machines on oversized pages to other pages. Returns false if the round may fill no more pages, or all are
- * full. */
+/* Assigns machines on oversized pages to other pages. Returns false if all pages are full or the round may not fill
+ * another one. */
 static bool plan_migrations(struct page_plan *plan, enum migration_scope scope, bool *is_target, int *n_targets) {
     const GPtrArray *machines = machines_of_shard(plan->shard);
     for (guint i = 0; i < machines->len; i++) {
         struct machine *machine = machines->pdata[i];
         if (!needs_migration(plan, machine)) continue;
         if (scope == MIGRATE_CHANGING_RECORDS && !record_is_about_to_change(machine)) continue;
-        int target_page = machines_assign_page(&plan->fills, machine->id);
+        int target_page = machines_assign_page(&plan->usage, machine->id);
         if (target_page < 0 || (!is_target[target_page] && *n_targets == MIGRATION_TARGET_PAGES_MAX)) return false;
         *n_targets += !is_target[target_page];
         is_target[target_page] = true;
@@ -80,8 +80,8 @@
     if (plan->write_deferred) plan_migrations(plan, MIGRATE_ALL, is_target, &n_targets);
 }
 
-/* Plans to raise the machine's fencing token, or to transfer the machine to another shard, if the transaction for
- * raises has room. */
+/* Plans to raise the machine's fencing token, or to transfer the machine to another shard, if the transaction that
+ * raises tokens has room. */
 static void plan_token_raise(struct page_plan *plan, struct machine *machine, int page) {
     bool transfer = rebalancing_transfer_allowed(machine);
     if (!transfer && !machine->commands.needs_token_raise) return;
@@ -99,8 +99,8 @@
     int page = machines_planned_page(machine);
     if (!is_valid_page(page) || plan->oversized[page]) return;
     plan_token_raise(plan, machine, page);
-    /* Tasks on the machine can only start elsewhere after its return, so that is recorded at once. Idle machines are
-     * returned many at a time, and their writes are deferred to avoid a page write for each. */
+    /* The machine's tasks can start elsewhere only after its return, so the return is recorded at once. Idle machines
+     * are returned many at a time, and their writes are deferred to avoid a page write for each. */
     if (machine->retirement.return_wanted && !machine->retirement.returning)
         plan->needs[page] |= machine->allocations->len > 0 ? PAGE_WRITE_NOW : PAGE_WRITE_DEFERRED;
     if (machine->retirement.released || machine->address_unrecorded) plan->needs[page] |= PAGE_WRITE_DEFERRED;
@@ -116,7 +116,7 @@
             continue;
         }
         if (n_arrivals++ >= scheduler_settings->txn_ops / 2) continue;
-        machine->round.next_page = machines_assign_page(&plan->fills, machine->id);
+        machine->round.next_page = machines_assign_page(&plan->usage, machine->id);
         if (machine->round.next_page >= 0) plan->needs[machine->round.next_page] |= PAGE_WRITE_NOW;
     }
 }
@@ -139,7 +139,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct unregistered_machine *machine = value;
         if (machine->shard != plan->shard) continue;
-        machine->page = machines_assign_page(&plan->fills, machine->id);
+        machine->page = machines_assign_page(&plan->usage, machine->id);
         if (machine->page >= 0) plan->needs[machine->page] |= PAGE_WRITE_NOW;
     }
 }
@@ -237,7 +237,7 @@
     if (plan->write_deferred) *compacted_at = clock_now();
     machines_find_oversized_pages(shard, plan->oversized);
     reset_unregistered_pages(shard);
-    machines_measure_pages(shard, &plan->fills);
+    machines_measure_pages(shard, &plan->usage);
 }
 
 void scheduling_round_stage_pages(struct scheduling_round *round) {
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -19,7 +19,7 @@
 
 #define NEXT_TXN_OPS 4
 #define NEXT_VALUE_BYTES 2048
-#define ROUNDS_MAX 40        /* all changes have to be recorded after so many rounds */
+#define ROUNDS_MAX 40        /* all changes have to be recorded within this many rounds */
 #define WIDE_ARRAY_TASKS 160 /* tasks in one record of the first version */
 #define OLD_PAGE_MACHINES 31 /* machines on a page that the first version filled */
 
@@ -130,12 +130,12 @@
     store_lock();
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char id[32];
-        for (int m = 0; m < 40; m++) {
-            g_snprintf(id, sizeof id, "i-%06d", m);
+        for (int machine = 0; machine < 40; machine++) {
+            g_snprintf(id, sizeof id, "i-%06d", machine);
             owned_machine(id, "za", false);
         }
         char job_id[32];
-        g_snprintf(job_id, sizeof job_id, "req-%zu", 20000 + i); /* a new id: final states never change */
+        g_snprintf(job_id, sizeof job_id, "req-%zu", 20000 + i); /* a new id, since a job's final state never changes */
         struct job *job = owned_job(job_id, rows[i].kind, "high", rows[i].tasks, 0.1, 0, false, false, 5);
         run_rounds_until_settled(rows[i].description);
         if (allocations_count(job) != rows[i].tasks)
@@ -146,7 +146,7 @@
 }
 
 /* A record of the first version that exceeds the next limit is replaced by smaller ones in one transaction. Its job
- * keeps all allocations, and its records are removed when it ends. */
+ * keeps all allocations, and the records are removed when the job ends. */
 static void wide_record_is_replaced_by_smaller_records(void **state) {
     (void)state;
     struct machine *hosts[OLD_PAGE_MACHINES];
@@ -169,10 +169,10 @@
     assert_int_equal(job->state, JOB_DONE);
     assert_int_equal(job->n_recorded_chunks, 0);
     assert_int_equal(job->allocations->len, 0);
-    /* The same for an array that is cancelled meanwhile. */
+    /* The records of an array that is cancelled before its tasks end are removed as well. */
     struct job *cancelled_job = put_old_wide_array("req-10011", hosts, n);
-    owned_put("job/req-10011",
-              "{\"spec\":{\"uid\":\"req-10011\"},\"state\":\"cancelled\",\"at\":1}"); /* no spec needed */
+    /* The record of a cancelled job needs only the id in its spec. */
+    owned_put("job/req-10011", "{\"spec\":{\"uid\":\"req-10011\"},\"state\":\"cancelled\",\"at\":1}");
     assert_int_equal(cancelled_job->state, JOB_CANCELLED);
     end_allocations(cancelled_job, 2);
     run_rounds_until_settled("the end of half of a cancelled array");
--- a/src/scheduler/transactions.c
+++ b/src/scheduler/transactions.c
@@ -37,7 +37,8 @@
     return transaction;
 }
 
-/* The store would reject the same write again, and other writes must not wait for it, so rounds skip these keys. */
+/* Until when rounds skip a key whose write the store has rejected. The store would reject the same write again, and
+ * other writes must not wait for it. */
 static GHashTable *rejected_until; /* key -> struct timespec; NULL: no key was rejected yet */
 
 bool rejected_keys_contain(const char *key) {
--- a/src/scheduler/transactions.h
+++ b/src/scheduler/transactions.h
@@ -1,15 +1,15 @@
 /* The transactions of a scheduling round, and the keys that rounds skip because the store has rejected their writes.
- * Called from the scheduler's thread with store_lock held, except for rejected_keys_add, which is called without the
- * lock while transactions are sent. */
+ * Called from the scheduler's thread with store_lock held, except for rejected_keys_add, which is called without
+ * store_lock while transactions are sent. */
 #ifndef FF_SCHEDULER_TRANSACTIONS_H
 #define FF_SCHEDULER_TRANSACTIONS_H
 #include <stdbool.h>
 
 #include "round.h"
 
-/* Returns a transaction with room for so many more writes and comparisons, and deducts the writes from the round's
- * budget: the round's last transaction, or a new one if that is full. A new one compares the mod revision of the
- * shard's record, and so fails if that record has changed. The round owns the transaction. */
+/* Returns the round's last transaction, or a new one if the last has no room for so many more writes and comparisons.
+ * Deducts the writes from the round's budget. A new transaction compares the mod revision of the shard's record, so it
+ * fails if that record has changed. The round owns the transaction. */
 struct store_txn *transactions_reserve(struct scheduling_round *round, int writes, int comparisons);
 
 /* GDestroyNotify of scheduling_round.transactions. */
