--- a/tests/standin/owned.c
+++ b/tests/standin/shard_owner.c
@@ -1,4 +1,4 @@
-#include "owned.h"
+#include "shard_owner.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -13,22 +13,22 @@
 #include "machines/page_assignment.h"
 #include "machines/records.h"
 #include "settings/settings.h"
-#include "site.h"
 #include "store.h"
 #include "store/keys.h"
+#include "test_settings.h"
 
-#define FIRST_REVISION 1000000 /* above all that the store gives in a test */
+#define FIRST_REVISION 1000000 /* above all revisions of the stand-in of the store */
 #define FIRST_MACHINE 100000
-#define MACHINE_ID 32
-#define STEADY_SAMPLES 6 /* of occupancy, so that a machine counts as steady */
+#define MACHINE_ID_BYTES 32
+#define OCCUPANCY_SAMPLES 6 /* with fewer a machine isn't returned */
 #define OWNERSHIP_POLL_S 0.1
 
-int64_t owned_next_revision(void) {
+int64_t shard_owner_next_revision(void) {
     static int64_t mod_revision = FIRST_REVISION;
     return ++mod_revision;
 }
 
-void owned_start(const struct settings *settings) {
+void shard_owner_start(const struct settings *settings) {
     logging_init("error");
     service_init(settings);
     store_mirror_start();
@@ -42,37 +42,36 @@
     }
 }
 
-bool owned_start_site(struct settings *settings) {
-    char *text = site_json();
+bool shard_owner_start_with_store(struct settings *settings) {
+    char *text = test_settings_json();
     bool started = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->state_address);
     g_free(text);
-    if (started) owned_start(settings);
+    if (started) shard_owner_start(settings);
     return started;
 }
 
-void owned_put(const char *key, const char *json) {
+void shard_owner_put(const char *key, const char *json) {
     cJSON *parsed = json ? cJSON_Parse(json) : NULL;
     assert_true(!json || parsed);
-    store_apply(key, parsed, owned_next_revision());
+    store_apply(key, parsed, shard_owner_next_revision());
     cJSON_Delete(parsed);
 }
 
-void owned_put_machine_type(void) {
-    owned_put(
+void shard_owner_put_machine_type(void) {
+    shard_owner_put(
         "types",
         "{\"flavours\":[{\"sku\":\"g16\",\"vcpus\":16,\"gpus\":2,\"memory_gb\":64,\"hourly\":7,\"market_price\":2,"
         "\"startup_s\":25,\"sites\":[\"za\",\"zb\",\"zc\"]}]}");
 }
 
-/* A steady machine that this controller owns, with a free 16 CPUs, 2 GPUs, 64 GB, on page 0 and up. */
-struct machine *owned_machine(const char *id, const char *zone, bool spot) {
+struct machine *shard_owner_add_machine(const char *id, const char *zone, bool spot) {
     machines_add_rented(0, id, "g16", zone, spot);
-    struct unregistered_machine *found = g_hash_table_lookup(machines_unregistered(), id);
+    struct unregistered_machine *unregistered = g_hash_table_lookup(machines_unregistered(), id);
     struct shard_page_usage fills;
     machines_measure_pages(0, &fills);
-    int page = found->page = machines_assign_page(&fills, id), count;
+    int page = unregistered->page = machines_assign_page(&fills, id), count;
     cJSON *value = machines_page_value(0, page, &count);
-    store_apply(store_key_machine_page(0, page).text, value, owned_next_revision());
+    store_apply(store_key_machine_page(0, page).text, value, shard_owner_next_revision());
     cJSON_Delete(value);
     struct machine *machine = machines_find(id);
     assert_non_null(machine);
@@ -80,13 +79,13 @@
     machine->liveness.up = true;
     machine->agent.reported_token = machines_fencing_token(machine);
     machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
-    machine->occupancy.n_samples = STEADY_SAMPLES;
+    machine->occupancy.n_samples = OCCUPANCY_SAMPLES;
     return machine;
 }
 
-void owned_machines(struct machine **all, int n, bool spot) {
+void shard_owner_add_machines(struct machine **all, int n, bool spot) {
     static const char *const zones[] = {"za", "zb", "zc"};
-    char id[MACHINE_ID];
+    char id[MACHINE_ID_BYTES];
     for (int i = 0; i < n; i++) {
         g_snprintf(id, sizeof id, "i-%06d", FIRST_MACHINE + i);
         machines_add_rented(0, id, "g16", zones[i % 3], spot);
@@ -105,7 +104,7 @@
     int counts[MACHINE_PAGES_MAX];
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) pages[page] = machines_page_value(0, page, &counts[page]);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
-        if (counts[page]) store_apply(store_key_machine_page(0, page).text, pages[page], owned_next_revision());
+        if (counts[page]) store_apply(store_key_machine_page(0, page).text, pages[page], shard_owner_next_revision());
         cJSON_Delete(pages[page]);
     }
     assert_int_equal(machines_of_shard(0)->len, n);
@@ -115,20 +114,20 @@
         machine->liveness.up = true;
         machine->agent.reported_token = machines_fencing_token(machine);
         machine->liveness.last_heartbeat = machine->liveness.last_heard = clock_now();
-        machine->occupancy.n_samples = STEADY_SAMPLES;
+        machine->occupancy.n_samples = OCCUPANCY_SAMPLES;
     }
 }
 
-struct job *owned_job(const char *job_id, const char *shape, const char *rank, int tasks, double cpus, double gpus,
-                      bool together, bool reclaimable, double age) {
+struct job *shard_owner_add_job(const char *job_id, const char *shape, const char *priority, int tasks, double cpus,
+                                double gpus, bool together, bool reclaimable, double age) {
     char *json = g_strdup_printf(
         "{\"spec\":{\"uid\":\"%s\",\"jobclass\":\"c\",\"owner\":\"green\",\"shape\":\"%s\",\"rank\":\"%s\",\"tasks\":%"
         "d,"
         "\"vcpus\":%f,\"gpus\":%f,\"memory_gb\":4,\"image\":\"i\",\"pull_gb\":1,\"together\":%s,\"spread\":false,"
         "\"reclaimable\":%s,\"runtime_s\":50,\"checkpoint_s\":15,\"flush_s\":2},\"state\":\"queued\",\"at\":%f}",
-        job_id, shape, rank, tasks, cpus, gpus, together ? "true" : "false", reclaimable ? "true" : "false",
+        job_id, shape, priority, tasks, cpus, gpus, together ? "true" : "false", reclaimable ? "true" : "false",
         clock_time_of_day() - age);
-    owned_put(store_key_job(job_id).text, json);
+    shard_owner_put(store_key_job(job_id).text, json);
     g_free(json);
     struct job *job = jobs_find(job_id);
     assert_non_null(job);
@@ -136,15 +135,14 @@
     return job;
 }
 
-/* Allocates tasks 0.. of the job, one on each of the machines named by index, running for long. */
-void owned_allocate(struct job *job, struct machine **machines, int n) {
+void shard_owner_allocate(struct job *job, struct machine **machines, int n) {
     GArray *plans = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     for (int i = 0; i < n; i++) {
-        struct planned_task page = {machines[i], job, i, 100 + i};
-        g_array_append_val(plans, page);
+        struct planned_task task = {machines[i], job, i, 100 + i};
+        g_array_append_val(plans, task);
     }
     cJSON *value = allocations_value(job, 0, chunks_size(job), plans, ALLOCATIONS_OF_OPEN_JOB);
-    store_apply(store_key_allocations(job->spec.job_id, 0).text, value, owned_next_revision());
+    store_apply(store_key_allocations(job->spec.job_id, 0).text, value, shard_owner_next_revision());
     cJSON_Delete(value);
     g_array_free(plans, TRUE);
     for (guint i = 0; i < job->allocations->len; i++) {
@@ -156,7 +154,7 @@
     }
 }
 
-int owned_planned_tasks(const struct scheduling_round *round, const char *job_id) {
+int shard_owner_planned_tasks(const struct scheduling_round *round, const char *job_id) {
     int tasks = 0;
     for (guint i = 0; i < round->planned_tasks->len; i++) {
         const struct job *job = g_array_index(round->planned_tasks, struct planned_task, i).job;
@@ -165,19 +163,18 @@
     return tasks;
 }
 
-/* Removes all jobs and machines, so that the next test begins with an empty shard. */
-void owned_clear(void) {
+void shard_owner_clear(void) {
     for (guint i = jobs_active()->len; i-- > 0;) {
         struct job *job = jobs_active()->pdata[i];
         char *text = g_strdup_printf("{\"spec\":%s,\"state\":\"cancelled\",\"at\":1}", job->spec_text);
-        owned_put(store_key_job(job->spec.job_id).text, text);
+        shard_owner_put(store_key_job(job->spec.job_id).text, text);
         g_free(text);
         for (int chunk = 0; chunk < chunks_count(job); chunk++) {
-            owned_put(store_key_allocations(job->spec.job_id, chunk).text, NULL);
+            shard_owner_put(store_key_allocations(job->spec.job_id, chunk).text, NULL);
         }
     }
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
-        owned_put(store_key_machine_page(0, page).text, NULL);
+        shard_owner_put(store_key_machine_page(0, page).text, NULL);
     }
     assert_int_equal(machines_of_shard(0)->len, 0);
     assert_int_equal(jobs_active()->len, 0);
--- a/tests/standin/store.c
+++ b/tests/standin/store.c
@@ -20,13 +20,13 @@
 #define HTTP_INTERNAL_ERROR 500
 #define DEFAULT_TTL_MS 5000
 #define MS_PER_S 1000
-#define MACHINE_ID 32
+#define MACHINE_ID_BYTES 32
 #define PATH_TRANSACTION "/multi"
 #define PATH_ROWS "/kv"
 #define PATH_LEASES "/grants"
 #define PATH_WATCH "/changes"
 
-/* A transaction that was not answered and is carried out later. */
+/* A transaction that got an error and is executed later. */
 struct delayed_transaction {
     cJSON *transaction;
     struct timespec due;
@@ -37,14 +37,14 @@
     bool refused[STANDIN_ENDPOINTS_MAX];
     enum standin_store_fault fault;
     double answer_delay_s, transaction_delay_s;
-    unsigned writes;      /* transactions that wrote while transactions are delayed */
+    unsigned writes;      /* number of writing transactions received while transactions are delayed */
     GQueue *delayed;      /* struct delayed_transaction, in the order in which they are due */
-    GHashTable *requests; /* path -> number */
+    GHashTable *requests; /* path -> number of requests */
 } store = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-/* Faults. With the lock held. */
+/* Faults. These functions are called with the lock held. */
 
-/* Whether this fault was injected; it then is over. */
+/* Returns whether this fault is injected, and ends it. */
 static bool take_fault(enum standin_store_fault fault) {
     if (store.fault != fault) return false;
     store.fault = STANDIN_NO_FAULT;
@@ -74,7 +74,8 @@
     }
 }
 
-/* Requests, one function a path. With the lock held; each fills the answer and returns the status. */
+/* Requests, with one function for each path. Each fills in the answer and returns the HTTP status. They are called with
+ * the lock held. */
 
 static unsigned answer_transaction(const char *rest, const cJSON *body, cJSON *answer) {
     (void)rest;
@@ -120,7 +121,8 @@
     return standin_leases_renew(g_ascii_strtoll(lease, NULL, 10)) ? HTTP_OK : HTTP_NOT_FOUND;
 }
 
-/* This server's paths come without their query: every watch gets all events, and clients drop those that they know. */
+/* Paths arrive without their query, so the revision to start from is unknown. Every watch gets all events, and clients
+ * drop those that they have applied. */
 static unsigned answer_watch(const char *rest, const cJSON *body, cJSON *answer) {
     (void)rest;
     (void)body;
@@ -129,7 +131,8 @@
     return HTTP_OK;
 }
 
-/* The first that fits; a path that ends in a slash fits all that begin with it, and the rest is handed over. */
+/* The first route that matches is used. A route that ends in a slash matches all longer paths, and its function gets
+ * the rest of the path. */
 static const struct {
     const char *path;
     unsigned (*answer)(const char *rest, const cJSON *body, cJSON *answer);
@@ -144,9 +147,9 @@
 
 static unsigned answer_path(const char *path, const cJSON *body, cJSON *answer) {
     for (size_t i = 0; i < G_N_ELEMENTS(routes); i++) {
-        bool fits = g_str_has_suffix(routes[i].path, "/") ? g_str_has_prefix(path, routes[i].path)
-                                                          : strcmp(path, routes[i].path) == 0;
-        if (fits) return routes[i].answer(path + strlen(routes[i].path), body, answer);
+        bool matches = g_str_has_suffix(routes[i].path, "/") ? g_str_has_prefix(path, routes[i].path)
+                                                             : strcmp(path, routes[i].path) == 0;
+        if (matches) return routes[i].answer(path + strlen(routes[i].path), body, answer);
     }
     return HTTP_NOT_FOUND;
 }
@@ -156,7 +159,7 @@
     g_hash_table_insert(store.requests, g_strdup(path), GINT_TO_POINTER(before + 1));
 }
 
-/* One thread serves all endpoints of an address: while an answer is delayed everybody waits. */
+/* An endpoint has one thread, so a delayed answer delays all requests that wait at this endpoint. */
 static void delay_answer(void) {
     pthread_mutex_lock(&store.lock);
     double seconds = store.answer_delay_s;
@@ -193,7 +196,7 @@
     return http_server_start(address, CONNECTIONS_MAX, on_request, &store.refused[endpoint]) != NULL;
 }
 
-/* What tests set. */
+/* Functions by which tests change the stand-in. */
 
 void standin_store_inject(enum standin_store_fault fault) {
     pthread_mutex_lock(&store.lock);
@@ -201,7 +204,7 @@
     pthread_mutex_unlock(&store.lock);
 }
 
-void standin_store_refuse(int endpoint, bool refused) {
+void standin_store_refuse_endpoint(int endpoint, bool refused) {
     pthread_mutex_lock(&store.lock);
     store.refused[endpoint] = refused;
     pthread_mutex_unlock(&store.lock);
@@ -239,13 +242,14 @@
     pthread_mutex_unlock(&store.lock);
 }
 
-/* The page that named a machine, without it. */
+/* The search for the page that lists a machine. */
 struct machine_page {
-    char machine_id[MACHINE_ID], key[STORE_KEY_BYTES];
-    cJSON *page; /* NULL: not found */
+    char machine_id[MACHINE_ID_BYTES], key[STORE_KEY_BYTES];
+    cJSON *page; /* the page without the machine; NULL: not found */
 };
 
-static gboolean find_in_page(gpointer key, gpointer value, gpointer data) {
+/* Visits a row. At the page that lists the machine, removes it from the parsed page and ends the traversal. */
+static gboolean remove_from_page(gpointer key, gpointer value, gpointer data) {
     struct machine_page *found = data;
     if (!g_str_has_prefix(key, STORE_PREFIX_MACHINE_PAGE)) return FALSE;
     cJSON *page = cJSON_Parse(((const struct standin_row *)value)->text), *list = cJSON_GetObjectItem(page, "m");
@@ -265,7 +269,7 @@
     struct machine_page found = {.page = NULL};
     g_snprintf(found.machine_id, sizeof found.machine_id, "i-%06d", index);
     pthread_mutex_lock(&store.lock);
-    standin_rows_foreach(find_in_page, &found);
+    standin_rows_foreach(remove_from_page, &found);
     if (found.page) {
         char *text = cJSON_PrintUnformatted(found.page);
         standin_rows_next_revision();
@@ -277,7 +281,7 @@
     return found.page != NULL;
 }
 
-/* What tests read. */
+/* Functions by which tests read the stand-in. */
 
 char *standin_store_value(const char *key) {
     pthread_mutex_lock(&store.lock);
@@ -288,6 +292,7 @@
     return value;
 }
 
+/* The search for the largest value. */
 struct largest_value {
     const char *prefix;
     size_t bytes;
--- a/tests/standin/store_rows.c
+++ b/tests/standin/store_rows.c
@@ -10,9 +10,9 @@
 #include "json/json.h"
 #include "store/keys.h"
 
-/* A change of a row, as a watch tells it. */
+/* A change of a row, which watches report. */
 struct event {
-    char *key, *text; /* text NULL: removed */
+    char *key, *text; /* text NULL: the row was removed */
     int64_t mod_revision;
 };
 
@@ -59,7 +59,7 @@
     g_ptr_array_add(rows.events, event);
 }
 
-static void note_job_done(const char *key, const char *text) {
+static void record_job_done(const char *key, const char *text) {
     if (!g_str_has_prefix(key, STORE_PREFIX_JOB) || !strstr(text, "\"state\":\"done\"")) return;
     const char *job_id = key + strlen(STORE_PREFIX_JOB);
     if (g_hash_table_contains(rows.jobs_done, job_id)) return;
@@ -69,7 +69,7 @@
 }
 
 void standin_rows_put(const char *key, const char *text, int64_t lease) {
-    note_job_done(key, text);
+    record_job_done(key, text);
     struct standin_row *row = g_new0(struct standin_row, 1);
     row->text = g_strdup(text);
     row->mod_revision = rows.revision;
@@ -107,6 +107,7 @@
 
 bool standin_leases_exist(int64_t id) { return g_hash_table_contains(rows.leases, GINT_TO_POINTER((int)id)); }
 
+/* The keys of the rows that are attached to a lease. */
 struct lease_keys {
     int64_t lease;
     GPtrArray *keys;
@@ -118,7 +119,7 @@
     return FALSE;
 }
 
-static void remove_rows_of(int64_t lease) {
+static void remove_rows_of_lease(int64_t lease) {
     struct lease_keys found = {lease, g_ptr_array_new_with_free_func(g_free)};
     standin_rows_foreach(collect_key, &found);
     if (found.keys->len) standin_rows_next_revision();
@@ -133,7 +134,7 @@
     while (g_hash_table_iter_next(&iterator, &id, &value)) {
         const struct lease *lease = value;
         if (clock_seconds_since(lease->renewed) < lease->ttl_s) continue;
-        remove_rows_of(GPOINTER_TO_INT(id));
+        remove_rows_of_lease(GPOINTER_TO_INT(id));
         g_hash_table_iter_remove(&iterator);
     }
 }
--- a/tests/standin/store_rows.h
+++ b/tests/standin/store_rows.h
@@ -1,5 +1,5 @@
-/* What the stand-in of the state service holds: rows with their mod revisions, the events of a watch, and leases.
- * Called by the stand-in only, with its lock held. */
+/* The data of the stand-in of the state service: rows with their mod revisions, the events of a watch, and leases. Used
+ * by the stand-in only, with its lock held. */
 #ifndef FF_STANDIN_STORE_ROWS_H
 #define FF_STANDIN_STORE_ROWS_H
 #include <glib.h>
@@ -19,32 +19,32 @@
 
 /* The revision of the last change. */
 int64_t standin_rows_revision(void);
-/* Begins a change: what is put and removed from here on has a new revision. */
+/* Starts a new revision, which the following writes and removals get. */
 void standin_rows_next_revision(void);
-/* Under the current revision; lease 0: none. The texts are copied. */
+/* Writes or removes a row under the current revision. Lease 0: none. The strings are copied. */
 void standin_rows_put(const char *key, const char *text, int64_t lease);
 void standin_rows_remove(const char *key);
 
-/* NULL: there is none. */
+/* NULL: there is no such row. */
 const struct standin_row *standin_rows_find(const char *key);
 /* 0: there is no such row. */
 int64_t standin_rows_mod_revision(const char *key);
-/* Calls for each row in the order of keys, until it returns TRUE; the value is a struct standin_row. */
+/* Calls visit for each row (value: struct standin_row) in the order of keys, until visit returns TRUE. */
 void standin_rows_foreach(GTraverseFunc visit, gpointer data);
 
-/* The id of a new lease. */
+/* Returns the id of a new lease. */
 int64_t standin_leases_grant(double ttl_s);
-/* False: there is no such lease. */
+/* Returns false if there is no such lease. */
 bool standin_leases_renew(int64_t lease);
 bool standin_leases_exist(int64_t lease);
-/* Leases that were not renewed in time end, and their rows with them. */
+/* Removes the leases that were not renewed within their TTL, with all rows attached to them. */
 void standin_leases_expire(void);
 
-/* All rows, and the revision. */
+/* Adds all rows and the revision to an answer. */
 void standin_rows_write(cJSON *answer);
-/* All events so far, and the revision. */
+/* Adds all events so far and the revision to an answer. */
 void standin_events_write(cJSON *answer);
 
-/* When the record of a job first said that it is done; zero: never. */
+/* When the job's record was first written with the state done; zero: never. */
 struct timespec standin_rows_job_done_at(const char *job_id);
 #endif
--- a/tests/standin/store_transaction.c
+++ b/tests/standin/store_transaction.c
@@ -52,7 +52,7 @@
     return oversized;
 }
 
-/* Even changes of a transaction whose comparisons fail count. */
+/* Counts the changes of every transaction, also of one whose comparisons will fail. */
 static bool is_over_rate(const cJSON *operations) {
     if (clock_seconds_since(transactions.second_began) > 1) {
         transactions.second_began = clock_now();
@@ -62,7 +62,7 @@
     return transactions.changes_in_second > transactions.changes_per_s;
 }
 
-/* The keys that aren't as the transaction expects them. The caller frees the list. */
+/* The keys whose mod revision isn't the expected one. The caller frees the list. */
 static cJSON *failed_comparisons(const cJSON *comparisons) {
     cJSON *failed = cJSON_CreateArray();
     const cJSON *comparison;
@@ -83,19 +83,19 @@
     return false;
 }
 
-static void note_unguarded(const cJSON *comparisons, const cJSON *operation) {
+static void count_unguarded(const cJSON *comparisons, const cJSON *operation) {
     const char *set = json_get_string(operation, "set"), *key = set ? set : json_get_string(operation, "remove");
     bool must_compare =
         g_str_has_prefix(key, STORE_PREFIX_ALLOCATIONS) || g_str_has_prefix(key, STORE_PREFIX_MACHINE_PAGE);
     transactions.unguarded += must_compare && !compares(comparisons, key);
 }
 
-/* Whether the leases that it names exist. */
+/* Counts unguarded changes. Returns whether all leases that the operations name exist. */
 static bool check_operations(const cJSON *comparisons, const cJSON *operations) {
     const cJSON *operation;
     cJSON_ArrayForEach(operation, operations) {
         int64_t lease = 0;
-        note_unguarded(comparisons, operation);
+        count_unguarded(comparisons, operation);
         if (json_get_int64(operation, "lease", &lease) && !standin_leases_exist(lease)) return false;
     }
     return true;
--- a/tests/standin/site.h
+++ b/tests/standin/test_settings.h
@@ -1,7 +1,7 @@
-/* Settings of a small deployment for the tests: three zones, three teams, one machine type. */
-#ifndef FF_STANDIN_SITE_H
-#define FF_STANDIN_SITE_H
-/* cmocka's own headers come first, in its order. */
+/* Settings of a small cluster for tests: two shards, three zones, three teams. */
+#ifndef FF_STANDIN_TEST_SETTINGS_H
+#define FF_STANDIN_TEST_SETTINGS_H
+/* cmocka.h needs the headers before it. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,7 +15,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define SITE_JSON                                                                                                      \
+#define TEST_SETTINGS_JSON                                                                                             \
     "{\"node\":\"n0\",\"area\":\"za\",\"bind\":\"127.0.0.1:18080\",\"cluster_listen\":\"127.0.0.1:18081\",\"future\":" \
     "1,"                                                                                                               \
     "\"seeds\":[{\"node\":\"n1\",\"area\":\"zb\",\"address\":\"127.0.0.1:18082\"}],"                                   \
@@ -28,31 +28,31 @@
     "\"state\":{\"rps\":100,\"write_rps\":20,\"value_kb\":4,\"txn_ops\":8},"                                           \
     "\"cloud\":{\"rps\":2,\"list_lag_s\":5},\"machine_limits\":{\"cores\":0.2,\"mem_mb\":100,\"sockets\":1000}}}"
 
-#define SITE_ADDRESS_LENGTH 32
+#define TEST_ADDRESS_BYTES 32
 
-/* A port of the loopback address that the system says is free; tests run side by side. */
-static inline int site_free_port(void) {
-    struct sockaddr_in at = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-    socklen_t length = sizeof at;
+/* A loopback port that the system chose as free, as tests run in parallel and can't share a fixed one. */
+static inline int test_free_port(void) {
+    struct sockaddr_in address = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+    socklen_t length = sizeof address;
     int fd = socket(AF_INET, SOCK_STREAM, 0);
     assert_true(fd >= 0);
-    assert_int_equal(bind(fd, (struct sockaddr *)&at, length), 0);
-    assert_int_equal(getsockname(fd, (struct sockaddr *)&at, &length), 0);
+    assert_int_equal(bind(fd, (struct sockaddr *)&address, length), 0);
+    assert_int_equal(getsockname(fd, (struct sockaddr *)&address, &length), 0);
     close(fd);
-    return ntohs(at.sin_port);
+    return ntohs(address.sin_port);
 }
 
-/* A copy of text with the first `from` replaced. */
-static inline char *site_with(const char *text, const char *from, const char *to) {
-    const char *at = strstr(text, from);
-    assert_non_null(at);
-    return g_strdup_printf("%.*s%s%s", (int)(at - text), text, to, at + strlen(from));
+/* A copy of text with the first occurrence of `from` replaced by `to`, to be freed by g_free. */
+static inline char *test_replace_first(const char *text, const char *from, const char *to) {
+    const char *found = strstr(text, from);
+    assert_non_null(found);
+    return g_strdup_printf("%.*s%s%s", (int)(found - text), text, to, found + strlen(from));
 }
 
-/* The settings with a state service on a free port. */
-static inline char *site_json(void) {
-    char address[SITE_ADDRESS_LENGTH];
-    g_snprintf(address, sizeof address, "127.0.0.1:%d", site_free_port());
-    return site_with(SITE_JSON, "127.0.0.1:18084", address);
+/* TEST_SETTINGS_JSON with a free port for the state service, to be freed by g_free. */
+static inline char *test_settings_json(void) {
+    char address[TEST_ADDRESS_BYTES];
+    g_snprintf(address, sizeof address, "127.0.0.1:%d", test_free_port());
+    return test_replace_first(TEST_SETTINGS_JSON, "127.0.0.1:18084", address);
 }
 #endif
--- a/tests/standin/worker.c
+++ b/tests/standin/worker.c
@@ -10,13 +10,17 @@
 #include "history.h"
 #include "json/json.h"
 
-#define RUN_S 0.6                    /* a task's time from its image on */
-#define RUNS_ON_PREFIX "req-9"       /* tasks whose names begin so run until they are stopped */
-#define LISTEN_FORMAT "127.0.0.1:%d" /* each machine has a port of its own */
+#define RUN_S 0.6                        /* run time of a task after its image is fetched */
+#define RUN_UNTIL_STOPPED_PREFIX "req-9" /* tasks with this prefix run until they are stopped */
+#define LISTEN_FORMAT "127.0.0.1:%d"     /* each machine has its own port */
 
-static void log_start(const struct standin_task *task) { history_task(history_log(), history_now(), task->name, true); }
+static void log_start(const struct standin_task *task) {
+    history_add_task_event(history_log(), history_now(), task->name, true);
+}
 
-static void log_end(const struct standin_task *task) { history_task(history_log(), history_now(), task->name, false); }
+static void log_end(const struct standin_task *task) {
+    history_add_task_event(history_log(), history_now(), task->name, false);
+}
 
 void standin_worker_init(struct standin_worker *worker, int index, int port, bool spot) {
     g_snprintf(worker->id, sizeof worker->id, "i-%06d", index);
@@ -80,8 +84,8 @@
     cJSON *list = cJSON_AddArrayToObject(object, "tasks");
     for (guint i = 0; i < worker->tasks->len; i++) {
         struct standin_task *task = &g_array_index(worker->tasks, struct standin_task, i);
-        bool through = clock_seconds_since(task->started) > task->fetch_s + RUN_S;
-        if (!task->ended && !task->runs_on && through) end_task(task, "done");
+        bool finished = clock_seconds_since(task->started) > task->fetch_s + RUN_S;
+        if (!task->ended && !task->runs_until_stopped && finished) end_task(task, "done");
         cJSON_AddItemToArray(list, task_entry(task));
     }
     return object;
@@ -107,7 +111,7 @@
     return directive;
 }
 
-/* Index of the task under that attempt; -1: it isn't here. */
+/* Index of the directive's task with the same attempt; -1: the machine doesn't have it. */
 static int find_task(const struct standin_worker *worker, const struct standin_directive *directive) {
     for (guint i = 0; i < worker->tasks->len; i++) {
         const struct standin_task *task = &g_array_index(worker->tasks, struct standin_task, i);
@@ -119,7 +123,7 @@
 static void start_task(struct standin_worker *worker, const struct standin_directive *directive, double fetch_s) {
     struct standin_task task = {.attempt = directive->attempt,
                                 .started = clock_now(),
-                                .runs_on = g_str_has_prefix(directive->task, RUNS_ON_PREFIX),
+                                .runs_until_stopped = g_str_has_prefix(directive->task, RUN_UNTIL_STOPPED_PREFIX),
                                 .fetch_s = fetch_s};
     g_strlcpy(task.name, directive->task, sizeof task.name);
     g_array_append_val(worker->tasks, task);
--- a/tests/standin/worker_messages.c
+++ b/tests/standin/worker_messages.c
@@ -6,64 +6,64 @@
 #include <string.h>
 
 #include "json/json.h"
-#include "owned.h"
-#include "site.h"
+#include "shard_owner.h"
+#include "test_settings.h"
 #include "workers/codec.h"
 #include "workers/reconciliation.h"
 
-#define KEY_MAX 64
-#define RECORD_MAX 400
-#define MESSAGE_MAX 600
+#define KEY_BYTES 64
+#define RECORD_BYTES 400
+#define MESSAGE_BYTES 600
 
-struct machine *worker_machine(const char *id, const char *job_id, const char *allocations, bool inherited) {
-    char key[KEY_MAX], record[RECORD_MAX];
+struct machine *worker_add_machine(const char *id, const char *job_id, const char *allocations, bool inherited) {
+    char key[KEY_BYTES], record[RECORD_BYTES];
     g_snprintf(record, sizeof record,
                "{\"sku\":[\"g\"],\"site\":[\"za\"],\"img\":[],\"m\":[[\"%s\",\"\",0,0,0,0,1,\"\"]]}", id);
-    owned_put("fleet/0/0", record);
+    shard_owner_put("fleet/0/0", record);
     struct machine *machine = machines_find(id);
     assert_non_null(machine);
     g_snprintf(key, sizeof key, "run/%s/0", job_id);
     g_snprintf(record, sizeof record, "{\"f\":5,\"b\":\"%s\"}", allocations);
-    owned_put(key, record);
+    shard_owner_put(key, record);
     assert_true(machines_owned(machine));
     for (guint i = 0; i < machine->allocations->len; i++)
         ((struct allocation *)machine->allocations->pdata[i])->inherited = inherited;
     return machine;
 }
 
-void worker_machine_gone(const char *job_id) {
-    char key[KEY_MAX];
+void worker_remove_machine(const char *job_id) {
+    char key[KEY_BYTES];
     g_snprintf(key, sizeof key, "run/%s/0", job_id);
-    owned_put(key, NULL);
-    owned_put("fleet/0/0", NULL);
+    shard_owner_put(key, NULL);
+    shard_owner_put("fleet/0/0", NULL);
 }
 
 void worker_cancel_job(const char *job_id, const char *record) {
-    char key[KEY_MAX];
+    char key[KEY_BYTES];
     g_snprintf(key, sizeof key, "job/%s", job_id);
-    char *cancelled = site_with(record, "\"queued\"", "\"cancelled\"");
-    owned_put(key, cancelled);
+    char *cancelled = test_replace_first(record, "\"queued\"", "\"cancelled\"");
+    shard_owner_put(key, cancelled);
     g_free(cancelled);
 }
 
-bool worker_message(struct machine *machine, int incarnation, int sequence, int64_t fencing_token, const char *tasks,
-                    enum worker_channel channel) {
-    char text[MESSAGE_MAX];
+bool worker_apply_message(struct machine *machine, int incarnation, int sequence, int64_t fencing_token,
+                          const char *tasks, enum worker_channel channel) {
+    char text[MESSAGE_BYTES];
     g_snprintf(text, sizeof text, "{\"tenure\":%d,\"seq\":%d,\"fence\":%lld,\"warning_s\":null,\"tasks\":[%s]}",
                incarnation, sequence, (long long)fencing_token, tasks);
     cJSON *message = cJSON_Parse(text);
     assert_non_null(message);
     struct heartbeat heartbeat = codec_read_heartbeat(message);
-    bool newest = reconciliation_apply(machine, &heartbeat, channel);
+    bool applied = reconciliation_apply(machine, &heartbeat, channel);
     cJSON_Delete(message);
-    return newest;
+    return applied;
 }
 
-int worker_directives(struct machine *machine, const char *verb) {
+int worker_count_directives(struct machine *machine, const char *verb) {
     cJSON *directives = directives_build(machine, CHANNEL_HEARTBEAT);
     const cJSON *item;
-    int n = 0;
-    cJSON_ArrayForEach(item, directives) n += strcmp(json_get_string(item, "verb"), verb) == 0;
+    int count = 0;
+    cJSON_ArrayForEach(item, directives) count += strcmp(json_get_string(item, "verb"), verb) == 0;
     cJSON_Delete(directives);
-    return n;
+    return count;
 }
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -19,7 +19,7 @@
 #define CONTROLLERS_MAX 8
 #define CONNECTIONS_MAX 16
 #define FIRST_PORT 18300
-#define URL_LENGTH 96
+#define URL_BYTES 96
 #define HEARTBEAT_INTERVAL_S 0.15
 #define COPIES_INTERVAL_S 0.05
 #define HEARTBEAT_TIMEOUT_MS 1000
@@ -32,10 +32,10 @@
     cJSON *command;
 };
 
-/* A copy of a heartbeat on its way. */
+/* A copy of a heartbeat that is sent later. */
 struct heartbeat_copy {
     char *text;
-    int original_to; /* the controller that had the original */
+    int original_to; /* index of the controller that got the original */
     struct timespec due;
 };
 
@@ -50,7 +50,7 @@
     struct standin_worker machines[STANDIN_WORKERS_MAX];
     int n_machines, first_port;
     struct {
-        const char *node; /* NULL: the first, which is given without a name */
+        const char *node; /* NULL: the first controller, whose name is not known */
         const char *address;
     } controllers[CONTROLLERS_MAX];
     int n_controllers;
@@ -66,7 +66,7 @@
     const char *peak_prefix;
 } workers = {.lock = PTHREAD_MUTEX_INITIALIZER, .first_port = FIRST_PORT, .lease_s = NO_LEASE_S};
 
-/* Counts of tasks. With the lock held. */
+/* Counts of tasks. These functions are called with the lock held. */
 
 typedef bool (*task_matcher)(const struct standin_task *task, const char *text);
 
@@ -82,7 +82,8 @@
     return !task->ended && g_str_has_prefix(task->name, prefix);
 }
 
-/* How many tasks on all machines match; in `last` the index of the last machine that has one, if it is asked for. */
+/* Number of tasks on all machines that match. Unless last is NULL, *last becomes the index of the last machine that has
+ * one; it is unchanged if no task matches. */
 static int count_tasks(task_matcher matches, const char *text, int *last) {
     int count = 0;
     for (int i = 0; i < workers.n_machines; i++) {
@@ -96,7 +97,7 @@
     return count;
 }
 
-static void note_start(const char *task) {
+static void record_start(const char *task) {
     struct task_starts *starts = g_hash_table_lookup(workers.starts_of, task);
     if (!starts) {
         starts = g_new0(struct task_starts, 1);
@@ -111,7 +112,7 @@
     }
 }
 
-/* What a machine hears. With the lock held. */
+/* Execution of directives and commands. These functions are called with the lock held. */
 
 static void execute_directives(struct standin_worker *worker, const cJSON *object) {
     const cJSON *entry;
@@ -119,7 +120,7 @@
     cJSON_ArrayForEach(entry, cJSON_GetObjectItem(object, "orders")) {
         struct standin_directive directive = standin_directive_read(entry);
         bool slow = workers.fetch_prefix && g_str_has_prefix(directive.task, workers.fetch_prefix);
-        if (standin_worker_execute(worker, &directive, slow ? workers.fetch_s : 0)) note_start(directive.task);
+        if (standin_worker_execute(worker, &directive, slow ? workers.fetch_s : 0)) record_start(directive.task);
     }
 }
 
@@ -129,11 +130,11 @@
     return accepted;
 }
 
-static bool hears_commands(const struct standin_worker *worker) {
-    return worker->alive && !workers.unreachable && !worker->unreachable && worker->fault < STANDIN_CANNOT_HEAR;
+static bool receives_commands(const struct standin_worker *worker) {
+    return worker->alive && !workers.unreachable && !worker->unreachable && worker->fault < STANDIN_CANNOT_RECEIVE;
 }
 
-/* Delayed commands are executed later, whatever became of the controller that sent them. */
+/* Keeps a command until the machine's fault ends. It is executed then even if the controller that sent it is gone. */
 static void delay_command(struct standin_worker *worker, const cJSON *command) {
     if (!worker->alive || (worker->fault != STANDIN_COMMANDS_DELAYED && worker->fault != STANDIN_HANGS)) return;
     struct delayed_command *delayed = g_new0(struct delayed_command, 1);
@@ -142,6 +143,7 @@
     g_ptr_array_add(workers.delayed_commands, delayed);
 }
 
+/* Executes the delayed commands of one machine; NULL: of all machines. */
 static void execute_delayed(const struct standin_worker *worker) {
     for (guint i = workers.delayed_commands->len; i-- > 0;) {
         struct delayed_command *delayed = workers.delayed_commands->pdata[i];
@@ -153,7 +155,7 @@
     }
 }
 
-/* Commands of controllers. Thread of the machine's server. */
+/* Handles a controller's command, on the thread of the machine's HTTP server. */
 static void on_command(struct http_request *request, void *ctx) {
     struct standin_worker *worker = ctx;
     size_t length;
@@ -161,7 +163,7 @@
     cJSON *command = cJSON_ParseWithLength(body, length), *heartbeat = NULL;
     bool accepted = false;
     pthread_mutex_lock(&workers.lock);
-    if (hears_commands(worker)) {
+    if (receives_commands(worker)) {
         accepted = execute_command(worker, command);
         heartbeat = standin_worker_heartbeat(worker);
     } else {
@@ -176,11 +178,11 @@
     }
 }
 
-/* A machine's heartbeats. */
+/* Heartbeats. */
 
-/* One heartbeat from its making to the answer. */
+/* One heartbeat, ready to be sent. */
 struct heartbeat {
-    char url[URL_LENGTH];
+    char url[URL_BYTES];
     char *text;
     int64_t incarnation;
     bool alive, sent;
@@ -192,7 +194,7 @@
 }
 
 static void heartbeat_url(char *url, int controller) {
-    g_snprintf(url, URL_LENGTH, "http://%s/checkin", workers.controllers[controller].address);
+    g_snprintf(url, URL_BYTES, "http://%s/checkin", workers.controllers[controller].address);
 }
 
 /* With the lock held. */
@@ -221,7 +223,8 @@
     return heartbeat;
 }
 
-/* After an answer that was not 200: the leader that it names, or the next controller. With the lock held. */
+/* Chooses a controller after an answer other than 200: the leader that it names, or else the next one. With the lock
+ * held. */
 static void choose_controller(struct standin_worker *worker, long status, const cJSON *answer) {
     const char *leader = status == HTTP_MISDIRECTED_REQUEST ? json_get_string(answer, "master") : NULL;
     int next = (worker->controller + 1) % workers.n_controllers;
@@ -233,10 +236,10 @@
 }
 
 /* With the lock held. */
-static void take_answer(struct standin_worker *worker, const struct heartbeat *heartbeat, struct timespec sent_at,
-                        long status, const cJSON *answer) {
+static void handle_answer(struct standin_worker *worker, const struct heartbeat *heartbeat, struct timespec sent_at,
+                          long status, const cJSON *answer) {
     int64_t fencing_token = 0;
-    if (worker->fault == STANDIN_CANNOT_HEAR || worker->fault == STANDIN_HANGS) return;
+    if (worker->fault == STANDIN_CANNOT_RECEIVE || worker->fault == STANDIN_HANGS) return;
     if (status != HTTP_OK) {
         choose_controller(worker, status, answer);
     } else if (heartbeat->incarnation == worker->incarnation && json_get_int64(answer, "fence", &fencing_token) &&
@@ -254,7 +257,7 @@
     enum http_outcome outcome =
         http_call(client, "POST", heartbeat->url, heartbeat->text, HEARTBEAT_TIMEOUT_MS, &status, &answer);
     pthread_mutex_lock(&workers.lock);
-    take_answer(worker, heartbeat, sent_at, outcome == HTTP_ANSWERED ? status : 0, answer);
+    handle_answer(worker, heartbeat, sent_at, outcome == HTTP_ANSWERED ? status : 0, answer);
     pthread_mutex_unlock(&workers.lock);
     cJSON_Delete(answer);
 }
@@ -273,7 +276,8 @@
     return NULL;
 }
 
-/* The next copy that is due, and its URL: that of a controller that had not the original. NULL: none is due. */
+/* Returns the next copy that is due, with the URL of the controller after the one that got the original; NULL: none is
+ * due. */
 static struct heartbeat_copy *next_copy(char *url) {
     pthread_mutex_lock(&workers.lock);
     struct heartbeat_copy *copy = g_queue_peek_head(workers.copies);
@@ -290,7 +294,7 @@
     (void)arg;
     struct http_client *client = http_client_new();
     for (;;) {
-        char url[URL_LENGTH];
+        char url[URL_BYTES];
         long status;
         struct heartbeat_copy *copy = next_copy(url);
         if (!copy) {
@@ -304,7 +308,7 @@
     return NULL;
 }
 
-/* Machines, for the cloud. */
+/* Functions by which the stand-in of the cloud adds and removes machines. */
 
 void standin_workers_start(const char *controller) {
     workers.starts_of = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -357,7 +361,7 @@
     return added;
 }
 
-/* What tests set. */
+/* Functions by which tests change the stand-ins. */
 
 void standin_workers_add_controller(const char *node, const char *controller) {
     pthread_mutex_lock(&workers.lock);
@@ -396,7 +400,7 @@
     pthread_mutex_unlock(&workers.lock);
 }
 
-void standin_workers_set_one_unreachable(int index) {
+void standin_workers_set_machine_unreachable(int index) {
     pthread_mutex_lock(&workers.lock);
     workers.machines[index].unreachable = true;
     pthread_mutex_unlock(&workers.lock);
@@ -428,7 +432,7 @@
     pthread_mutex_unlock(&workers.lock);
 }
 
-/* What tests read. */
+/* Functions by which tests read the stand-ins. */
 
 int standin_workers_running(const char *task) {
     pthread_mutex_lock(&workers.lock);
--- a/tests/standin/workers.h
+++ b/tests/standin/workers.h
@@ -1,6 +1,7 @@
 /* Stand-ins of the workers: the agents of up to STANDIN_WORKERS_MAX machines, each with a thread that sends heartbeats
- * and a port for commands. They run tasks, and faults of machines and their network can be injected. Tests call these
- * functions from any thread, without the lock; machines are named by their index, in the order of their creation. */
+ * and a port for commands. They simulate tasks, and tests can inject faults of machines and their network. The
+ * functions may be called from any thread, without store_lock. Machines are named by their index, in the order of their
+ * creation. */
 #ifndef FF_STANDIN_WORKERS_H
 #define FF_STANDIN_WORKERS_H
 #include <stdbool.h>
@@ -8,62 +9,67 @@
 
 #define STANDIN_WORKERS_MAX 32
 
-/* Before all else; workers report to this controller (address) first. The address must outlive the process's threads.
- */
+/* Called before the other functions, except standin_workers_set_first_port. Workers send heartbeats to this address of
+ * a controller first. The string is kept, not copied. */
 void standin_workers_start(const char *controller);
-/* One more controller to report to; the strings are kept. */
+/* Adds a controller to which workers can send heartbeats. The strings are kept, not copied. */
 void standin_workers_add_controller(const char *node, const char *controller);
-/* The port of the first machine, the next ones follow; before the first is created. */
+/* Sets the port of the first machine; further machines use the ports above it. Called before a machine is added. */
 void standin_workers_set_first_port(int first);
-/* How long a machine's tasks run on without an answer to a heartbeat. Unless set, they always do. */
+/* Sets how long a machine keeps its tasks running without an answer to a heartbeat. Unless set, it never kills them. */
 void standin_workers_set_lease(double seconds);
 
-/* For the cloud: a new machine's id, which stays valid; NULL: there are STANDIN_WORKERS_MAX already. */
+/* For the stand-in of the cloud: adds a machine and returns its id, which stays valid; NULL: STANDIN_WORKERS_MAX
+ * machines were added before. */
 const char *standin_workers_add(bool spot);
-/* For the cloud: the machine is switched off; false: it is none, or was switched off before. */
+/* For the stand-in of the cloud: switches the machine off. Returns false if it doesn't exist or was switched off
+ * before. */
 bool standin_workers_remove(const char *id);
-/* Machines that were added and not removed. */
+/* Number of machines that were added and not removed. */
 int standin_workers_alive(void);
-/* All that were added. */
+/* Number of machines that were added. */
 int standin_workers_added(void);
 
-/* What a machine can't do; index -1: all of them. */
+/* Faults of a machine, or of its network. */
 enum standin_worker_fault {
     STANDIN_HEALTHY,
-    STANDIN_IGNORES_STOPS,    /* directives to stop do nothing */
-    STANDIN_CANNOT_REPORT,    /* its heartbeats are lost; commands arrive */
-    STANDIN_CANNOT_HEAR,      /* its heartbeats arrive; answers and commands are lost */
-    STANDIN_COMMANDS_DELAYED, /* heartbeats as usual; commands get no answer and are executed when this ends */
-    STANDIN_HANGS,            /* does nothing; commands wait until this ends */
-    STANDIN_PARTITIONED       /* reaches the first controller only; commands are lost */
+    STANDIN_IGNORES_STOPS,    /* ignores stop directives */
+    STANDIN_CANNOT_REPORT,    /* heartbeats are lost; commands arrive */
+    STANDIN_CANNOT_RECEIVE,   /* heartbeats arrive; their answers and commands are lost */
+    STANDIN_COMMANDS_DELAYED, /* heartbeats work; commands get an error and are executed when the fault ends */
+    STANDIN_HANGS,            /* sends nothing; commands get an error and are executed when the fault ends */
+    STANDIN_PARTITIONED       /* sends heartbeats to the first controller only; commands are lost */
 };
+/* Replaces the machine's fault; index -1: that of all machines. */
 void standin_workers_inject(int index, enum standin_worker_fault fault);
-/* All machines: no heartbeat leaves them, and no command arrives. */
+/* Sets whether all machines are unreachable: they send no heartbeats, and commands are lost. */
 void standin_workers_set_unreachable(bool unreachable);
-/* The same of one machine, for good. */
-void standin_workers_set_one_unreachable(int index);
-/* Of every heartbeat a copy goes to the next controller that long later; 0: none. */
+/* Makes one machine unreachable until the process ends. */
+void standin_workers_set_machine_unreachable(int index);
+/* Sends a copy of every heartbeat to the next controller, so many seconds later; 0: no copies. */
 void standin_workers_duplicate_heartbeats(double after_s);
-/* From now on workers report to this controller until it sends them elsewhere. */
+/* Makes workers send their heartbeats to this controller, until its answer makes them change. */
 void standin_workers_report_to(int controller);
-/* Images of tasks whose names begin so take that long to fetch; NULL: none. The prefix is kept. */
+/* Sets the time to fetch the images of tasks with this prefix; NULL: no task needs time. The prefix is kept, not
+ * copied. */
 void standin_workers_set_fetch_time(const char *prefix, double seconds);
 
-/* On how many machines the task runs now, with its image. */
+/* Number of machines on which the task runs, with its image fetched. */
 int standin_workers_running(const char *task);
-/* The same, and those that still fetch its image. */
+/* Number of machines on which the task runs or its image is being fetched. */
 int standin_workers_holding(const char *task);
-/* Index of a machine that holds the task; -1: none. */
+/* Index of a machine on which the task runs or its image is being fetched; -1: none. */
 int standin_workers_machine_of(const char *task);
-/* The most machines that ever ran one task at the same time. */
+/* The highest number of machines on which one task ran at the same time. */
 int standin_workers_most_copies(void);
-/* Starts of tasks so far: of all, and of those whose names begin so. */
+/* Number of task starts so far: of all tasks, and of tasks with this prefix. */
 int standin_workers_starts(void);
 int standin_workers_starts_by_prefix(const char *prefix);
 /* When the task was first started; zero: never. */
 struct timespec standin_workers_first_start(const char *task);
-/* From now on counts the most tasks whose names begin so that any machines held at the same time. The prefix is kept.
- */
+/* Restarts the measurement of the highest number of tasks with this prefix that all machines together hold at the same
+ * time. The prefix is kept, not copied. */
 void standin_workers_measure_peak(const char *prefix);
+/* The result of that measurement so far. */
 int standin_workers_peak(void);
 #endif
