--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -43,7 +43,7 @@
     int missing = job->spec.tasks - job->n_reported_done;
     for (guint i = 0; i < job->allocations->len; i++) {
         const struct allocation *allocation = job->allocations->pdata[i];
-        missing -= !allocation->released && !task_bits_get(job->reported_done, allocation->task);
+        missing -= !allocation->released && !task_bits_get(job->reported_done_bits, allocation->task);
     }
     return missing;
 }
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -150,7 +150,7 @@
     for (int task = 0; task < chunk_size; task++) {
         struct planned_task plan = {machine, job, chunk_size + task, attempt_number(8388608, task)};
         g_array_append_val(plans, plan);
-        job->reported_done[(chunk_size + task) / 8] |= (uint8_t)(task % 2 << (task % 8));
+        job->reported_done_bits[(chunk_size + task) / 8] |= (uint8_t)(task % 2 << (task % 8));
     }
     cJSON *value = allocations_value(job, 1, chunk_size, plans, ALLOCATIONS_OF_OPEN_JOB);
     char *text = cJSON_PrintUnformatted(value);
@@ -170,7 +170,7 @@
     put("job/req-20020", JOB_RECORD("req-20020", "40", "queued"));
     put("run/req-20020/0", "{\"d\":\"0100000000\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3 30@i-1+4 39@i-2+5\"}");
     struct job *job = jobs_find("req-20020");
-    assert_int_equal(chunks_size(job), chunks_legacy_size());
+    assert_int_equal(chunks_size(job), chunks_first_layout_size());
     assert_int_equal(allocations_count(job), 4);
     const struct allocation *kept = job->allocations->pdata[2];
     static const char *const small_records[] = {"{\"n\":16,\"d\":\"0100\",\"f\":50,\"b\":\"1@i-1+0 9@i-2+3\"}",
@@ -228,8 +228,8 @@
     /* A job record with another id or a missing field is ignored, and other jobs are not affected. */
     put("job/req-20010", JOB_RECORD("req-20011", "2", "queued"));
     put("job/req-20012", "{\"spec\":{\"uid\":\"req-20012\"},\"state\":\"queued\"}");
-    assert_false(jobs_find("req-20010")->known);
-    assert_false(jobs_find("req-20012")->known);
+    assert_false(jobs_find("req-20010")->recorded);
+    assert_false(jobs_find("req-20012")->recorded);
     assert_null(jobs_find("req-20011"));
 }
 
--- a/src/allocations/records.c
+++ b/src/allocations/records.c
@@ -25,7 +25,7 @@
 /* A change of the chunk size replaces all records of the job in one transaction. If that takes too many operations, the
  * job keeps its chunk size, and its records are only filled up to the next size limit. */
 int allocations_next_chunk_size(const struct job *job) {
-    int current_size = chunks_size(job), next_size = chunks_size_for(record_settings->next_value_kb);
+    int current_size = chunks_size(job), next_size = chunks_size_for_limit(record_settings->next_value_kb);
     if (!schema_version_active() || current_size <= next_size) return current_size;
     bool one_transaction = chunks_count_of_size(job, next_size) <= record_settings->txn_ops;
     return job->n_recorded_chunks == 0 || one_transaction ? next_size : current_size;
@@ -45,10 +45,10 @@
 
 /* Whether a task of the range is reported done but not recorded so. */
 static bool done_bits_differ(const struct job *job, struct task_range range) {
-    if (!job->reported_done || range.end <= range.first) return false;
+    if (!job->reported_done_bits || range.end <= range.first) return false;
     size_t first_byte = (size_t)range.first / BITS_PER_BYTE;
     size_t bytes = ((size_t)(range.end - range.first) + BITS_PER_BYTE - 1) / BITS_PER_BYTE;
-    return memcmp(job->done + first_byte, job->reported_done + first_byte, bytes) != 0;
+    return memcmp(job->done_bits + first_byte, job->reported_done_bits + first_byte, bytes) != 0;
 }
 
 bool allocations_chunk_dirty(const struct job *job, int chunk) {
@@ -100,8 +100,8 @@
 
 /* The done tasks of the range as text, freed by the caller; NULL if none is done. */
 static char *write_done_bits(const struct job *job, struct task_range range) {
-    if (!job->reported_done) return NULL;
-    char *done_bits = task_bits_text(job->reported_done, range.first, range.end - range.first);
+    if (!job->reported_done_bits) return NULL;
+    char *done_bits = task_bits_text(job->reported_done_bits, range.first, range.end - range.first);
     if (strspn(done_bits, "0") < strlen(done_bits)) return done_bits;
     g_free(done_bits);
     return NULL;
@@ -119,7 +119,7 @@
     GString *entries = write_entries(job, range, plans, base_attempt);
     const struct allocation_record record = {
         /* In the second layout, every record stores its chunk size and does not depend on the settings. */
-        .has_chunk_size = chunk_size != chunks_legacy_size() || schema_version_active(),
+        .has_chunk_size = chunk_size != chunks_first_layout_size() || schema_version_active(),
         .chunk_size = chunk_size,
         .done_bits = done_bits,
         .failed_tries = failed_tries,
@@ -246,7 +246,7 @@
 /* The chunk size of the record; 0 if it is invalid. A deleted record had the chunk size of the job's other records. */
 static int record_chunk_size(const struct job *job, const cJSON *data, const struct allocation_record *record) {
     if (!data) return chunks_size(job);
-    return record->has_chunk_size ? record->chunk_size : chunks_legacy_size();
+    return record->has_chunk_size ? record->chunk_size : chunks_first_layout_size();
 }
 
 /* Observer of allocation records, called with store_lock held. data NULL: the record was deleted. */
--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -58,7 +58,7 @@
     const struct api_request *earlier = find_earlier(batch, index);
     struct store_key key = store_key_job(request->job_id);
     const struct job *job = jobs_find(request->job_id);
-    request->was_known = job && job->known;
+    request->was_known = job && job->recorded;
     request->repeated = earlier != NULL;
     request->compared_revision = store_key_revision(key.text);
     store_txn_compare(txn, key.text, request->compared_revision);
--- a/src/api/cancel.c
+++ b/src/api/cancel.c
@@ -18,7 +18,7 @@
 }
 
 void cancel_respond(const struct api_request *request, struct job *job) {
-    if (!job || !job->known) {
+    if (!job || !job->recorded) {
         respond_refusal_reason(request->http, REFUSAL_JOB_UNKNOWN);
     } else if (job->state == JOB_QUEUED) {
         respond_refusal_reason(request->http, REFUSAL_CANCELLATION_UNDECIDED);
--- a/src/api/poll.c
+++ b/src/api/poll.c
@@ -49,7 +49,7 @@
     const struct job *job = jobs_find(request->job_id);
     if (is_outdated(request, response, key.text)) {
         respond_refusal_reason(request->http, REFUSAL_RECORD_UNCONFIRMED);
-    } else if (job && job->known) {
+    } else if (job && job->recorded) {
         respond_job(request->http, job);
     } else {
         respond_refusal_reason(request->http, REFUSAL_JOB_UNKNOWN);
--- a/src/api/request.c
+++ b/src/api/request.c
@@ -34,7 +34,7 @@
 enum request_need request_try_answer(struct api_request *request) {
     store_lock();
     const struct job *job = jobs_find(request->job_id);
-    bool is_final = job && job->known && job->state != JOB_QUEUED, is_unreachable = store_unreachable();
+    bool is_final = job && job->recorded && job->state != JOB_QUEUED, is_unreachable = store_unreachable();
     bool must_cancel = job && dependencies_must_cancel(job);
     if (is_final) respond_job(request->http, job);
     store_unlock();
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -30,7 +30,7 @@
     enum submit_decision decision = SUBMIT_QUEUED;
     store_lock();
     const struct job *job = jobs_find(request->job_id);
-    bool known = job && job->known, needs_check = !known && !is_refused(request);
+    bool known = job && job->recorded, needs_check = !known && !is_refused(request);
     if (known && job->state != JOB_QUEUED) {
         respond_job(request->http, job);
         decision = SUBMIT_ANSWERED;
@@ -118,7 +118,7 @@
         if (is_refused(request) || !request->prerequisites) continue;
         store_lock();
         const struct job *job = jobs_find(request->job_id);
-        bool known = job && job->known;
+        bool known = job && job->recorded;
         store_unlock();
         if (!known) {
             request->refusal = refusal_from_prerequisites(
@@ -135,7 +135,7 @@
 }
 
 void submit_respond(const struct api_request *request, const struct job *job) {
-    if (!job || !job->known) {
+    if (!job || !job->recorded) {
         respond_refusal(request->http, &request->refusal);
     } else if (request->written && !request->was_known) {
         respond_job_created(request->http, job);
--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -30,7 +30,7 @@
     if (schema_version_store_unreadable() || !membership_may_answer_workers()) return;
     for (guint i = 0; i < machines_all()->len && list->n_ids < list->max_ids; i++) {
         const struct machine *machine = machines_all()->pdata[i];
-        if (!machines_unrecorded(machine)) continue;
+        if (!machines_is_unrecorded(machine)) continue;
         log_info("machine %s: it has allocations but no record, returning it", machine->id);
         add_machine(list, machine, true);
     }
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -95,7 +95,7 @@
  * don't keep other machines from draining. */
 static bool may_drain(int shard, const struct occupancy_summary *summary) {
     return summary->n_without_full_window * MACHINES_PER_DRAIN <= summary->n_machines &&
-           !shard_states[shard].has_unplaced_tasks;
+           !owned_shard_states[shard].has_unplaced_tasks;
 }
 
 static void drain_surplus(int shard, bool spot) {
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -124,7 +124,7 @@
     struct rental_request request = {0};
     if (shard_plan_remaining_machines(plan) <= 0 || !rental_choice_find(plan->shard, job, zone, kinds, &request))
         return;
-    struct planned_machine *planned = shard_plan_add_request(plan, &request, weights[job->priority]);
+    struct planned_machine *planned = shard_plan_add_request(plan, &request, weights[job->effective_priority]);
     plan->n_requested++;
     if (job->spec.allows_spot) plan->backlog_gpus += machine_types_find(request.type_name)->gpus;
     planned_machine_reserve_task(planned, job, zone);
@@ -281,7 +281,7 @@
     struct request_list list = {requests, 0, max_requests};
     for (int shard = 0; shard < settings->n_shards; shard++) {
         if (membership_owns(shard) && membership_may_answer_workers() &&
-            clock_seconds_since(shard_states[shard].owned_since) > OWNED_MIN_S)
+            clock_seconds_since(owned_shard_states[shard].owned_since) > OWNED_MIN_S)
             rent_for_shard(shard, &list);
     }
     qsort(requests, (size_t)list.n_requests, sizeof *requests, higher_weight_first);
--- a/src/autoscaler/shard_status.c
+++ b/src/autoscaler/shard_status.c
@@ -52,7 +52,7 @@
         count_machine(&status, machines_of_shard(shard)->pdata[i]);
     for (guint i = 0; i < jobs_active_in_shard(shard)->len; i++) {
         const struct job *job = jobs_active_in_shard(shard)->pdata[i];
-        status.pending[job->priority] += MAX(0, allocations_missing_tasks(job));
+        status.pending[job->effective_priority] += MAX(0, allocations_missing_tasks(job));
     }
     return status;
 }
--- a/src/cloud/capacity.c
+++ b/src/cloud/capacity.c
@@ -10,13 +10,13 @@
 #include "../machines/machines.h"
 #include "cloud.h"
 
-#define FIRST_PAUSE_S 7
-#define MAX_PAUSE_S 60
+#define BACKOFF_FIRST_S 7
+#define BACKOFF_MAX_S 60
 
 /* Delays rental requests for a kind of machine that the cloud has refused. */
 struct backoff {
     struct timespec until;
-    double pause_s; /* doubles with each refusal */
+    double delay_s; /* doubles with each refusal, up to BACKOFF_MAX_S */
 };
 
 static GHashTable *backoffs; /* "TYPE ZONE SPOT" -> struct backoff */
@@ -62,12 +62,12 @@
     return backoff;
 }
 
-/* Refused requests use up calls that other requests need. The pause therefore grows to MAX_PAUSE_S, and ends early when
- * any controller returns a machine of the kind. */
+/* Refused requests use up calls that other requests need. The delay therefore grows up to BACKOFF_MAX_S. The backoff
+ * ends early when any controller returns a machine of the kind. */
 void capacity_note_refused(const struct rental_request *request) {
     struct backoff *backoff = find_or_add_backoff(request);
-    backoff->pause_s = backoff->pause_s > 0 ? fmin(backoff->pause_s * 2, MAX_PAUSE_S) : FIRST_PAUSE_S;
-    backoff->until = clock_now_plus(clock_from_seconds(backoff->pause_s));
+    backoff->delay_s = backoff->delay_s > 0 ? fmin(backoff->delay_s * 2, BACKOFF_MAX_S) : BACKOFF_FIRST_S;
+    backoff->until = clock_now_plus(clock_from_seconds(backoff->delay_s));
     log_info("cloud: no capacity for %s in %s (%s), retrying in %.0f s", request->type_name, request->zone,
-             request->spot ? "spot" : "on-demand", backoff->pause_s);
+             request->spot ? "spot" : "on-demand", backoff->delay_s);
 }
--- a/src/cloud/catalogue.h
+++ b/src/cloud/catalogue.h
@@ -4,6 +4,6 @@
 #include "../settings/settings.h"
 
 /* Reads the catalogue and writes it to the store, unless it exceeds the store's next limit for a value. One controller
- * does this for all: if each read the catalogue, the calls would be used up when the first machines must be rented. */
+ * does this for all: if each read the catalogue, no calls would be left when the first machines must be rented. */
 void catalogue_read(const struct settings *settings);
 #endif
--- a/src/cloud/client.c
+++ b/src/cloud/client.c
@@ -13,8 +13,8 @@
 
 #define CALL_TIMEOUT_MS 5000
 #define URL_SIZE 256
-#define BURST_S 1.5              /* unused calls of this period may be made later */
-#define SHARDLESS_CALL_SHARE 0.2 /* share of the cloud's rate for all controllers without a shard together */
+#define BURST_S 1.5          /* unused calls of this period may be made later */
+#define MIN_SHARES_TOTAL 0.2 /* sum of the minimum shares of all live controllers in the cloud's rate */
 #define ERROR_PAUSE_S 0.5
 #define OVER_RATE_PAUSE_MIN_S 0.3
 #define OVER_RATE_PAUSE_MAX_S 1.1
@@ -22,14 +22,14 @@
 static struct {
     const struct settings *settings;
     struct http_client *http;
-    double available_calls;     /* calls that may be made now; negative after urgent calls */
-    struct timespec counted_at; /* when available_calls was last updated */
+    double available_calls;      /* calls that may be made now; negative after urgent calls */
+    struct timespec refilled_at; /* when the calls earned until then were added to available_calls */
     struct timespec paused_until;
 } client;
 
 void cloud_client_init(const struct settings *settings) {
     client.settings = settings;
-    client.counted_at = clock_now();
+    client.refilled_at = clock_now();
     client.available_calls = 1;
 }
 
@@ -47,7 +47,7 @@
     store_lock();
     int n_shards = quota_any_divided() ? settings->n_shards : MIN(settings->n_shards, settings->n_teams);
     for (int shard = 0; shard < n_shards; shard++) n_owned += membership_owns(shard);
-    double min_share = SHARDLESS_CALL_SHARE / membership_live_controllers();
+    double min_share = MIN_SHARES_TOTAL / membership_live_controllers();
     store_unlock();
     return settings->cloud_rps * fmax((double)n_owned / n_shards, min_share);
 }
@@ -55,9 +55,9 @@
 bool cloud_client_reserve_call(enum call_urgency urgency) {
     double rate = own_call_rate();
     struct timespec now = clock_now();
-    double earned_calls = (clock_to_seconds(now) - clock_to_seconds(client.counted_at)) * rate;
+    double earned_calls = (clock_to_seconds(now) - clock_to_seconds(client.refilled_at)) * rate;
     client.available_calls = fmin(client.available_calls + earned_calls, fmax(1, rate * BURST_S));
-    client.counted_at = now;
+    client.refilled_at = now;
     bool paused = clock_to_seconds(now) < clock_to_seconds(client.paused_until);
     if (paused || client.available_calls < (urgency == CALL_URGENT ? 0 : 1)) return false;
     client.available_calls -= 1;
@@ -71,8 +71,8 @@
 static void pause_calls(double pause_s) { client.paused_until = clock_now_plus(clock_from_seconds(pause_s)); }
 
 /* Pauses calls after an error. The cloud does not count a call that it refused for exceeding the rate, so the call is
- * released. The pause is then random: controllers that start together would otherwise keep calling at the same moments,
- * and one of them was refused for 40 s. */
+ * released. The pause after such a refusal is random: otherwise, controllers that start together keep calling at the
+ * same moments, and one of them may be refused for 40 s. */
 static void pause_after_error(const struct cloud_answer *answer) {
     if (cloud_answer_has_status(answer, HTTP_TOO_MANY_REQUESTS)) {
         pause_calls(g_random_double_range(OVER_RATE_PAUSE_MIN_S, OVER_RATE_PAUSE_MAX_S));
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -19,8 +19,8 @@
 bool cloud_client_reserve_call(enum call_urgency urgency);
 /* Returns a reserved call that was not made to the budget. */
 void cloud_client_release_call(void);
-/* Ends the pause that cloud_client_call began after a 503. For answers that only report a lack of capacity and do not
- * mean that the cloud is overloaded. */
+/* Ends the pause that cloud_client_call began after a 503. Called if the answer reports only a lack of capacity, which
+ * does not mean that the cloud is overloaded. */
 void cloud_client_end_pause(void);
 
 struct cloud_answer {
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -18,14 +18,14 @@
 
 #define STEP_INTERVAL_S 0.25
 #define RETURNS_PER_CALL_MAX 100
-#define URGENT_RETURNS_MIN 20    /* this many returns go before rentals */
-#define RETURNS_WAIT_MAX_S 12    /* after this time without a return, any number of returns goes before rentals */
-#define RENTAL_REQUESTS_MAX 128  /* if a controller needs more, later steps plan them */
+#define URGENT_RETURNS_MIN 20    /* this many returns take precedence over rentals */
+#define RETURNS_WAIT_MAX_S 12    /* after this time without a return, any return takes precedence over rentals */
+#define RENTAL_REQUESTS_MAX 128  /* planned in one step; if a controller needs more, later steps plan them */
 #define CATALOGUE_INTERVAL_S 120 /* between the leader's reads of the catalogue */
 #define CATALOGUE_WAIT_S 6       /* without a catalogue, any controller reads it after this time */
 #define LIST_INTERVAL_MIN_S 2.5
 #define CALLS_PER_LIST_PAGE 6    /* about one call in this many reads a page of the list */
-#define LIST_OVERDUE_INTERVALS 4 /* after this many intervals, the list goes before new rentals */
+#define LIST_OVERDUE_INTERVALS 4 /* after this many list intervals, a page takes precedence over new rentals */
 
 /* State of the cloud's thread. */
 static struct {
@@ -73,7 +73,7 @@
 /* Machines to return. */
 struct returns {
     char ids[RETURNS_PER_CALL_MAX][MACHINE_ID_SIZE];
-    int n, n_busy; /* number of ids, and of those whose machines hold tasks */
+    int n, n_busy; /* number of ids, and number of these machines that hold tasks */
 };
 
 static void plan_returns(struct returns *returns) {
@@ -82,8 +82,9 @@
     store_unlock();
 }
 
-/* Tells whether returns go before rentals. Tasks on a silent machine can start elsewhere only after its return, so it
- * is returned at once. Other returns go first if one call returns many machines, or if they have waited for long. */
+/* Tells whether returns take precedence over rentals. Tasks on a silent machine can start elsewhere only after its
+ * return, so it is returned at once. Other returns take precedence if one call returns many machines, or if they have
+ * waited for long. */
 static bool returns_are_urgent(const struct returns *returns) {
     return returns->n_busy > 0 || returns->n >= URGENT_RETURNS_MIN ||
            (returns->n > 0 && clock_seconds_since(cloud.returned_at) > RETURNS_WAIT_MAX_S);
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,5 +1,6 @@
-/* Rents machines from the cloud, returns them, and reads the cloud's catalogue of machine types and its lagging list of
- * machines. One thread makes all calls, one at a time and within this controller's share of the cloud's rate limit. */
+/* Rents machines from the cloud, returns them, and reads the cloud's catalogue of machine types and its list of
+ * machines, which lags behind. One thread makes all calls, one at a time and within this controller's share of the
+ * cloud's rate limit. */
 #ifndef FF_CLOUD_H
 #define FF_CLOUD_H
 #include <stdbool.h>
@@ -7,7 +8,7 @@
 #include "../model/machine.h"
 #include "../settings/settings.h"
 
-/* Called before the threads are started; the settings must outlive them. */
+/* Called once, before the threads are started. The settings must outlive the threads. */
 void cloud_init(const struct settings *settings);
 /* Starts the cloud's thread. */
 void cloud_start(void);
@@ -24,7 +25,7 @@
 /* Called before cloud_start. */
 void cloud_set_planner(struct cloud_planner planner);
 
-/* Tells whether machines of this kind may be requested: the cloud has not just refused them. Called with store_lock
- * held. */
+/* Tells whether machines of this kind may be requested: false for some time after the cloud has refused them. Called
+ * with store_lock held. */
 bool cloud_may_rent(const char *type_name, const char *zone, bool spot);
 #endif
--- a/src/cloud/machine_list.c
+++ b/src/cloud/machine_list.c
@@ -13,7 +13,8 @@
 #define PATH_SIZE 200
 #define ADOPTION_AGE_S 15 /* the controller that rented a younger machine may not have recorded it yet */
 
-/* Requests the return of an owned machine that is listed as failed, and takes its address if that was not known. */
+/* Requests the return of an owned machine that is listed as failed, and sets its address from the list if the address
+ * was not known. */
 static void update_owned_machine(struct machine *machine, const struct listed_machine *listed) {
     if (listed->failed && !machine->retirement.return_wanted) {
         log_info("machine %s: listed as failed, returning it", machine->id);
@@ -26,7 +27,7 @@
     }
 }
 
-/* Updates an owned machine, or adopts a machine that no controller knows. Called with store_lock held. */
+/* Updates an owned machine, or adopts a machine that no controller has recorded. Called with store_lock held. */
 static void apply_listed_machine(const struct listed_machine *listed) {
     struct machine *machine = machines_find(listed->id);
     if (machine && machines_owned(machine)) {
--- a/src/cloud/machine_list.h
+++ b/src/cloud/machine_list.h
@@ -4,7 +4,7 @@
 #define FF_CLOUD_MACHINE_LIST_H
 
 /* Reads the next page of the list with one call, and starts again after the last page: with a large fleet there are too
- * few calls to read the whole list at once. Machines listed as failed will be returned, and machines that no controller
- * knows are adopted. */
+ * few calls to read the whole list at once. Requests the return of machines that are listed as failed, and adopts
+ * machines that no controller has recorded. */
 void machine_list_read_page(void);
 #endif
--- a/src/cloud/rentals.c
+++ b/src/cloud/rentals.c
@@ -14,15 +14,15 @@
 
 #define CLAIM_SIZE 80
 
-/* The open rental. Its claim identifies it to the cloud, so that a call whose answer was lost is repeated without
- * renting twice, until the cloud answers. No controller ever reuses a claim: it has the controller's random incarnation
+/* The open rental. Its claim identifies it to the cloud, so that a call whose answer was lost can be repeated without
+ * renting twice, until the outcome is known. A claim is never reused: it contains the controller's random incarnation
  * and a counter. */
 static struct {
     const struct settings *settings;
     bool open;
     char claim[CLAIM_SIZE];
     struct rental_request request;
-    unsigned n_claims;
+    unsigned n_claims; /* number of claims made by this process */
 } rental;
 
 void rentals_init(const struct settings *settings) { rental.settings = settings; }
@@ -55,6 +55,7 @@
              request->zone, request->spot ? "spot" : "on-demand", request->shard);
 }
 
+/* Handles an answer with status 503, which reports either a lack of capacity or an overload. */
 static void handle_unavailable(const cJSON *answer) {
     if (!cloud_read_no_capacity(answer)) return;
     cloud_client_end_pause();
--- a/src/cloud/rentals.h
+++ b/src/cloud/rentals.h
@@ -12,8 +12,8 @@
 bool rentals_has_open(void);
 /* Opens a rental under a new claim, without calling the cloud. */
 void rentals_open(const struct rental_request *request);
-/* Sends the request of the open rental, and closes the rental unless the answer leaves its outcome unknown. */
+/* Sends the request of the open rental, and closes the rental unless its outcome remains unknown. */
 void rentals_call(void);
-/* Returns the machines to the cloud. */
+/* Returns n machines to the cloud. */
 void rentals_return(char ids[][MACHINE_ID_SIZE], int n);
 #endif
--- a/src/dependencies/cascade.c
+++ b/src/dependencies/cascade.c
@@ -48,7 +48,7 @@
 bool dependencies_any_cancelled(char *const *prerequisites) {
     for (; prerequisites && *prerequisites; prerequisites++) {
         const struct job *job = jobs_find(*prerequisites);
-        if (job && job->known && is_cancelled_or_marked(job)) return true;
+        if (job && job->recorded && is_cancelled_or_marked(job)) return true;
     }
     return false;
 }
@@ -58,7 +58,7 @@
     g_queue_push_tail(queue, first);
     struct job *job;
     while ((job = g_queue_pop_head(queue))) {
-        if (!job->known || job->state != JOB_QUEUED || job->prerequisite_cancelled) continue;
+        if (!job->recorded || job->state != JOB_QUEUED || job->prerequisite_cancelled) continue;
         job->prerequisite_cancelled = true;
         job->cascade_since = clock_now();
         g_ptr_array_add(cascade.marked, job);
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -190,9 +190,10 @@
         row_job_id(job_id, base, rows[row].number);
         const struct job *job = jobs_find(job_id);
         double deadline = rows[row].deadline > 0 ? SUBMITTED_S + rows[row].deadline : INFINITY;
-        if (job->priority != rows[row].priority) fail_msg("%s: priority %d", rows[row].description, (int)job->priority);
-        if (job->deadline != deadline && fabs(job->deadline - deadline) > 1e-6)
-            fail_msg("%s: deadline %f", rows[row].description, job->deadline);
+        if (job->effective_priority != rows[row].priority)
+            fail_msg("%s: priority %d", rows[row].description, (int)job->effective_priority);
+        if (job->effective_deadline != deadline && fabs(job->effective_deadline - deadline) > 1e-6)
+            fail_msg("%s: deadline %f", rows[row].description, job->effective_deadline);
     }
 }
 
--- a/src/dependencies/graph.c
+++ b/src/dependencies/graph.c
@@ -9,7 +9,7 @@
 #include "dependencies.h"
 #include "urgency.h"
 
-bool dependencies_unmet(const struct job *job) { return job->unmet > 0; }
+bool dependencies_unmet(const struct job *job) { return job->n_unmet_prerequisites > 0; }
 
 /* Called once per job. Creates the lists of prerequisites and dependents, which live as long as their jobs. */
 static void link_prerequisites(struct job *job) {
@@ -27,15 +27,15 @@
  * prerequisite. That time comes from the records, so that it is the same for every owner of the shard. Records of the
  * first version have no end time, but are older than any job with prerequisites. */
 static void update_unmet(struct job *job) {
-    double ready_since = job->submitted;
-    job->unmet = 0;
+    double ready_since = job->submitted_at;
+    job->n_unmet_prerequisites = 0;
     for (guint i = 0; job->prerequisites && i < job->prerequisites->len; i++) {
         const struct job *prerequisite = job->prerequisites->pdata[i];
-        job->unmet += !(prerequisite->known && prerequisite->state == JOB_DONE);
-        ready_since = MAX(ready_since, prerequisite->finished);
+        job->n_unmet_prerequisites += !(prerequisite->recorded && prerequisite->state == JOB_DONE);
+        ready_since = MAX(ready_since, prerequisite->finished_at);
     }
-    if (job->unmet == 0 && job->ready_at <= 0) job->eligible_since = clock_now();
-    job->ready_at = job->unmet ? 0 : ready_since;
+    if (job->n_unmet_prerequisites == 0 && job->ready_at <= 0) job->eligible_since = clock_now();
+    job->ready_at = job->n_unmet_prerequisites ? 0 : ready_since;
 }
 
 /* Observers of jobs, called with store_lock held. */
@@ -52,7 +52,7 @@
     bool cancelled = job->state == JOB_CANCELLED;
     for (guint i = 0; job->dependents && i < job->dependents->len; i++) {
         struct job *dependent = job->dependents->pdata[i];
-        if (!dependent->known) continue;
+        if (!dependent->recorded) continue;
         update_unmet(dependent);
         if (cancelled) cascade_mark(dependent);
     }
--- a/src/dependencies/submission_check.c
+++ b/src/dependencies/submission_check.c
@@ -12,7 +12,7 @@
     enum prerequisites_result result = PREREQUISITES_VALID;
     store_lock();
     const struct job *job = jobs_find(job_id);
-    if (!job || !job->known) {
+    if (!job || !job->recorded) {
         result = store_key_revision(key->text) ? PREREQUISITE_UNREADABLE : PREREQUISITE_UNKNOWN;
     } else if (job->spec.kind == JOB_SERVICE) {
         result = PREREQUISITE_SERVICE;
--- a/src/dependencies/urgency.c
+++ b/src/dependencies/urgency.c
@@ -8,24 +8,24 @@
 
 void urgency_init(const struct settings *all_settings) { settings = all_settings; }
 
-static bool is_unfinished(const struct job *job) { return job->known && job->state == JOB_QUEUED; }
+static bool is_unfinished(const struct job *job) { return job->recorded && job->state == JOB_QUEUED; }
 
 void urgency_reset(struct job *job) {
-    job->priority = job->spec.priority;
+    job->effective_priority = job->spec.priority;
     /* A deadline counts only if a deadline objective covers the job's class; otherwise other objectives apply to it. */
-    bool deadline_counts = job->known && job->spec.deadline_s > 0 &&
+    bool deadline_counts = job->recorded && job->spec.deadline_s > 0 &&
                            settings_has_objective(settings, OBJECTIVE_DEADLINE, job->spec.job_class);
-    job->deadline = deadline_counts ? job->submitted + job->spec.deadline_s : INFINITY;
+    job->effective_deadline = deadline_counts ? job->submitted_at + job->spec.deadline_s : INFINITY;
 }
 
 /* Raises the prerequisite's priority to at least that of the dependent, and lowers its deadline to at most the
  * dependent's deadline minus the dependent's run time. Returns whether either changed. */
 static bool inherit_urgency(struct job *prerequisite, const struct job *dependent) {
-    enum job_priority priority = MAX(prerequisite->priority, dependent->priority);
-    double deadline = MIN(prerequisite->deadline, dependent->deadline - dependent->spec.runtime_s);
-    bool changed = priority != prerequisite->priority || deadline < prerequisite->deadline;
-    prerequisite->priority = priority;
-    prerequisite->deadline = deadline;
+    enum job_priority priority = MAX(prerequisite->effective_priority, dependent->effective_priority);
+    double deadline = MIN(prerequisite->effective_deadline, dependent->effective_deadline - dependent->spec.runtime_s);
+    bool changed = priority != prerequisite->effective_priority || deadline < prerequisite->effective_deadline;
+    prerequisite->effective_priority = priority;
+    prerequisite->effective_deadline = deadline;
     return changed;
 }
 
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -6,24 +6,24 @@
 
 #include "../clock/clock.h"
 
-/* Maximum size of an allocation in a record if names have their usual length. With longer names, the scheduler plans no
- * more tasks for a chunk than its record can hold. */
+/* Maximum size of an allocation in a record, for machine ids of the usual length. With longer ids, the scheduler plans
+ * no more tasks for a chunk than its record can hold. */
 #define ALLOCATION_BYTES 24
 #define OTHER_FIELDS_BYTES 256 /* the rest of a record */
-#define BYTES_PER_KB 1024
+#define BYTES_PER_KIB 1024
 
 static const struct settings *settings;
 
 void chunks_init(const struct settings *all_settings) { settings = all_settings; }
 
-int chunks_size_for(double value_kb) {
-    int allocations = (int)((value_kb * BYTES_PER_KB - OTHER_FIELDS_BYTES) / ALLOCATION_BYTES);
+int chunks_size_for_limit(double value_kb) {
+    int allocations = (int)((value_kb * BYTES_PER_KIB - OTHER_FIELDS_BYTES) / ALLOCATION_BYTES);
     return CLAMP(allocations, CHUNK_SIZE_MIN, CHUNK_SIZE_MAX) / CHUNK_SIZE_MIN * CHUNK_SIZE_MIN;
 }
 
-int chunks_legacy_size(void) { return chunks_size_for(settings->value_kb); }
+int chunks_first_layout_size(void) { return chunks_size_for_limit(settings->value_kb); }
 
-int chunks_size(const struct job *job) { return job->chunk_size ? job->chunk_size : chunks_legacy_size(); }
+int chunks_size(const struct job *job) { return job->chunk_size ? job->chunk_size : chunks_first_layout_size(); }
 
 int chunks_count_of_size(const struct job *job, int chunk_size) {
     return (job->spec.tasks + chunk_size - 1) / chunk_size;
@@ -31,8 +31,8 @@
 
 int chunks_count(const struct job *job) { return chunks_count_of_size(job, chunks_size(job)); }
 
-/* Allocates the flags on first use, because this controller never uses those of most jobs. Returns false if the job is
- * not known. */
+/* Allocates the flags on first use, because this controller never uses those of most jobs. Returns false if the job's
+ * record has not been read. */
 static bool ensure_flags(struct job *job) {
     if (!job->chunk_flags && job->spec.tasks > 0) job->chunk_flags = g_malloc0((gsize)chunks_count(job));
     return job->chunk_flags != NULL;
@@ -67,6 +67,6 @@
 void chunks_mark_recorded_dirty(struct job *job) {
     if (job->n_recorded_chunks == 0) return;
     int size = chunks_size(job), count = chunks_count(job);
-    for (int i = 0; i < count; i++)
-        if (job->chunk_flags[i] & CHUNK_RECORDED) chunks_mark_dirty(job, i * size);
+    for (int chunk = 0; chunk < count; chunk++)
+        if (job->chunk_flags[chunk] & CHUNK_RECORDED) chunks_mark_dirty(job, chunk * size);
 }
--- a/src/jobs/chunks.h
+++ b/src/jobs/chunks.h
@@ -14,10 +14,10 @@
 /* Called by jobs_init. Keeps the pointer to the settings. */
 void chunks_init(const struct settings *settings);
 
-/* Returns the chunk size for which records fit a value limit in KiB. Pure. */
-int chunks_size_for(double value_kb);
+/* Returns the chunk size, from CHUNK_SIZE_MIN to CHUNK_SIZE_MAX, for which records fit a value limit in KiB. Pure. */
+int chunks_size_for_limit(double value_kb);
 /* Returns the chunk size of the first layout. */
-int chunks_legacy_size(void);
+int chunks_first_layout_size(void);
 
 /* The functions below are called with store_lock held. */
 
@@ -33,7 +33,7 @@
 /* Sets whether the store has a record of the chunk, after the record was read, written or found to be absent. The chunk
  * is no longer dirty. */
 void chunks_set_recorded(struct job *job, int chunk, bool recorded);
-/* Marks the chunk of a task as dirty: its record is outdated and is written in the next scheduling round. */
+/* Marks the chunk of a task as dirty: its record is outdated, and scheduling rounds write it. */
 void chunks_mark_dirty(struct job *job, int task);
 /* Marks all chunks that have a record as dirty. */
 void chunks_mark_recorded_dirty(struct job *job);
--- a/src/jobs/job_lists.c
+++ b/src/jobs/job_lists.c
@@ -8,8 +8,8 @@
 
 static struct {
     const struct settings *settings;
-    GPtrArray *active; /* the oldest first, also in active_by_shard */
-    GPtrArray *active_by_shard[SHARDS_MAX], *ended_by_shard[SHARDS_MAX];
+    GPtrArray *active;                                                   /* the oldest job first */
+    GPtrArray *active_by_shard[SHARDS_MAX], *ended_by_shard[SHARDS_MAX]; /* the oldest job first; in no order */
     int n_outside_home; /* number of active jobs whose record names a shard */
 } lists;
 
@@ -35,8 +35,8 @@
 int jobs_shard(const struct job *job) { return job->shard >= 0 ? job->shard : home_shard(job); }
 
 static int compare_ages(const struct job *left, const struct job *right) {
-    if (left->submitted < right->submitted) return -1;
-    return left->submitted > right->submitted ? 1 : strcmp(left->spec.job_id, right->spec.job_id);
+    if (left->submitted_at < right->submitted_at) return -1;
+    return left->submitted_at > right->submitted_at ? 1 : strcmp(left->spec.job_id, right->spec.job_id);
 }
 
 static void insert_by_age(GPtrArray *list, struct job *job) {
@@ -70,8 +70,8 @@
 }
 
 void jobs_update_lists(struct job *job) {
-    bool active = job->known && job->state == JOB_QUEUED;
-    bool ended = job->known && !active && job->n_recorded_chunks > 0;
+    bool active = job->recorded && job->state == JOB_QUEUED;
+    bool ended = job->recorded && !active && job->n_recorded_chunks > 0;
     if (active != job->listed_active) set_active(job, active);
     if (ended != job->listed_ended) set_ended(job, ended);
 }
--- a/src/jobs/job_lists.h
+++ b/src/jobs/job_lists.h
@@ -15,7 +15,7 @@
 
 /* The functions below are called with store_lock held. */
 
-/* Return the unfinished jobs (struct job): known and in no final state, the oldest first. */
+/* Return the unfinished jobs (struct job), the oldest first: those that are recorded and in no final state. */
 GPtrArray *jobs_active(void);
 GPtrArray *jobs_active_in_shard(int shard);
 /* Returns the jobs of a shard that are in a final state and still have records of allocations. */
--- a/src/jobs/job_spec.c
+++ b/src/jobs/job_spec.c
@@ -13,7 +13,7 @@
 #define JOB_ID_LENGTH_MAX 40
 #define NAME_LENGTH_MAX 199
 #define ZONE_LENGTH_MAX 99
-#define MACHINE_TYPES_MAX 100
+#define MACHINE_TYPES_PER_JOB_MAX 100
 #define AMOUNT_LIMIT 1e9 /* exclusive */
 
 static const char *const kind_names[] = {[JOB_ARRAY] = "batch", [JOB_GANG] = "group", [JOB_SERVICE] = "standing"};
@@ -38,7 +38,7 @@
     memset(spec, 0, sizeof *spec);
 }
 
-/* ---- Readers of single fields. They return false if the field is missing or invalid. ---- */
+/* ---- Readers of single fields. They return false if the field is invalid, or is required and missing. ---- */
 
 struct field_reading {
     const cJSON *submission;
@@ -74,15 +74,15 @@
     return true;
 }
 
-/* Returns the index of the text among n names, or -1 if it is not among them or NULL. */
-static int index_of(const char *text, const char *const *names, int n) {
+/* Returns the index of the text among n names, or -1 if the text is NULL or not among them. */
+static int find_name(const char *text, const char *const *names, int n) {
     for (int i = 0; text && i < n; i++)
         if (strcmp(text, names[i]) == 0) return i;
     return -1;
 }
 
 static bool read_kind(const struct field_reading *field) {
-    int kind = index_of(json_get_string(field->submission, field->name), kind_names, G_N_ELEMENTS(kind_names));
+    int kind = find_name(json_get_string(field->submission, field->name), kind_names, G_N_ELEMENTS(kind_names));
     if (kind < 0) return false;
     *(enum job_kind *)field->member = (enum job_kind)kind;
     return true;
@@ -90,7 +90,7 @@
 
 static bool read_priority(const struct field_reading *field) {
     const char *name = json_get_string(field->submission, field->name);
-    int priority = index_of(name, priority_names, G_N_ELEMENTS(priority_names));
+    int priority = find_name(name, priority_names, G_N_ELEMENTS(priority_names));
     if (priority < 0) return false;
     *(enum job_priority *)field->member = (enum job_priority)priority;
     return true;
@@ -139,7 +139,7 @@
 static bool read_machine_types(const struct field_reading *field) {
     const cJSON *list = field_value(field), *name;
     if (!list) return true;
-    if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > MACHINE_TYPES_MAX) return false;
+    if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > MACHINE_TYPES_PER_JOB_MAX) return false;
     char **names = g_new0(char *, (gsize)cJSON_GetArraySize(list) + 1);
     *(char ***)field->member = names;
     int n = 0;
--- a/src/jobs/job_spec.h
+++ b/src/jobs/job_spec.h
@@ -22,7 +22,7 @@
  * its name ("body" if the submission isn't an object) and zeroes *spec. An unknown team is not an error: spec->team is
  * -1. */
 const char *job_spec_read(const cJSON *submission, const struct settings *settings, struct job_spec *spec);
-/* Frees the contents and zeroes all members. */
+/* Frees the members of the spec and zeroes it. */
 void job_spec_clear(struct job_spec *spec);
 
 /* Read single fields, also from an invalid submission. */
@@ -30,6 +30,6 @@
 int job_spec_read_team(const cJSON *submission, const struct settings *settings); /* -1: unknown */
 bool job_spec_names_prerequisites(const cJSON *submission);
 
-/* Removes the fields that job_spec_read doesn't require. */
+/* Removes all fields from the submission except those that job_spec_read requires. */
 void job_spec_keep_required(cJSON *submission);
 #endif
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -37,15 +37,16 @@
     job = g_new0(struct job, 1);
     g_strlcpy(job->spec.job_id, job_id, sizeof job->spec.job_id);
     job->spec.team = job->shard = -1;
-    job->priority = PRIORITY_IDLE;
-    job->deadline = INFINITY;
+    job->effective_priority = PRIORITY_IDLE;
+    job->effective_deadline = INFINITY;
     job->allocations = g_ptr_array_new();
     job->eligible_since = clock_now();
     g_hash_table_insert(registry.jobs, job->spec.job_id, job);
     return job;
 }
 
-/* Reads the submission in a job's first record, which never changes. Returns false if it is invalid. */
+/* Reads the submission from the first record of a job that is read; it is not read from later records. Returns false if
+ * the submission is invalid. */
 static bool read_submission(struct job *job, const cJSON *data) {
     struct job_spec spec;
     const cJSON *submission = job_record_submission(data);
@@ -59,11 +60,11 @@
         return false;
     }
     job->spec = spec;
-    job->known = true;
+    job->recorded = true;
     job->spec_text = cJSON_PrintUnformatted(submission);
-    job->submitted = job_record_submitted(data);
-    job->done = task_bits_new(job->spec.tasks);
-    job->reported_done = task_bits_new(job->spec.tasks);
+    job->submitted_at = job_record_submitted_at(data);
+    job->done_bits = task_bits_new(job->spec.tasks);
+    job->reported_done_bits = task_bits_new(job->spec.tasks);
     return true;
 }
 
@@ -71,18 +72,18 @@
     double now = clock_time_of_day();
     log_info("job %s (%s, %d tasks, estimate %.0f s) is %s %.1f s after submission, %.1f s after it was ready",
              job->spec.job_id, job->spec.job_class, job->spec.tasks, job->spec.runtime_s,
-             job_record_state_name(job->state), now - job->submitted, job->ready_at > 0 ? now - job->ready_at : 0);
+             job_record_state_name(job->state), now - job->submitted_at, job->ready_at > 0 ? now - job->ready_at : 0);
 }
 
-/* Frees the data that is not needed in a final state. */
+/* Sets the final state and frees the data that is no longer needed. */
 static void enter_final_state(struct job *job, const struct job_record *record) {
-    job->finished = record->finished;
+    job->finished_at = record->finished_at;
     job->state = record->state;
-    job->ended = clock_now();
+    job->ended_at = clock_now();
     if (membership_owns(jobs_shard(job))) log_final_state(job);
     if (job->state == JOB_DONE) job->n_done = job->spec.tasks;
-    g_clear_pointer(&job->done, g_free);
-    g_clear_pointer(&job->reported_done, g_free);
+    g_clear_pointer(&job->done_bits, g_free);
+    g_clear_pointer(&job->reported_done_bits, g_free);
     g_clear_pointer(&job->spec_text, free);
     chunks_mark_recorded_dirty(job);
 }
@@ -91,7 +92,7 @@
     (void)mod_revision;
     if (!data || !job_id_valid(job_id)) return;
     struct job *job = jobs_find_or_stub(job_id);
-    bool added = !job->known;
+    bool added = !job->recorded;
     if (added && !read_submission(job, data)) return;
     struct job_record record = job_record_read(data);
     job_lists_move(job, record.shard);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -19,7 +19,7 @@
 /* Functions that are called after a job's record was applied, with store_lock held and in the order of subscription.
  * Each may be NULL. */
 struct jobs_observer {
-    void (*added)(struct job *job);   /* the job is new; records are read in any order */
+    void (*added)(struct job *job);   /* the job's first record was applied; its prerequisites may still be stubs */
     void (*ended)(struct job *job);   /* the job has entered a final state */
     void (*applied)(struct job *job); /* any record was applied and the lists are updated */
 };
@@ -28,9 +28,9 @@
 
 /* The functions below are called with store_lock held. */
 
-/* Returns the job with this id, or NULL. */
+/* Returns the job with this id, which may be a stub, or NULL. */
 struct job *jobs_find(const char *job_id);
-/* Returns the job with this id. If there is none, adds a job that is not known: it is a prerequisite or has an
- * allocation, and its own record was not read yet. */
+/* Returns the job with this id. If there is none, adds a stub: a job that is a prerequisite or has an allocation, but
+ * whose own record has not been read yet. */
 struct job *jobs_find_or_stub(const char *job_id);
 #endif
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -1,4 +1,4 @@
-/* Submissions and records of jobs. */
+/* Tests how submissions are checked, and how records of jobs are written and read. */
 #include "jobs/jobs.h"
 
 #include <glib.h>
@@ -21,14 +21,13 @@
 
 static struct settings settings;
 static const char valid_submission[] =
-    "{\"uid\":\"req-000412\",\"jobclass\":\"train\",\"owner\":\"red\",\"shape\":\"group\",\"rank\":\"high\",\"tasks\":"
-    "2,"
-    "\"vcpus\":8.0,\"gpus\":1.0,\"memory_gb\":64.0,\"image\":\"img-07\",\"pull_gb\":6.2,\"flavours\":[\"g8\"],\"site\":"
-    "null,"
-    "\"together\":true,\"spread\":false,\"reclaimable\":true,\"runtime_s\":240.0,\"checkpoint_s\":30.0,\"flush_s\":4.0,"
-    "\"due_s\":900.0,\"extra\":1}";
+    "{\"uid\":\"req-000412\",\"jobclass\":\"train\",\"owner\":\"red\",\"shape\":\"group\",\"rank\":\"high\","
+    "\"tasks\":2,\"vcpus\":8.0,\"gpus\":1.0,\"memory_gb\":64.0,\"image\":\"img-07\",\"pull_gb\":6.2,"
+    "\"flavours\":[\"g8\"],\"site\":null,\"together\":true,\"spread\":false,\"reclaimable\":true,"
+    "\"runtime_s\":240.0,\"checkpoint_s\":30.0,\"flush_s\":4.0,\"due_s\":900.0,\"extra\":1}";
 
-/* Each case changes one field of a valid submission; the result is the invalid field, or whether the job could run. */
+/* Each case changes one field of a valid submission, and expects the name of the invalid field (NULL: all are valid)
+ * and whether the job could run. */
 static void submissions_are_validated(void **state) {
     (void)state;
     static const struct {
@@ -72,7 +71,8 @@
         assert_non_null(submission);
         struct job_spec spec;
         const char *invalid_field = job_spec_read(submission, &settings, &spec);
-        if (g_strcmp0(invalid_field, rows[i].invalid_field) != 0) fail_msg("%s: %s", rows[i].new_text, invalid_field);
+        if (g_strcmp0(invalid_field, rows[i].invalid_field) != 0)
+            fail_msg("%s: invalid field %s", rows[i].new_text, invalid_field);
         if (invalid_field) {
             assert_null(spec.job_class); /* the contents were freed */
         } else {
@@ -128,8 +128,8 @@
     g_free(text);
 }
 
-/* The first version of the program ignores a record without the field "spec". It would start a job with prerequisites
- * too early. */
+/* The first version of the program, which would start a job with prerequisites too early, ignores a record without the
+ * field "spec". */
 static void submission_with_prerequisites_has_its_own_field(void **state) {
     (void)state;
     char *text = test_replace_first(valid_submission, "\"extra\":1",
@@ -144,14 +144,14 @@
     g_free(text);
 }
 
-/* A job may have been accepted with a record above the store's next value limit; its final record is below it. */
+/* A record may have been accepted that exceeds the store's next value limit. The job's final record does not. */
 static void job_with_an_oversized_record_can_be_ended(void **state) {
     (void)state;
     char *filler = g_strnfill((gsize)(settings.value_kb * 1024), 'x'),
          *extra = g_strdup_printf("\"extra\":\"%s\"", filler);
     char *text = test_replace_first(valid_submission, "\"extra\":1", extra);
     assert_true(jobs_record_bytes(text) > jobs_record_bytes_max());
-    struct job job = {.spec_text = text, .submitted = 5};
+    struct job job = {.spec_text = text, .submitted_at = 5};
     cJSON *value = jobs_final_value(&job, JOB_DONE);
     char *written = cJSON_PrintUnformatted(value);
     assert_true(strlen(written) <= settings.next_value_kb * 1024);
@@ -176,13 +176,12 @@
     g_free(text);
 }
 
-/* Values that this controller writes are also applied to the mirror, so their submission must be a JSON object. */
 static void job_is_active_until_its_record_says_done(void **state) {
     (void)state;
     apply_record("queued", "00", 3);
     struct job *job = jobs_find("req-000412");
     assert_non_null(job);
-    assert_true(job->known);
+    assert_true(job->recorded);
     assert_int_equal(jobs_active()->len, 1);
     assert_false(jobs_complete(job));
     /* If one task of a gang is done, all are. */
@@ -192,12 +191,13 @@
     assert_int_equal(job->n_dirty_chunks, 1);
     cJSON *value = jobs_final_value(job, JOB_DONE);
     assert_string_equal(json_get_string(value, "state"), "done");
+    /* The controller also applies the value to its mirror, so the submission must be a JSON object. */
     assert_true(cJSON_IsObject(cJSON_GetObjectItem(value, "spec")));
     cJSON_Delete(value);
     apply_record("done", "03", 4);
     assert_int_equal(job->state, JOB_DONE);
     assert_int_equal(jobs_active()->len, 0);
-    /* A later record can't change a final state. */
+    /* Later records do not change a final state. */
     apply_record("queued", "00", 5);
     assert_int_equal(job->state, JOB_DONE);
 }
--- a/src/jobs/progress.c
+++ b/src/jobs/progress.c
@@ -9,14 +9,14 @@
 #include "task_bits.h"
 
 static void mark_task_done(struct job *job, int task) {
-    if (task_bits_get(job->reported_done, task)) return;
-    task_bits_set(job->reported_done, task);
+    if (task_bits_get(job->reported_done_bits, task)) return;
+    task_bits_set(job->reported_done_bits, task);
     job->n_reported_done++;
     chunks_mark_dirty(job, task);
 }
 
 void jobs_mark_done(struct job *job, int task) {
-    if (!job->reported_done || task >= job->spec.tasks) return;
+    if (!job->reported_done_bits || task >= job->spec.tasks) return;
     if (job->spec.kind == JOB_GANG) {
         for (int i = 0; i < job->spec.tasks; i++) mark_task_done(job, i);
     } else {
@@ -25,18 +25,18 @@
 }
 
 void jobs_apply_done_bits(struct job *job, const char *bits_text, int first_task, int n_tasks) {
-    if (!job->done || first_task >= job->spec.tasks) return;
+    if (!job->done_bits || first_task >= job->spec.tasks) return;
     n_tasks = MIN(n_tasks, job->spec.tasks - first_task);
-    int done_before = task_bits_count(job->done, first_task, n_tasks);
-    int reported_before = task_bits_count(job->reported_done, first_task, n_tasks);
-    task_bits_read(bits_text, job->done, first_task, n_tasks);
-    task_bits_read(bits_text, job->reported_done, first_task, n_tasks);
-    job->n_done += task_bits_count(job->done, first_task, n_tasks) - done_before;
-    job->n_reported_done += task_bits_count(job->reported_done, first_task, n_tasks) - reported_before;
+    int done_before = task_bits_count(job->done_bits, first_task, n_tasks);
+    int reported_before = task_bits_count(job->reported_done_bits, first_task, n_tasks);
+    task_bits_read(bits_text, job->done_bits, first_task, n_tasks);
+    task_bits_read(bits_text, job->reported_done_bits, first_task, n_tasks);
+    job->n_done += task_bits_count(job->done_bits, first_task, n_tasks) - done_before;
+    job->n_reported_done += task_bits_count(job->reported_done_bits, first_task, n_tasks) - reported_before;
 }
 
 bool jobs_complete(const struct job *job) {
-    return job->state == JOB_QUEUED && job->known && job->spec.kind != JOB_SERVICE &&
+    return job->state == JOB_QUEUED && job->recorded && job->spec.kind != JOB_SERVICE &&
            job->n_reported_done == job->spec.tasks;
 }
 
@@ -47,7 +47,7 @@
     return count;
 }
 
-const char *jobs_state_name(const struct job *job, int *running) {
-    *running = job->state == JOB_QUEUED ? count_running(job) : 0;
-    return *running > 0 ? "running" : job_record_state_name(job->state);
+const char *jobs_state_name(const struct job *job, int *n_running) {
+    *n_running = job->state == JOB_QUEUED ? count_running(job) : 0;
+    return *n_running > 0 ? "running" : job_record_state_name(job->state);
 }
--- a/src/jobs/progress.h
+++ b/src/jobs/progress.h
@@ -11,8 +11,10 @@
 /* Applies the done tasks in a record of n_tasks tasks from first_task on; task_bits.h defines the format of the text.
  */
 void jobs_apply_done_bits(struct job *job, const char *bits_text, int first_task, int n_tasks);
-/* Returns whether all tasks are reported as done and the job's record does not say done yet. */
+/* Returns whether all tasks are reported as done but the job's record is in no final state yet. A service never
+ * completes. */
 bool jobs_complete(const struct job *job);
-/* Returns the name of the state in responses to users, and sets *running to the number of allocated tasks. */
-const char *jobs_state_name(const struct job *job, int *running);
+/* Returns the name of the state in responses to users, which is "running" if any task is allocated, and sets *n_running
+ * to the number of allocated tasks. */
+const char *jobs_state_name(const struct job *job, int *n_running);
 #endif
--- a/src/jobs/task_bits.h
+++ b/src/jobs/task_bits.h
@@ -14,8 +14,8 @@
 /* Returns how many of the n_tasks tasks from first_task on are in the set. */
 int task_bits_count(const uint8_t *bits, int first_task, int n_tasks);
 
-/* Returns the bits of n_tasks tasks as text; freed with g_free. first_task is the first task of a byte. */
+/* Returns the bits of n_tasks tasks as text; freed with g_free. first_task starts a byte. */
 char *task_bits_text(const uint8_t *bits, int first_task, int n_tasks);
-/* Adds the tasks in the text to the set. A text that is too short sets only the first bits; NULL sets none. */
+/* Adds the tasks in the text to the set. A text that is too short adds only the first tasks; NULL adds none. */
 void task_bits_read(const char *text, uint8_t *bits, int first_task, int n_tasks);
 #endif
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -52,7 +52,7 @@
 /* Returns the silence after which a machine of the shard is probed. It is shorter just after a machine did not answer a
  * probe, because the same failure may have hit a hundred machines at once. */
 static double probe_after_s(int shard) {
-    if (clock_seconds_since(shard_states[shard].machine_suspected_at) < SUSPICION_WINDOW_S)
+    if (clock_seconds_since(owned_shard_states[shard].machine_suspected_at) < SUSPICION_WINDOW_S)
         return SUSPICION_WINDOW_S / 2;
     return clock_to_seconds(liveness_settings->heartbeat_interval) * PROBE_AFTER_INTERVALS;
 }
--- a/src/liveness/return_checks.c
+++ b/src/liveness/return_checks.c
@@ -118,7 +118,7 @@
         const struct allocation *allocation = machine->allocations->pdata[i];
         if (!allocation->released && allocation->was_listed && allocation->job->state == JOB_CANCELLED &&
             return_checks_stop_overdue(
-                clock_seconds_since(allocation->job->ended), clock_seconds_since(machine->liveness.last_heartbeat),
+                clock_seconds_since(allocation->job->ended_at), clock_seconds_since(machine->liveness.last_heartbeat),
                 clock_to_seconds(liveness_settings->worker_lease), clock_to_seconds(liveness_settings->cancel_timeout)))
             return true;
     }
--- a/src/machine_types/machine_types.c
+++ b/src/machine_types/machine_types.c
@@ -8,7 +8,7 @@
 
 #define MACHINE_TYPES_MAX 64
 
-/* Values for catalogue entries without the member. */
+/* Values of members that a type in the catalogue lacks. */
 #define DEFAULT_IMAGE_FETCH_GB_PER_S 1
 #define DEFAULT_HOURLY_PRICE 1
 #define DEFAULT_STARTUP_S 60
@@ -29,19 +29,19 @@
 
 static struct {
     struct machine_type types[MACHINE_TYPES_MAX];
-    int n;
+    int n_types;
 } catalogue;
 
 /* ---- lookup ---- */
 
-bool machine_types_known(void) { return catalogue.n > 0; }
+bool machine_types_known(void) { return catalogue.n_types > 0; }
 
 const struct machine_type *machine_types_all(void) { return catalogue.types; }
 
-int machine_types_count(void) { return catalogue.n; }
+int machine_types_count(void) { return catalogue.n_types; }
 
 static struct machine_type *find(const char *type_name) {
-    for (int i = 0; i < catalogue.n; i++)
+    for (int i = 0; i < catalogue.n_types; i++)
         if (strcmp(catalogue.types[i].type_name, type_name) == 0) return &catalogue.types[i];
     return NULL;
 }
@@ -51,8 +51,8 @@
 /* Returns the type with this name, which is added if it is missing; NULL: the catalogue is full. */
 static struct machine_type *find_or_add(const char *type_name) {
     struct machine_type *type = find(type_name);
-    if (type || catalogue.n == MACHINE_TYPES_MAX) return type;
-    type = &catalogue.types[catalogue.n++];
+    if (type || catalogue.n_types == MACHINE_TYPES_MAX) return type;
+    type = &catalogue.types[catalogue.n_types++];
     g_strlcpy(type->type_name, type_name, sizeof type->type_name);
     return type;
 }
--- a/src/machine_types/machine_types.h
+++ b/src/machine_types/machine_types.h
@@ -11,7 +11,7 @@
 /* Registers the observer of the record. Called once, before the mirror is started. */
 void machine_types_init(void);
 
-/* Tells whether the catalogue has any types, that is, has been read. */
+/* Tells whether a catalogue with any types has been read. */
 bool machine_types_known(void);
 /* Return the array of all types, which belongs to the catalogue, and the number of types. A type never moves in the
  * array. */
@@ -20,6 +20,6 @@
 /* Returns the type with this name, or NULL. */
 const struct machine_type *machine_types_find(const char *type_name);
 
-/* Applies a catalogue, from the cloud's answer or from the record. Types that it does not list are kept. */
+/* Applies a catalogue, from the cloud's answer or from the record. Known types that it does not list are kept. */
 void machine_types_apply(const cJSON *value);
 #endif
--- a/src/machines/internal.h
+++ b/src/machines/internal.h
@@ -1,4 +1,4 @@
-/* Changes of the registry by records. Used only within this package, with store_lock held. */
+/* Functions that change the registry when records are applied. Used only within this package, with store_lock held. */
 #ifndef FF_MACHINES_INTERNAL_H
 #define FF_MACHINES_INTERNAL_H
 #include "machines.h"
--- a/src/machines/machines.c
+++ b/src/machines/machines.c
@@ -13,17 +13,17 @@
 #include "page_migration.h"
 #include "records.h"
 
-#define UNRECORDED_MIN_S 5.0 /* any page or transfer record reaches the mirror sooner */
+#define UNRECORDED_MIN_S 5.0 /* a page or transfer record that was written reaches the mirror in less time */
 
 const struct settings *machines_settings;
-struct shard_state shard_states[SHARDS_MAX];
+struct shard_state owned_shard_states[SHARDS_MAX];
 
 static struct {
-    GHashTable *by_id; /* id -> struct machine, including stubs */
-    GPtrArray *all;    /* struct machine, including stubs */
-    GPtrArray *of_shard[SHARDS_MAX];
-    GHashTable *unregistered; /* id -> struct unregistered_machine */
-    GHashTable *removed_ids;  /* ids of machines that were removed: an outdated list must not add them again */
+    GHashTable *by_id;               /* id -> struct machine, including stubs */
+    GPtrArray *all;                  /* struct machine, including stubs */
+    GPtrArray *by_shard[SHARDS_MAX]; /* struct machine */
+    GHashTable *unregistered;        /* id -> struct unregistered_machine */
+    GHashTable *removed_ids; /* ids of machines that were removed, so that an outdated list does not add them again */
     machines_returned_observer returned_observer;
 } registry;
 
@@ -38,7 +38,7 @@
 
 GPtrArray *machines_all(void) { return registry.all; }
 
-GPtrArray *machines_of_shard(int shard) { return registry.of_shard[shard]; }
+GPtrArray *machines_of_shard(int shard) { return registry.by_shard[shard]; }
 
 int machines_shard_for_id(const char *id) {
     const struct machine *machine = g_hash_table_lookup(registry.by_id, id);
@@ -70,12 +70,12 @@
 
 static void set_shard(struct machine *machine, int shard) {
     if (machine->shard == shard) return;
-    if (machine->shard >= 0) g_ptr_array_remove_fast(registry.of_shard[machine->shard], machine);
+    if (machine->shard >= 0) g_ptr_array_remove_fast(registry.by_shard[machine->shard], machine);
     machine->shard = shard;
     machine->owned_token = 0;
     machine->rebalance.target_shard = machine->round.next_page = -1;
     machine->round.leaves_page = false;
-    if (shard >= 0) g_ptr_array_add(registry.of_shard[shard], machine);
+    if (shard >= 0) g_ptr_array_add(registry.by_shard[shard], machine);
 }
 
 void machines_free_unreferenced(struct machine *machine) {
@@ -150,15 +150,16 @@
 static void reset_allocation(struct allocation *allocation) {
     allocation->was_listed = allocation->released = allocation->stop_sent = false;
     /* Only a heartbeat under the present fencing token tells whether the start was ever sent and whether the task has
-     * ended since. The start is not sent again: the task's end may have been known but not yet recorded, and another
-     * task may have been allocated in its place. */
+     * ended since. The start is not sent again: the previous owner may have known of the task's end without recording
+     * it, and allocated another task in its place. */
     allocation->inherited = true;
     allocation->state = TASK_NOT_LISTED;
     allocation->stop_requested = allocation->job->state != JOB_QUEUED;
     allocation->grace_s = 0;
 }
 
-/* Resets the state that was collected under another fencing token of the shard. The machine counts as just heard. */
+/* Resets the state that was collected under another fencing token of the shard. The silence of the machine is measured
+ * from now on. */
 static void reset_ownership(struct machine *machine, int64_t fencing_token) {
     machine->owned_token = fencing_token;
     machine->owned_since = clock_now();
@@ -188,7 +189,7 @@
     return true;
 }
 
-bool machines_unrecorded(const struct machine *machine) {
+bool machines_is_unrecorded(const struct machine *machine) {
     if (machine->recorded || clock_seconds_since(machine->unrecorded_since) < UNRECORDED_MIN_S ||
         g_hash_table_contains(registry.unregistered, machine->id))
         return false;
@@ -196,7 +197,7 @@
         const struct allocation *allocation = machine->allocations->pdata[i];
         int shard = jobs_shard(allocation->job);
         if (!allocation->released && membership_owns(shard) &&
-            clock_seconds_since(shard_states[shard].owned_since) > UNRECORDED_MIN_S)
+            clock_seconds_since(owned_shard_states[shard].owned_since) > UNRECORDED_MIN_S)
             return true;
     }
     return false;
@@ -241,7 +242,7 @@
     machines_settings = settings;
     registry.by_id = g_hash_table_new(g_str_hash, g_str_equal);
     registry.all = g_ptr_array_new();
-    for (int shard = 0; shard < SHARDS_MAX; shard++) registry.of_shard[shard] = g_ptr_array_new();
+    for (int shard = 0; shard < SHARDS_MAX; shard++) registry.by_shard[shard] = g_ptr_array_new();
     registry.unregistered = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     registry.removed_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     machines_records_init();
--- a/src/machines/machines.h
+++ b/src/machines/machines.h
@@ -1,5 +1,5 @@
 /* The registry of machines, by id and by shard: all machines that a record or an allocation names, with the state that
- * the owner of a shard has about them.
+ * the owner of their shard keeps about them.
  *
  * records.h applies the store's records to the registry. page_assignment.h chooses the page of its shard on which a
  * machine is recorded. */
@@ -15,8 +15,9 @@
 #include "../model/machine.h"
 #include "../model/shard.h"
 
-/* The state of each shard that this controller owns, by number of the shard. Guarded by store_lock. */
-extern struct shard_state shard_states[SHARDS_MAX];
+/* The state of the shards that this controller owns, by shard number; other entries are not valid. Guarded by
+ * store_lock. */
+extern struct shard_state owned_shard_states[SHARDS_MAX];
 
 /* Called once, before the mirror is started. Keeps the pointer to the settings. */
 void machines_init(const struct settings *settings);
@@ -41,7 +42,7 @@
 GPtrArray *machines_all(void);
 GPtrArray *machines_of_shard(int shard);
 /* Returns the shard for a machine that no record names: the shard of the jobs allocated on it, or otherwise a shard
- * that follows from the number at the end of its id. */
+ * computed from the number at the end of its id. */
 int machines_shard_for_id(const char *id);
 
 /* Tells whether this controller owns the machine's shard. The first call under a new fencing token of the shard resets
@@ -53,12 +54,12 @@
 bool machines_leaving(const struct machine *machine);
 /* Marks the machine as returned and releases its allocations. Called once the cloud has confirmed the return. */
 void machines_mark_returned(const char *id);
-/* Tells whether tasks of an owned shard are allocated on the machine although no record has named it for so long that
- * none can be on its way to this controller. Only the cloud's answer to its return proves that the tasks are gone. */
-bool machines_unrecorded(const struct machine *machine);
+/* Tells whether tasks of an owned shard are allocated on the machine although no record names it, and a record that was
+ * written before would have reached this controller by now. Only the cloud's answer to the return of the machine proves
+ * that the tasks are gone. */
+bool machines_is_unrecorded(const struct machine *machine);
 
-/* Unregistered machines were rented or adopted by this controller and are not recorded yet. The next scheduling round
- * records them. */
+/* Unregistered machines: this controller rented or adopted them, and the next scheduling round records them. */
 
 /* Returns the table id -> struct unregistered_machine, which belongs to the registry. */
 GHashTable *machines_unregistered(void);
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -23,7 +23,7 @@
 #include "schema_version/schema_version.h"
 #include "workers/workers.h"
 
-static struct settings cfg;
+static struct settings settings;
 static int64_t mod_revision = 10;
 
 /* Applies a record at the next mod revision. */
@@ -33,19 +33,20 @@
     store_unlock();
 }
 
-static void put_and_delete(const char *key, cJSON *value) {
+/* Applies a record like put and frees its value. */
+static void put_and_free(const char *key, cJSON *value) {
     put(key, value);
     cJSON_Delete(value);
 }
 
-/* Applies the value that the round's working values give the page. */
+/* Builds the value of a page from the machines' working values of the round, and applies it. */
 static void put_page(int shard, int page) {
     int count;
-    put_and_delete(store_key_machine_page(shard, page).text, machines_page_value(shard, page, &count));
+    put_and_free(store_key_machine_page(shard, page).text, machines_page_value(shard, page, &count));
 }
 
 /* Applies a record at the given mod revision. Called with store_lock held. */
-static void apply(const char *key, const char *json, int64_t revision) {
+static void apply_at_revision(const char *key, const char *json, int64_t revision) {
     cJSON *value = cJSON_Parse(json);
     store_apply(key, value, revision);
     cJSON_Delete(value);
@@ -84,7 +85,7 @@
 }
 
 /* Writes a large fleet to pages. Every page must stay within the limit for a value, all machines must be read back, and
- * a machine that leaves its page without a transfer record must stay removed. */
+ * a returned machine must stay removed. */
 static void large_fleet_fits_its_pages_and_is_read_back(void **state) {
     (void)state;
     bool used[MACHINE_PAGES_MAX] = {false};
@@ -96,7 +97,7 @@
         if (!used[page]) continue;
         values[page] = machines_page_value(1, page, &count);
         char *text = cJSON_PrintUnformatted(values[page]);
-        assert_true(strlen(text) <= cfg.value_kb * 1024);
+        assert_true(strlen(text) <= settings.value_kb * 1024);
         free(text);
         total += count;
         pages_used++;
@@ -104,7 +105,7 @@
     assert_int_equal(total, FLEET_SIZE);
     assert_true(pages_used < FLEET_SIZE / 20);
     for (int page = 0; page < MACHINE_PAGES_MAX; page++) {
-        if (values[page]) put_and_delete(store_key_machine_page(1, page).text, values[page]);
+        if (values[page]) put_and_free(store_key_machine_page(1, page).text, values[page]);
     }
     assert_int_equal(g_hash_table_size(machines_unregistered()), 0);
     assert_int_equal(machines_of_shard(1)->len, FLEET_SIZE);
@@ -112,7 +113,7 @@
     assert_true(machine->spot);
     assert_string_equal(machine->zone, "za");
     assert_string_equal(machine->type_name, "g48");
-    /* The returned machine is left out of its page. Its id stays known, so that an outdated list cannot add it again.
+    /* The returned machine is left out of its page. Its id stays known, so that an outdated list does not add it again.
      */
     machine->round.next_page = -1;
     machines_mark_returned("i-000003");
@@ -129,7 +130,8 @@
     struct machine *machine = machines_find("i-000004");
     int page = machine->page, count;
     const struct store_key key = store_key_machine_page(1, page);
-    for (int order = 0; order < 2; order++) { /* the watch may deliver a transaction's changes in any order */
+    /* The watch may deliver a transaction's changes in any order. Order 0: the transfer record first; 1: the page. */
+    for (int order = 0; order < 2; order++) {
         machine->round.leaves_page = true;
         cJSON *value = machines_page_value(1, page, &count), *transfer_record = machines_transfer_value(machine, 0, 77);
         if (order == 0) put("machine/i-000004", transfer_record);
@@ -155,7 +157,7 @@
         /* Transfers the machine back. */
         machine->round.leaves_page = true;
         machine->round.next_page = -1;
-        put_and_delete("machine/i-000004", machines_transfer_value(machine, 1, 78));
+        put_and_free("machine/i-000004", machines_transfer_value(machine, 1, 78));
         put("fleet/0/0", NULL);
         machine = machines_find("i-000004");
         machine->round.leaves_page = false;
@@ -172,17 +174,17 @@
 static void first_layout_marks_the_store_unreadable(void **state) {
     (void)state;
     assert_false(schema_version_store_unreadable());
-    put_and_delete("machine/i-900000",
-                   cJSON_Parse("{\"share\":0,\"fence\":0,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\","
-                               "\"b\":[[\"req-10001\",0,5]]}"));
+    put_and_free("machine/i-900000",
+                 cJSON_Parse("{\"share\":0,\"fence\":0,\"address\":\"\",\"flavour\":\"g\",\"site\":\"za\","
+                             "\"b\":[[\"req-10001\",0,5]]}"));
     assert_true(schema_version_store_unreadable());
     assert_null(machines_find("i-900000"));
 }
 
-/* A machine is on two pages, because one controller rented it and another adopted it. The later record takes
- * precedence, whatever the order in which they are read, and removing the machine from the older page must not release
- * its tasks. */
-static void later_page_wins_if_two_list_a_machine(void **state) {
+/* Two pages list a machine, because one controller rented it and another adopted it. The later record takes precedence,
+ * whatever the order in which they are read (0: the older page first; 1: the later page first), and removing the
+ * machine from the older page must not release its tasks. */
+static void later_page_takes_precedence_if_two_list_a_machine(void **state) {
     (void)state;
     for (int order = 0; order < 2; order++) {
         char page_json[160], allocations_json[64];
@@ -192,14 +194,14 @@
                    "{\"sku\":[\"g\"],\"site\":[\"za\"],\"m\":[[\"%s\",\"\",0,0,0,0,1,\"\"]]}", id);
         g_snprintf(allocations_json, sizeof allocations_json, "{\"f\":5,\"b\":\"0@%s+0\"}", id);
         store_lock();
-        apply(order ? "run/req-96001/0" : "run/req-96000/0", allocations_json, revision);
-        apply(order ? "fleet/0/201" : "fleet/1/200", page_json, order ? revision + 20 : revision + 10);
-        apply(order ? "fleet/1/201" : "fleet/0/200", page_json, order ? revision + 10 : revision + 20);
+        apply_at_revision(order ? "run/req-96001/0" : "run/req-96000/0", allocations_json, revision);
+        apply_at_revision(order ? "fleet/0/201" : "fleet/1/200", page_json, order ? revision + 20 : revision + 10);
+        apply_at_revision(order ? "fleet/1/201" : "fleet/0/200", page_json, order ? revision + 10 : revision + 20);
         struct machine *machine = machines_find(id);
         assert_non_null(machine);
         assert_int_equal(machine->shard, 0);
         assert_int_equal(machine->allocations->len, 1);
-        apply(order ? "fleet/1/201" : "fleet/1/200", "{\"sku\":[],\"site\":[],\"m\":[]}", revision + 30);
+        apply_at_revision(order ? "fleet/1/201" : "fleet/1/200", "{\"sku\":[],\"site\":[],\"m\":[]}", revision + 30);
         machine = machines_find(id);
         bool stays = machine && machine->shard == 0 && !((struct allocation *)machine->allocations->pdata[0])->released;
         store_unlock();
@@ -257,7 +259,7 @@
         assert_non_null(machines_find("i-009001"));
         put("fleet/0/99", page);
         bool stays = machines_find("i-009001") != NULL;
-        if (stays != rows[i].stays) fail_msg("%s: %d", rows[i].description, stays);
+        if (stays != rows[i].stays) fail_msg("%s: machine stays: %d", rows[i].description, stays);
         cJSON_Delete(well_formed_page);
         cJSON_Delete(page);
     }
@@ -265,24 +267,24 @@
 }
 
 int main(void) {
-    if (!settings_parse(TEST_SETTINGS_JSON, "f.json", &cfg, NULL)) return 1;
+    if (!settings_parse(TEST_SETTINGS_JSON, "f.json", &settings, NULL)) return 1;
     logging_init("fatal");
-    store_init(&cfg);
-    membership_init(&cfg);
-    jobs_init(&cfg);
-    dependencies_init(&cfg);
-    schema_version_init(&cfg);
+    store_init(&settings);
+    membership_init(&settings);
+    jobs_init(&settings);
+    dependencies_init(&settings);
+    schema_version_init(&settings);
     machine_types_init();
-    cloud_init(&cfg);
-    machines_init(&cfg);
-    allocations_init(&cfg);
-    priority_init(&cfg);
-    placement_init(&cfg);
-    scheduler_init(&cfg);
-    workers_init(&cfg);
+    cloud_init(&settings);
+    machines_init(&settings);
+    allocations_init(&settings);
+    priority_init(&settings);
+    placement_init(&settings);
+    scheduler_init(&settings);
+    workers_init(&settings);
     const struct CMUnitTest tests[] = {cmocka_unit_test(large_fleet_fits_its_pages_and_is_read_back),
                                        cmocka_unit_test(transfer_is_applied_in_either_order),
-                                       cmocka_unit_test(later_page_wins_if_two_list_a_machine),
+                                       cmocka_unit_test(later_page_takes_precedence_if_two_list_a_machine),
                                        cmocka_unit_test(older_changes_do_not_undo_a_page_read_ahead),
                                        cmocka_unit_test(unreadable_page_removes_no_machine),
                                        cmocka_unit_test(first_layout_marks_the_store_unreadable)};
--- a/src/machines/page_assignment.c
+++ b/src/machines/page_assignment.c
@@ -10,7 +10,7 @@
 #define PAGE_OVERHEAD_BYTES 600
 #define ENTRY_OVERHEAD_BYTES 72
 #define ADDRESS_BYTES 22 /* assumed for each address */
-/* The same without images, which are left out if they exceed the next limit. */
+/* The same bounds without images, which are left out of a page that would exceed the next limit with them. */
 #define NEXT_PAGE_OVERHEAD_BYTES 104
 #define NEXT_ENTRY_OVERHEAD_BYTES 40
 #define NAME_OVERHEAD_BYTES 3 /* quotation marks and comma of a name in a list */
@@ -47,15 +47,14 @@
     return machine->round.next_page >= 0 ? machine->round.next_page : machine->page;
 }
 
-void machines_measure_pages(int shard, struct shard_page_usage *shard_usage) {
-    memset(shard_usage, 0, sizeof *shard_usage);
+void machines_measure_pages(int shard, struct shard_page_usage *usage) {
+    memset(usage, 0, sizeof *usage);
     GPtrArray *machines = machines_of_shard(shard);
     for (guint i = 0; i < machines->len; i++) {
         const struct machine *machine = machines->pdata[i];
         int page = machines_planned_page(machine);
         if (page >= 0 && page < MACHINE_PAGES_MAX)
-            count_entry(&shard_usage->pages[page], machine->id,
-                        machine->retirement.released ? ENTRY_LEAVES : ENTRY_STAYS);
+            count_entry(&usage->pages[page], machine->id, machine->retirement.released ? ENTRY_LEAVES : ENTRY_STAYS);
     }
     GHashTableIter iter;
     gpointer value;
@@ -63,7 +62,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct unregistered_machine *machine = value;
         if (machine->shard == shard && machine->page >= 0 && machine->page < MACHINE_PAGES_MAX)
-            count_entry(&shard_usage->pages[machine->page], machine->id, ENTRY_STAYS);
+            count_entry(&usage->pages[machine->page], machine->id, ENTRY_STAYS);
     }
 }
 
--- a/src/machines/page_migration.c
+++ b/src/machines/page_migration.c
@@ -4,7 +4,7 @@
 
 #include "page_assignment.h"
 
-static bool stale[SHARDS_MAX][MACHINE_PAGES_MAX];
+static bool stale_pages[SHARDS_MAX][MACHINE_PAGES_MAX];
 
 void machines_find_oversized_pages(int shard, bool oversized[MACHINE_PAGES_MAX]) {
     memset(oversized, 0, MACHINE_PAGES_MAX * sizeof *oversized);
@@ -15,10 +15,10 @@
         oversized[page] = !machines_page_fits_next_limit(&usage.pages[page]);
 }
 
-bool machines_page_is_stale(int shard, int page) { return stale[shard][page]; }
+bool machines_page_is_stale(int shard, int page) { return stale_pages[shard][page]; }
 
 void machines_page_mark_stale(int shard, int page) {
-    if (page >= 0 && page < MACHINE_PAGES_MAX) stale[shard][page] = true;
+    if (page >= 0 && page < MACHINE_PAGES_MAX) stale_pages[shard][page] = true;
 }
 
-void machines_page_clear_stale(int shard, int page) { stale[shard][page] = false; }
+void machines_page_clear_stale(int shard, int page) { stale_pages[shard][page] = false; }
--- a/src/machines/page_migration.h
+++ b/src/machines/page_migration.h
@@ -11,8 +11,8 @@
 
 #include "../model/machine.h"
 
-/* Sets `oversized` for each page of the shard: whether the page exceeds the next limit. None does if the limit does not
- * decrease. */
+/* Sets oversized[page] for each page of the shard: whether the page exceeds the next limit. If the limit does not
+ * decrease, no page is oversized. */
 void machines_find_oversized_pages(int shard, bool oversized[MACHINE_PAGES_MAX]);
 
 /* Tells whether the page lists machines that a later record has moved elsewhere. */
--- a/src/machines/records.c
+++ b/src/machines/records.c
@@ -30,17 +30,19 @@
     machine_page_read_images(page, record, machine->images);
 }
 
-/* Tells whether a later record than this revision puts the machine elsewhere. Two pages may list the same machine: one
- * of the controller that rented it, and one of a controller that adopted it meanwhile. The later record takes
- * precedence, whatever the order in which they are read. Otherwise a controller that reads them again may assign the
- * machine to the other shard and leave it out of its own page, and the others then release the tasks that run on it. */
+/* Tells whether a record with a later mod revision places the machine elsewhere. Two pages may list the same machine:
+ * one of the controller that rented it, and one of a controller that adopted it meanwhile. The later record takes
+ * precedence, whatever the order in which they are read. Otherwise a controller that reads both again may assign the
+ * machine to the other shard and leave it out of its own page, and other controllers then release the tasks that run on
+ * the machine. */
 static bool has_later_placement(const char *id, int shard, int page_number, int64_t mod_revision) {
     const struct machine *machine = machines_find(id);
     return machine && machine->placement_revision > mod_revision &&
            (machine->shard != shard || machine->page != page_number);
 }
 
-/* Applies the entries of a page and adds their machines to the set. Returns false if an entry is malformed. */
+/* Applies the entries of a page and adds the machines that are now on the page to the set. Returns false if an entry is
+ * malformed. */
 static bool apply_entries(const struct machine_page *page, int shard, int page_number, int64_t mod_revision,
                           GHashTable *listed) {
     bool well_formed = true;
@@ -77,7 +79,7 @@
     }
 }
 
-/* Parses SHARD/PAGE. Returns false if there is no such page. */
+/* Parses SHARD/PAGE. Returns false if it is malformed or out of range. */
 static bool parse_page_key(const char *key_suffix, int *shard, int *page_number) {
     const char *slash = strchr(key_suffix, '/');
     if (!slash) return false;
@@ -127,8 +129,9 @@
 }
 
 static void apply_transfer(const char *id, const cJSON *data, int64_t mod_revision) {
-    /* As for pages, the later record takes precedence, whatever the order in which they are read. Otherwise, when a
-     * page is read ahead of the watch, the watch's older transfer record undoes it, and tasks that run are released. */
+    /* As for pages, the later record takes precedence, whatever the order in which they are read. Otherwise, after a
+     * page was read ahead of the watch, an older transfer record from the watch would undo it, and running tasks would
+     * be released. */
     struct machine *machine = machines_find(id);
     if (machine && machine->placement_revision > mod_revision) return;
     if (!data) {
@@ -212,7 +215,7 @@
 cJSON *machines_page_value(int shard, int page, int *count) {
     int images = IMAGES_PER_MACHINE;
     cJSON *value = page_value(shard, page, images, count);
-    /* Images only save fetches, so they are left out if the page would exceed the next limit. */
+    /* Images only save fetches, so a page that would exceed the next limit has fewer or none. */
     while (images > 0 && machines_page_limit_decreases() && !fits_next_limit(value)) {
         images /= 2;
         cJSON_Delete(value);
--- a/src/model/allocation.h
+++ b/src/model/allocation.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 #include <time.h>
 
-#define TASK_NAME_SIZE 96 /* of JOB/TASK, with the terminating zero */
+#define TASK_NAME_SIZE 96 /* of a name JOB/TASK, with the terminating zero */
 
 struct job;
 struct machine;
@@ -28,16 +28,18 @@
     struct job *job;
     struct machine *machine;
     guint index_in_job, index_in_machine; /* its index in the allocations list of the job, and of the machine */
-    int task;
-    int64_t attempt;
+    int task;                             /* its index in the job */
+    int64_t attempt;                      /* number of this start (attempt.h) */
     struct timespec allocated_at;
 
-    /* Known to the owner of its shard, and valid under the shard's present fencing token only. */
+    /* Known to the owner of the machine's shard, and valid only under the shard's current fencing token. */
     enum task_state state; /* as last listed */
     struct timespec state_since;
     bool was_listed; /* the agent has listed the task at least once */
-    bool inherited; /* not decided under this fencing token: it is never started, and is released if it is not listed */
-    bool released;  /* the task is proven absent or ended: its resources are free, and its record will be updated */
+    /* The allocation was not decided under the current fencing token: its start is not sent, and it is released if the
+     * agent does not list the task. */
+    bool inherited;
+    bool released; /* the task is proven absent or ended: its resources are free, and its record will be updated */
     bool stop_requested, stop_sent;
     double grace_s;  /* time that the task is given to stop */
     int starts_sent; /* number of heartbeat responses that carried the start */
@@ -45,9 +47,9 @@
     int non_owner_stops_sent; /* stops that this controller has sent without owning the machine */
 };
 
-/* A task that a machine lists but that has no allocation. */
+/* A task that a machine's agent lists but that has no allocation. */
 struct unknown_task {
-    char task[TASK_NAME_SIZE]; /* JOB/TASK */
+    char task_name[TASK_NAME_SIZE]; /* JOB/TASK */
     int64_t attempt;
     bool ended;
 };
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -15,7 +15,7 @@
 enum job_kind { JOB_ARRAY, JOB_GANG, JOB_SERVICE };
 /* In ascending order. Jobs of a higher priority may preempt those of a lower one. */
 enum job_priority { PRIORITY_IDLE, PRIORITY_NORMAL, PRIORITY_HIGH, PRIORITY_PRODUCTION };
-/* The state in a job's record. */
+/* The state in a job's record. A running job is recorded as queued. */
 enum job_state { JOB_QUEUED, JOB_DONE, JOB_CANCELLED };
 
 /* Flags of a chunk of a job's tasks. */
@@ -48,30 +48,31 @@
 /* A job. The jobs package maintains the members that no comment assigns to another package. */
 struct job {
     struct job_spec spec;
-    bool known;      /* its record has been read; false: only an allocation or a dependent names the job */
+    bool recorded;   /* its record has been read; false: only an allocation or a dependent names the job */
     char *spec_text; /* the submission's JSON; NULL once the job is done or cancelled */
     int shard;       /* for a divided team's job, the shard in its record; -1: the home shard of its team */
     enum job_state state;
-    double submitted;              /* time of day at which the job was accepted */
-    double finished;               /* time of day in its record at which it was done; 0: not done, or not recorded */
-    struct timespec ended;         /* when this controller read its final state */
-    uint8_t *done, *reported_done; /* one bit per task: recorded as done; reported as done, but perhaps not recorded */
-    int n_done, n_reported_done;
-    struct timespec eligible_since; /* since when it may start, as far as this controller knows */
+    double submitted_at;      /* time of day at which the job was accepted */
+    double finished_at;       /* time of day at which the job was done, from its record; 0: not done or not recorded */
+    struct timespec ended_at; /* when this controller read its final state */
+    /* One bit per task: recorded as done; reported as done, whether recorded or not. NULL once the job has ended. */
+    uint8_t *done_bits, *reported_done_bits;
+    int n_done, n_reported_done;    /* the numbers of these tasks */
+    struct timespec eligible_since; /* since when the job may start, as far as this controller knows */
     bool cancel_acknowledged; /* this controller has confirmed the cancellation to the user: the tasks must end even if
                                * their owner never learns of it */
     bool listed_active, listed_ended; /* the job is in the list of active jobs, and in that of ended jobs */
 
     /* Maintained by the dependencies package. */
     GPtrArray *prerequisites, *dependents; /* struct job; NULL: none */
-    int unmet;                             /* number of prerequisites that are not recorded as done */
-    double ready_at;                       /* time of day from which its objectives count; 0: prerequisites are unmet */
-    enum job_priority priority;            /* the highest priority of the job and its unfinished dependents */
-    double deadline;                       /* time of day by which it must be done so that it and its dependents meet
-                                            * their deadlines; INFINITY: none */
-    bool prerequisite_cancelled;           /* a direct or indirect prerequisite is cancelled, so the job must be, too */
-    bool cascade_acknowledged;             /* this controller has confirmed a prerequisite's cancellation to a user */
-    struct timespec cascade_since;         /* when prerequisite_cancelled was set */
+    int n_unmet_prerequisites;             /* number of prerequisites that are not recorded as done */
+    double ready_at; /* time of day from which its waiting time and objectives count; 0: prerequisites are unmet */
+    enum job_priority effective_priority; /* the highest priority of the job and its unfinished dependents */
+    double effective_deadline;            /* time of day by which the job must be done so that it and its dependents
+                                           * meet their deadlines; INFINITY: none */
+    bool prerequisite_cancelled;          /* a direct or indirect prerequisite is cancelled, so the job must be, too */
+    bool cascade_acknowledged;            /* this controller has confirmed a prerequisite's cancellation to a user */
+    struct timespec cascade_since;        /* when prerequisite_cancelled was set */
 
     /* Maintained by the allocations package, which records the allocations in chunks of the job's tasks. */
     GPtrArray *allocations; /* struct allocation */
@@ -86,10 +87,11 @@
     GPtrArray *failed_on;      /* ids of machines on which tasks failed since a task last succeeded; NULL: none */
 
     /* Maintained by the owner of its shard. */
-    struct timespec retry_at;     /* no task is started before */
+    struct timespec retry_at;     /* no task is started before this instant */
     const char *zone;             /* the zone in which machines are rented for a single-zone gang; NULL: not decided */
-    int replicas_at_risk;         /* tasks in unreachable zones, which may soon have to be started elsewhere */
+    int replicas_at_risk;         /* tasks of a service on machines that may be unreachable, which may soon have to be
+                                   * started elsewhere */
     bool unplaced;                /* the last scheduling round found no machine for some tasks */
-    struct timespec preempted_at; /* when other tasks were last preempted for it */
+    struct timespec preempted_at; /* when other tasks were last preempted for the job */
 };
 #endif
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -16,10 +16,10 @@
 #define ZONE_NAME_SIZE 64
 
 #define MACHINE_OCCUPANCY_SAMPLES 64
-#define MACHINE_TASKS_MAX                                                                                            \
-    200                       /* allocations of a machine at a time; keeps heartbeats and responses far below 64 KiB \
-                               */
-#define MACHINE_PAGES_MAX 256 /* the pages of a shard are numbered from 0 to MACHINE_PAGES_MAX - 1 */
+/* Allocations of a machine at a time. The limit keeps heartbeats and responses far below 64 KiB. */
+#define MACHINE_TASKS_MAX 200
+/* The pages of a shard are numbered from 0 to MACHINE_PAGES_MAX - 1. */
+#define MACHINE_PAGES_MAX 256
 
 /* State that the machine's agent has reported. Maintained by workers. */
 struct machine_agent {
@@ -28,19 +28,20 @@
     GArray *unknown_tasks;         /* struct unknown_task: listed tasks that have no allocation */
 };
 
-/* Whether messages reach the controller and the machine. Maintained by workers, read by liveness. */
+/* Whether messages reach the controller and the machine. Maintained by workers and liveness. */
 struct machine_liveness {
-    bool up;
+    bool up; /* the agent was heard, or the machine already had allocations when this ownership began */
     struct timespec last_heard;     /* last heartbeat or answer to a command */
     struct timespec last_heartbeat; /* last heartbeat */
     int unanswered_probes;          /* commands in a row that were not answered since last_heard */
     bool heartbeat_acknowledged; /* a heartbeat was answered with 200, so the agent should report the present token */
     int ignored_responses;       /* heartbeats in a row which show that the agent did not receive the responses */
-    double preemption_notice_s;  /* remaining time until the cloud reclaims the machine; < 0: no notice */
+    double preemption_notice_s;  /* from notice_received_at until the cloud reclaims the machine; < 0: no notice */
     struct timespec notice_received_at;
 };
 
-/* Commands that the controller sends to the machine, beside its responses to heartbeats. Maintained by workers. */
+/* Commands to the machine, besides the responses to its heartbeats. Sent by workers; other packages set send_pending
+ * and needs_token_probe to request them. */
 struct machine_commands {
     bool send_pending;      /* directives may have to be sent */
     bool needs_token_probe; /* a probe must be sent, which shows the agent its fencing token and asks for its tasks */
@@ -49,7 +50,7 @@
     struct timespec last_probe;
     bool start_outcome_unknown; /* a start may yet be carried out, under the token and incarnation below */
     int64_t unknown_start_token, unknown_start_incarnation;
-    bool needs_token_raise;    /* only a higher fencing token rules that start out */
+    bool needs_token_raise;    /* only a higher fencing token rules out that this start is carried out */
     int64_t start_incarnation; /* latest incarnation for which a heartbeat response carried starts; 0: none */
     struct timespec non_owner_stops_sent_at; /* when this controller last sent stops without owning the machine */
 };
@@ -63,7 +64,8 @@
     int n_samples; /* number of samples ever added; the latest ones overwrite the oldest */
 };
 
-/* Progress of the machine's return to the cloud. Maintained by the autoscaler and liveness. */
+/* Progress of the machine's return to the cloud. The autoscaler, liveness and the cloud package request the return, and
+ * the machines package records its progress. */
 struct machine_retirement {
     bool draining; /* the machine takes no more tasks, and is returned once it is empty */
     struct timespec drain_since;
@@ -111,9 +113,9 @@
     int64_t fencing_token;            /* the machine's own, from its adoption or a raise; the shard's may be higher */
     bool address_unrecorded;          /* its record lacks the known address */
 
-    /* Known to the owner of its shard, and valid under this fencing token of the shard only. */
+    /* Known to the owner of its shard, and valid only while owned_token is the shard's fencing token. */
     int64_t owned_token;
-    struct timespec owned_since;
+    struct timespec owned_since; /* since when this controller owns the machine under owned_token */
     struct machine_agent agent;
     struct machine_liveness liveness;
     struct machine_commands commands;
@@ -122,7 +124,7 @@
     struct machine_rebalance rebalance;
     struct machine_round round;
 
-    /* Maintained by quarantine. */
+    /* Maintained by the quarantine package. */
     struct timespec faulty_since; /* zero: the machine is not faulty */
     GPtrArray *failed_jobs;       /* struct job: jobs whose tasks failed on the machine; NULL: none */
 };
--- a/src/model/machine_type.h
+++ b/src/model/machine_type.h
@@ -5,7 +5,7 @@
 #define TYPE_NAME_SIZE 64 /* with the terminating zero */
 #define MACHINE_TYPE_ZONES_MAX 32
 
-/* One entry of the cloud's catalogue. The machine_types package keeps them. */
+/* One entry of the cloud's catalogue. The machine_types package keeps all entries. */
 struct machine_type {
     char type_name[TYPE_NAME_SIZE];
     double vcpus, gpus, memory_gb;
--- a/src/preemption/preemptible.c
+++ b/src/preemption/preemptible.c
@@ -28,7 +28,7 @@
 
 bool preemption_allowed(const struct allocation *allocation, const struct priority_entry *entry) {
     if (allocation->released || allocation->stop_requested || allocation->job->spec.kind != JOB_ARRAY) return false;
-    if (allocation->job->priority < entry->job->priority) return true;
+    if (allocation->job->effective_priority < entry->job->effective_priority) return true;
     return entry->within_guarantee && claimable_for_guarantee(allocation, entry->job);
 }
 
--- a/src/preemption/preemption_test.c
+++ b/src/preemption/preemption_test.c
@@ -32,8 +32,8 @@
         {"released", JOB_ARRAY, PRIORITY_IDLE, true, false, false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        struct job running_job = {.spec = {.kind = rows[i].kind}, .priority = rows[i].priority};
-        struct job job = {.priority = PRIORITY_HIGH};
+        struct job running_job = {.spec = {.kind = rows[i].kind}, .effective_priority = rows[i].priority};
+        struct job job = {.effective_priority = PRIORITY_HIGH};
         struct allocation allocation = {
             .job = &running_job, .released = rows[i].released, .stop_requested = rows[i].stop_requested};
         struct priority_entry entry = {.job = &job};
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -28,7 +28,8 @@
     bool first_is_suspect = quarantine_job_suspect(first->job), second_is_suspect = quarantine_job_suspect(second->job);
     if (first_is_suspect != second_is_suspect) return second_is_suspect ? -1 : 1;
     if (first->within_guarantee != second->within_guarantee) return first->within_guarantee ? -1 : 1;
-    if (first->job->priority != second->job->priority) return first->job->priority > second->job->priority ? -1 : 1;
+    if (first->job->effective_priority != second->job->effective_priority)
+        return first->job->effective_priority > second->job->effective_priority ? -1 : 1;
     if (first->due_at != second->due_at) return first->due_at < second->due_at ? -1 : 1;
     return strcmp(first->job->spec.job_id, second->job->spec.job_id);
 }
@@ -68,7 +69,8 @@
         add_demand(&demand, job);
         if (!matches_filter(&filter, job)) continue;
         double due_at_objective = job_due_time(priority_settings, job, now);
-        struct priority_entry entry = {job, within_guarantee(&demand, job), MIN(due_at_objective, job->deadline)};
+        struct priority_entry entry = {job, within_guarantee(&demand, job),
+                                       MIN(due_at_objective, job->effective_deadline)};
         g_array_append_val(order, entry);
     }
     g_array_sort(order, compare_entries);
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -37,7 +37,7 @@
 
 /* Whether this controller owns the shard and the mirror holds all writes to it, so that its use is known. */
 static bool usage_known(int shard) {
-    const struct shard_state *state = &shard_states[shard];
+    const struct shard_state *state = &owned_shard_states[shard];
     return membership_owns(shard) && !state->barrier_pending &&
            state->fencing_token == membership_shard(shard)->fencing_token &&
            state->conflict_revision <= store_revision();
@@ -176,7 +176,7 @@
         store_wake_watch();
     } else if (result == STORE_UNKNOWN) {
         /* The transaction may still be applied: nothing is allocated in these shards until their mod revisions rise. */
-        for (int i = 0; i < change->n_shards; i++) shard_states[change->shards[i]].barrier_pending = true;
+        for (int i = 0; i < change->n_shards; i++) owned_shard_states[change->shards[i]].barrier_pending = true;
     }
     store_response_clear(&response);
 }
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -65,7 +65,7 @@
     int index = quota_allotment_index(&team_quota->record, shard);
     /* A rejected write may be the retry of one that was applied, so the shard's use is unknown until the mirror has
      * reached the revision of the rejection. */
-    if (team_quota->unreadable || index < 0 || shard_states[shard].conflict_revision > store_revision())
+    if (team_quota->unreadable || index < 0 || owned_shard_states[shard].conflict_revision > store_revision())
         return zero_bound;
     bool closing =
         quota_allotment_closing(&team_quota->record, team_quota->home_shard, quota_settings->n_shards, shard);
@@ -118,7 +118,7 @@
         int index = team_quota && !team_quota->unreadable
                         ? quota_allotment_index(&team_quota->record, jobs_shard(allocation->job))
                         : -1;
-        may_preempt &= !team_quota || allocation->job->priority < priority || quota_may_preempt(allocation);
+        may_preempt &= !team_quota || allocation->job->effective_priority < priority || quota_may_preempt(allocation);
         if (index < 0) continue;
         stopping_before[counted] = team_quota->stopping[index];
         quota_note_preempted(allocation);
--- a/src/rebalancing/donation.c
+++ b/src/rebalancing/donation.c
@@ -24,7 +24,7 @@
     const GPtrArray *jobs = jobs_active_in_shard(shard);
     for (guint i = 0; i < jobs->len; i++) {
         const struct job *job = jobs->pdata[i];
-        if (job->unplaced && job->priority >= other_job->priority) return true;
+        if (job->unplaced && job->effective_priority >= other_job->effective_priority) return true;
     }
     return false;
 }
@@ -37,7 +37,8 @@
     bool own_first = false;
     for (guint i = 0; i < order->len && !own_first; i++) {
         const struct priority_entry *entry = &g_array_index(order, struct priority_entry, i);
-        own_first = entry->within_guarantee && entry->job->unplaced && entry->job->priority >= other_job->priority;
+        own_first = entry->within_guarantee && entry->job->unplaced &&
+                    entry->job->effective_priority >= other_job->effective_priority;
     }
     g_array_free(order, TRUE);
     return own_first;
@@ -64,13 +65,13 @@
 static bool is_surplus(int shard, const struct machine *machine, const struct priority_entry *entry) {
     if (!entry->job->spec.allows_spot || entry->within_guarantee) return true;
     if (!machine->spot && !machine->retirement.draining) return false;
-    return machine->allocations->len > 0 || !shard_states[shard].has_unplaced_tasks;
+    return machine->allocations->len > 0 || !owned_shard_states[shard].has_unplaced_tasks;
 }
 
 static bool can_be_emptied(const struct machine *machine, const struct priority_entry *entry) {
     for (guint i = 0; i < machine->allocations->len; i++)
         if (!preemption_allowed(machine->allocations->pdata[i], entry)) return false;
-    return quota_may_preempt_machine(machine, entry->job->priority);
+    return quota_may_preempt_machine(machine, entry->job->effective_priority);
 }
 
 static double donation_cost(const struct machine *machine, const struct job *job) {
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -40,7 +40,7 @@
 /* Returns whether the next search is due, and if so records its time. Examining the jobs of every other shard is the
  * most expensive part of a round, and no transfer completes within this interval. */
 static bool search_due(int shard) {
-    struct timespec *searched_at = &shard_states[shard].rebalanced_at;
+    struct timespec *searched_at = &owned_shard_states[shard].rebalance_searched_at;
     if (clock_seconds_since(*searched_at) < machines_all()->len * SEARCH_INTERVAL_PER_MACHINE_S) return false;
     *searched_at = clock_now();
     return true;
--- a/src/rebalancing/rebalancing_test.c
+++ b/src/rebalancing/rebalancing_test.c
@@ -82,7 +82,7 @@
         if (rows[i].own_job_waits)
             shard_owner_add_job(own_id, "batch", "normal", 1, 1, 0, false, false, 5)->unplaced = true;
         placement_prepare_machines(0);
-        shard_states[0].rebalanced_at = (struct timespec){0, 0};
+        owned_shard_states[0].rebalance_searched_at = (struct timespec){0, 0};
         rebalancing_plan(0);
         int reception_to = reception_machine->rebalance.target_shard, spare_to = spare_machine->rebalance.target_shard;
         shard_owner_put(key, NULL);
--- a/src/scheduler/barrier.c
+++ b/src/scheduler/barrier.c
@@ -32,6 +32,6 @@
     cJSON *same_value = membership_shard_value(record->owner, record->incarnation, record->fencing_token);
     store_txn_put(&transaction, key.text, same_value, 0);
     store_unlock();
-    if (owned && send_barrier(client, &transaction)) shard_states[shard].barrier_pending = false;
+    if (owned && send_barrier(client, &transaction)) owned_shard_states[shard].barrier_pending = false;
     store_txn_free(&transaction);
 }
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -15,11 +15,11 @@
 #define PREEMPTION_INTERVAL_S 3 /* between preemptions for one job, so that preempted tasks can stop */
 
 int64_t planning_last_attempt(int shard) {
-    return attempt_number(shard_states[shard].fencing_token, shard_states[shard].attempt_counter);
+    return attempt_number(owned_shard_states[shard].fencing_token, owned_shard_states[shard].attempt_counter);
 }
 
 int64_t planning_next_attempt(int shard) {
-    shard_states[shard].attempt_counter++;
+    owned_shard_states[shard].attempt_counter++;
     return planning_last_attempt(shard);
 }
 
@@ -34,7 +34,7 @@
 
 bool planning_may_preempt(const struct priority_entry *entry) {
     const struct job *job = entry->job;
-    return (entry->within_guarantee || job->priority > PRIORITY_IDLE) && !quarantine_job_suspect(job) &&
+    return (entry->within_guarantee || job->effective_priority > PRIORITY_IDLE) && !quarantine_job_suspect(job) &&
            clock_seconds_since(job->preempted_at) > PREEMPTION_INTERVAL_S;
 }
 
@@ -167,13 +167,13 @@
         if (pass->missing_tasks[i] <= 0 || is_retry_delayed(job) || quarantine_job_suspect(job)) continue;
         subtract_capacity(&pass->capacity_left, job, pass->missing_tasks[i]);
         job->unplaced = pass->capacity_left.vcpus < 0 || pass->capacity_left.gpus < 0;
-        shard_states[pass->round->shard].has_unplaced_tasks |= job->unplaced;
+        owned_shard_states[pass->round->shard].has_unplaced_tasks |= job->unplaced;
     }
 }
 
 static void plan_job(struct planning_pass *pass, const struct priority_entry *entry, int missing) {
     struct job *job = entry->job;
-    bool *has_unplaced_tasks = &shard_states[pass->round->shard].has_unplaced_tasks;
+    bool *has_unplaced_tasks = &owned_shard_states[pass->round->shard].has_unplaced_tasks;
     subtract_capacity(&pass->capacity_left, job, missing);
     if (!planning_may_preempt(entry) && is_unplaceable(&pass->unplaceable, &job->spec)) {
         job->unplaced = !quarantine_job_suspect(job);
@@ -205,7 +205,7 @@
 void scheduling_round_plan_jobs(struct scheduling_round *round) {
     struct planning_pass pass;
     pass_init(&pass, round);
-    shard_states[round->shard].has_unplaced_tasks = false;
+    owned_shard_states[round->shard].has_unplaced_tasks = false;
     for (guint i = 0; i < pass.order->len; i++) {
         const struct priority_entry *entry = &g_array_index(pass.order, struct priority_entry, i);
         if (is_skipped(&pass, entry->job, pass.missing_tasks[i])) continue;
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -56,11 +56,11 @@
 
 /* Returns whether the machine still lists the task under this attempt, so that it would ignore a new start. */
 static bool lists_attempt(const struct machine *machine, const struct job *job, int task, int64_t attempt) {
-    char name[G_SIZEOF_MEMBER(struct unknown_task, task)];
+    char name[G_SIZEOF_MEMBER(struct unknown_task, task_name)];
     snprintf(name, sizeof name, "%s/%d", job->spec.job_id, task);
     for (guint i = 0; i < machine->agent.unknown_tasks->len; i++) {
         const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
-        if (unknown->attempt == attempt && strcmp(unknown->task, name) == 0) return true;
+        if (unknown->attempt == attempt && strcmp(unknown->task_name, name) == 0) return true;
     }
     return false;
 }
--- a/src/scheduler/plan_tasks.c
+++ b/src/scheduler/plan_tasks.c
@@ -67,7 +67,7 @@
 /* Returns a bit for each task: whether it is allocated or reported done. The caller frees the array. */
 static uint8_t *allocated_or_done_tasks(const struct job *job) {
     uint8_t *allocated_or_done = allocations_task_bits(job);
-    for (int i = 0; i <= job->spec.tasks / TASK_BITS_PER_BYTE; i++) allocated_or_done[i] |= job->reported_done[i];
+    for (int i = 0; i <= job->spec.tasks / TASK_BITS_PER_BYTE; i++) allocated_or_done[i] |= job->reported_done_bits[i];
     return allocated_or_done;
 }
 
--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -99,7 +99,7 @@
     round->planned_tasks = g_array_new(FALSE, FALSE, sizeof(struct planned_task));
     round->transactions = g_ptr_array_new_with_free_func(transaction_free);
     round->writes_left = writes;
-    round->one_record_per_transaction = clock_seconds_since(shard_states[shard].one_record_until) < 0;
+    round->one_record_per_transaction = clock_seconds_since(owned_shard_states[shard].one_record_until) < 0;
     if (writes >= ROUND_WRITES_MIN) {
         decide(round);
     } else {
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -14,7 +14,7 @@
 
 /* Called with store_lock held. Resets the shard's state if the shard is owned under a new fencing token. */
 static void claim_shard(int shard) {
-    struct shard_state *state = &shard_states[shard];
+    struct shard_state *state = &owned_shard_states[shard];
     int64_t fencing_token = membership_shard(shard)->fencing_token;
     if (state->fencing_token == fencing_token) return;
     state->fencing_token = fencing_token;
@@ -50,7 +50,7 @@
 
 /* Reads the conflicting records again, since they differ from the mirror. */
 static void handle_conflict(struct http_client *client, int shard, const struct store_response *response) {
-    shard_states[shard].conflict_revision = response->revision;
+    owned_shard_states[shard].conflict_revision = response->revision;
     for (guint i = 0; i < response->conflicts->len; i++) {
         const char *key = response->conflicts->pdata[i];
         if (!is_read_by_watch_only(key)) store_refresh(client, key);
@@ -62,7 +62,7 @@
  * an invalid record doesn't affect others; a record that was rejected alone is skipped for REJECTED_KEY_PAUSE_S. */
 static void handle_invalid(const struct scheduling_round *round, const struct store_txn *transaction) {
     if (round->one_record_per_transaction || transaction->writes == 1) rejected_keys_add(transaction);
-    shard_states[round->shard].one_record_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
+    owned_shard_states[round->shard].one_record_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
 }
 
 /* Sends one transaction. Returns false if the round's following transactions must not be sent. */
@@ -81,7 +81,7 @@
             handle_invalid(round, transaction);
             break;
         case STORE_UNKNOWN:
-            shard_states[round->shard].barrier_pending = true;
+            owned_shard_states[round->shard].barrier_pending = true;
             continue_sending = false;
             break;
         case STORE_REJECTED:
@@ -111,7 +111,7 @@
     claim_shard(shard);
     if (writes < ROUND_WRITES_MIN && prerequisite_completed(shard))
         writes = store_budget_available(STORE_PRIORITY_ALLOCATE);
-    return shard_states[shard].barrier_pending ? NULL : scheduling_round_decide(shard, writes);
+    return owned_shard_states[shard].barrier_pending ? NULL : scheduling_round_decide(shard, writes);
 }
 
 bool scheduling_round_run(struct http_client *client, int shard) {
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -138,7 +138,7 @@
     (void)state;
     struct rental_request requests[16];
     store_lock();
-    shard_states[0].owned_since = (struct timespec){0, 0};
+    owned_shard_states[0].owned_since = (struct timespec){0, 0};
     struct job *job = shard_owner_add_job("req-60001", "batch", "normal", 300, 8, 1, false, false, 10);
     scheduling_round_free(scheduling_round_decide(0, 20));
     assert_true(job->unplaced);
@@ -175,7 +175,7 @@
         {"too few machines to keep one empty", 5, 0, 30, 0},
     };
     store_lock();
-    shard_states[0].owned_since = (struct timespec){0, 0};
+    owned_shard_states[0].owned_since = (struct timespec){0, 0};
     for (size_t row = 0; row < G_N_ELEMENTS(rows); row++) {
         struct machine *fleet[32];
         char id[32], gang_id[32], service_id[32];
@@ -372,7 +372,7 @@
         char id[32], job_id[32];
         struct rental_request requests[16];
         store_lock();
-        shard_states[0].owned_since = (struct timespec){0, 0};
+        owned_shard_states[0].owned_since = (struct timespec){0, 0};
         for (int i = 0; i < rows[row].booting + rows[row].up; i++) {
             g_snprintf(id, sizeof id, "i-6%zu%03d", row, i);
             struct machine *machine = shard_owner_add_machine(id, "za", false);
--- a/src/scheduler/stage_pages.c
+++ b/src/scheduler/stage_pages.c
@@ -232,9 +232,9 @@
 
 static void page_plan_init(struct page_plan *plan, int shard) {
     *plan = (struct page_plan){.shard = shard, .fencing_token = membership_fencing_counter() + 1, .raise_writes = 1};
-    struct timespec *compacted_at = &shard_states[shard].compacted_at;
-    plan->write_deferred = clock_seconds_since(*compacted_at) > DEFERRED_WRITE_INTERVAL_S;
-    if (plan->write_deferred) *compacted_at = clock_now();
+    struct timespec *deferred_writes_at = &owned_shard_states[shard].deferred_writes_at;
+    plan->write_deferred = clock_seconds_since(*deferred_writes_at) > DEFERRED_WRITE_INTERVAL_S;
+    if (plan->write_deferred) *deferred_writes_at = clock_now();
     machines_find_oversized_pages(shard, plan->oversized);
     reset_unregistered_pages(shard);
     machines_measure_pages(shard, &plan->usage);
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -41,7 +41,7 @@
 /* Runs rounds until nothing is left to write, and applies all transactions as if the store had committed them. */
 static void run_rounds_until_settled(const char *description) {
     for (int i = 0; i < ROUNDS_MAX; i++) {
-        shard_states[0].compacted_at.tv_sec = 0;
+        owned_shard_states[0].deferred_writes_at.tv_sec = 0;
         struct scheduling_round *round = scheduling_round_decide(0, 12);
         const GPtrArray *transactions = round->transactions;
         bool wrote = false;
--- a/src/workers/directives.c
+++ b/src/workers/directives.c
@@ -29,7 +29,7 @@
 void directives_add_unknown_stops(const struct machine *machine, cJSON *directives) {
     for (guint i = 0; i < machine->agent.unknown_tasks->len; i++) {
         const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
-        codec_add_directive(directives, &(struct directive){DIRECTIVE_STOP, unknown->task, unknown->attempt, 0});
+        codec_add_directive(directives, &(struct directive){DIRECTIVE_STOP, unknown->task_name, unknown->attempt, 0});
     }
 }
 
@@ -42,7 +42,7 @@
         const struct unknown_task *unknown = &g_array_index(machine->agent.unknown_tasks, struct unknown_task, i);
         if (unknown->ended && !may_forget) continue;
         enum directive_kind kind = unknown->ended ? DIRECTIVE_FORGET : DIRECTIVE_STOP;
-        codec_add_directive(directives, &(struct directive){kind, unknown->task, unknown->attempt, 0});
+        codec_add_directive(directives, &(struct directive){kind, unknown->task_name, unknown->attempt, 0});
     }
 }
 
--- a/src/workers/listed_tasks.c
+++ b/src/workers/listed_tasks.c
@@ -43,7 +43,7 @@
 
 static void add_unknown(struct machine *machine, const struct listed_task *task, bool ended) {
     struct unknown_task unknown = {"", task->attempt, ended};
-    g_strlcpy(unknown.task, task->name, sizeof unknown.task);
+    g_strlcpy(unknown.task_name, task->name, sizeof unknown.task_name);
     g_array_append_val(machine->agent.unknown_tasks, unknown);
 }
 
--- a/src/workers/senders.c
+++ b/src/workers/senders.c
@@ -67,7 +67,8 @@
  * time, and the missing answer does not count against the machine. */
 static void count_unanswered(struct machine *machine, const struct outcome *outcome) {
     if (!outcome->valid || outcome->http == HTTP_ANSWERED || !outcome->in_time) return;
-    if (machine->liveness.unanswered_probes++ == 0) shard_states[machine->shard].machine_suspected_at = clock_now();
+    if (machine->liveness.unanswered_probes++ == 0)
+        owned_shard_states[machine->shard].machine_suspected_at = clock_now();
 }
 
 /* Clears the machine's unknown outcome if the command's start has a known one. The outcomes of other commands do not
