--- a/src/allocations/allocations.c
+++ b/src/allocations/allocations.c
@@ -7,7 +7,7 @@
 #include "../events/events.h"
 #include "records.h"
 
-/* A heartbeat is recent if it arrived within so many heartbeat intervals plus the margin. */
+/* A heartbeat is recent if it arrived within this many heartbeat intervals plus the margin. */
 #define RECENT_HEARTBEAT_INTERVALS 1.25
 #define RECENT_HEARTBEAT_MARGIN_S 1
 
@@ -15,7 +15,7 @@
 
 /* ---- counts ---- */
 
-/* The number of allocations in the list that are not released. */
+/* Returns the number of allocations in the list that are not released. */
 static int count_unreleased(const GPtrArray *allocations) {
     int count = 0;
     for (guint i = 0; i < allocations->len; i++) {
@@ -48,7 +48,8 @@
     return missing;
 }
 
-/* Whether the machine has recently listed the task as waiting for the rest of its gang, or as fetching its image. */
+/* Returns whether the machine has recently listed the task as waiting for the other tasks of its gang, or as fetching
+ * its image. */
 static bool waits_for_gang(const struct allocation *allocation) {
     if (allocation->stop_requested || !allocation->was_listed) return false;
     if (allocation->state != TASK_FETCHING && allocation->state != TASK_WAITING_FOR_GANG) return false;
@@ -61,7 +62,7 @@
     int64_t attempt = 0;
     for (guint i = 0; i < job->allocations->len; i++) {
         const struct allocation *allocation = job->allocations->pdata[i];
-        if (allocation->released) return 0; /* still recorded, perhaps on the machine that would be chosen */
+        if (allocation->released) return 0; /* its record may still name the machine that would be chosen */
         if (attempt && allocation->attempt != attempt) return 0;
         attempt = allocation->attempt;
         if (!waits_for_gang(allocation)) return 0;
@@ -90,7 +91,7 @@
 
 /* Observer of jobs, called with store_lock held. */
 static void job_applied(struct job *job) {
-    /* All tasks of a gang that is done complete by themselves, at the same time. */
+    /* A done gang needs no stops: all its tasks complete at the same time. */
     bool gang_completed = job->state == JOB_DONE && job->spec.kind == JOB_GANG;
     if (job->state != JOB_QUEUED && !gang_completed) stop_without_grace(job);
     events_publish(EVENT_SCHEDULE);
--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -13,24 +13,25 @@
 #include "../json/json.h"
 #include "../machines/machines.h"
 
-/* Called once, before the mirror is started. The settings must stay valid until the process ends. */
+/* Called once, before the mirror is started. Keeps the pointer to the settings. */
 void allocations_init(const struct settings *settings);
 
-/* Released allocations (the task has ended or is proven absent) are not counted, even while they are still recorded. */
+/* The counts below leave out released allocations, whose tasks have ended or are proven absent, even while they are
+ * still recorded. */
 
-/* The number of allocations of the job, and on the machine. */
+/* Return the number of allocations of the job, and on the machine. */
 int allocations_count(const struct job *job);
 int allocations_count_on_machine(const struct machine *machine);
-/* One bit per task of the job: whether the task is allocated. The caller frees it with g_free. */
+/* Returns one bit per task of the job: whether the task is allocated. The caller frees the bits with g_free. */
 uint8_t *allocations_task_bits(const struct job *job);
-/* The number of the job's tasks that are neither done nor allocated. */
+/* Returns the number of the job's tasks that are neither done nor allocated. */
 int allocations_missing_tasks(const struct job *job);
-/* The attempt of a gang that has not started yet and whose missing tasks can still be allocated under the same attempt:
- * all its allocations belong to that attempt, and their machines have recently listed them as fetching or waiting for
- * the gang. 0 if the job has no such attempt. */
+/* Returns the open attempt of a gang, or 0 if the gang has none. An attempt is open as long as the gang has not started
+ * and its missing tasks can be allocated under the attempt: all allocations of the gang belong to the attempt, and
+ * their machines have recently listed the tasks as fetching their image or waiting for the gang. */
 int64_t allocations_open_gang_attempt(const struct job *job);
 
-/* Grace period of a task that saves a checkpoint, in addition to the time that the checkpoint takes. */
+/* Part of the grace period of a task that saves a checkpoint, beside the time that the checkpoint takes. */
 #define ALLOCATIONS_CHECKPOINT_GRACE_S 2
 
 /* Requests the stop of a task with a grace period. Has no effect if its stop was requested before. */
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -1,4 +1,4 @@
-/* Tests how allocation records are read, written and split into chunks. */
+/* Tests how allocation records are read, written and split into chunks, and when a gang's attempt is open. */
 #include "allocations/allocations.h"
 
 #include <glib.h>
@@ -85,7 +85,8 @@
     "{\"sku\":[\"g\"],\"site\":[\"za\"],\"img\":[],\"m\":[[\"i-1\",\"\",0,0,0,0,1,\"\"],[\"i-2\",\"\",0,0,0,0,1,\"\"]" \
     "]}"
 
-/* A written record is read back unchanged: without the tasks that have ended, and with the planned tasks. */
+/* A record is written without the tasks that have ended and with the planned tasks. Reading it back gives the same
+ * allocations. */
 static void record_is_read_back_as_written(void **state) {
     (void)state;
     put("fleet/0/0", MACHINE_PAGE);
@@ -121,7 +122,8 @@
     ((struct allocation *)job->allocations->pdata[0])->released = true;
     put("run/req-20001/0", "{\"d\":\"0300\",\"f\":53,\"b\":\"2@i-2+0 4@i-1+7\"}");
     assert_int_equal(job->n_dirty_chunks, 1);
-    /* A machine that is no longer on its page has been returned: its allocations are released, even inherited ones. */
+    /* A machine that is no longer on its page has been returned: its allocations are released, including inherited
+     * ones. */
     put("fleet/0/0", NULL);
     assert_int_equal(allocations_count(job), 0);
     assert_null(machines_find("i-1"));
@@ -154,7 +156,7 @@
     }
     cJSON *value = allocations_value(job, 1, chunk_size, plans, ALLOCATIONS_OF_OPEN_JOB);
     char *text = cJSON_PrintUnformatted(value);
-    assert_true(strlen(text) <= cfg.value_kb * 1024);
+    assert_true(strlen(text) <= cfg.value_max_kb * 1024);
     put("run/req-20002/1", text);
     assert_int_equal(job->allocations->len, chunk_size);
     assert_string_equal(store_key_allocations(job->spec.job_id, 1).text, "run/req-20002/1");
@@ -163,8 +165,8 @@
     g_array_free(plans, TRUE);
 }
 
-/* Records that store their chunk size are read as the same tasks, whichever records were read before them. Changing the
- * chunk size of a job keeps its allocations. */
+/* A record that stores its chunk size is read as the same tasks, whichever records were read before it. A change of a
+ * job's chunk size keeps the job's allocations. */
 static void records_store_their_chunk_size(void **state) {
     (void)state;
     put("job/req-20020", JOB_RECORD("req-20020", "40", "queued"));
@@ -204,7 +206,7 @@
     put("job/req-20020", JOB_RECORD("req-20020", "40", "cancelled"));
 }
 
-/* A malformed record releases no allocation, because its unreadable part may contain it. */
+/* A malformed record releases no allocation, because its unreadable part may contain that allocation. */
 static void malformed_record_releases_nothing(void **state) {
     (void)state;
     static const struct {
@@ -233,24 +235,30 @@
     assert_null(jobs_find("req-20011"));
 }
 
-/* Tests which gangs may be completed under their present attempt. */
+/* The missing tasks of a gang are allocated under the gang's present attempt only while that attempt is open. */
 static void gang_attempt_is_open_until_a_task_runs_or_is_not_listed(void **state) {
     (void)state;
     enum { ATTEMPT = 7 };
     static const struct {
         enum task_state first_state, second_state;
-        bool seen, stop_requested, released; /* of the second task */
-        bool other_attempt, stale_heartbeat;
-        int64_t expected;
+        bool was_listed, stop_requested, released; /* of the second task */
+        bool other_attempt, stale_heartbeat;       /* of the second task; of the machine */
+        int64_t expected_attempt;
     } rows[] = {
+        /* the gang waits for its missing tasks */
         {TASK_FETCHING, TASK_WAITING_FOR_GANG, true, false, false, false, false, 7},
-        {TASK_WAITING_FOR_GANG, TASK_RUNNING, true, false, false, false, false, 0}, /* the gang has started */
+        /* the second task runs: the gang has started */
+        {TASK_WAITING_FOR_GANG, TASK_RUNNING, true, false, false, false, false, 0},
+        /* the second task was never listed */
         {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, false, false, false, false, false, 0},
+        /* the stop of the second task is requested */
         {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, true, false, false, false, 0},
+        /* the second task has ended */
         {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, false, true, false, false, 0},
+        /* the second task belongs to another attempt */
         {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, false, false, true, false, 0},
-        {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, false, false, false, true,
-         0}, /* the last heartbeat is too old */
+        /* the last heartbeat is too old */
+        {TASK_WAITING_FOR_GANG, TASK_WAITING_FOR_GANG, true, false, false, false, true, 0},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         struct machine machine;
@@ -262,14 +270,14 @@
             .job = &job, .machine = &machine, .attempt = ATTEMPT, .was_listed = true, .state = rows[i].first_state};
         struct allocation second = first;
         second.state = rows[i].second_state;
-        second.was_listed = rows[i].seen;
+        second.was_listed = rows[i].was_listed;
         second.stop_requested = rows[i].stop_requested;
         second.released = rows[i].released;
         if (rows[i].other_attempt) second.attempt = ATTEMPT + 1;
         job.allocations = g_ptr_array_new();
         g_ptr_array_add(job.allocations, &first);
         g_ptr_array_add(job.allocations, &second);
-        assert_int_equal(allocations_open_gang_attempt(&job), rows[i].expected);
+        assert_int_equal(allocations_open_gang_attempt(&job), rows[i].expected_attempt);
         g_ptr_array_free(job.allocations, TRUE);
     }
 }
--- a/src/allocations/attempt.h
+++ b/src/allocations/attempt.h
@@ -7,7 +7,7 @@
 /* Maximum number of attempts under one fencing token. */
 #define ATTEMPTS_PER_FENCING_TOKEN 1048576
 
-/* The number of an attempt. The counter starts at 1 under each fencing token. Pure. */
+/* Returns the number of an attempt. The counter starts at 1 under each fencing token. Pure. */
 static inline int64_t attempt_number(int64_t fencing_token, int64_t counter) {
     return fencing_token * ATTEMPTS_PER_FENCING_TOKEN + counter;
 }
--- a/src/allocations/records.c
+++ b/src/allocations/records.c
@@ -12,26 +12,26 @@
 #include "codec.h"
 
 #define BITS_PER_BYTE 8
-#define IMAGE_FETCH_MAX_S 20 /* a task that has been allocated for longer has fetched its image */
+#define IMAGE_FETCH_MAX_S 20 /* a task that was allocated longer ago has fetched its image */
 
 static const struct settings *record_settings;
 
 /* ---- chunks ---- */
 
 double allocations_value_bytes_max(void) {
-    return 1024 * (schema_version_active() ? record_settings->next_value_kb : record_settings->value_kb);
+    return 1024 * (schema_version_active() ? record_settings->next_value_max_kb : record_settings->value_max_kb);
 }
 
 /* A change of the chunk size replaces all records of the job in one transaction. If that takes too many operations, the
  * job keeps its chunk size, and its records are only filled up to the next size limit. */
 int allocations_next_chunk_size(const struct job *job) {
-    int current_size = chunks_size(job), next_size = chunks_size_for_limit(record_settings->next_value_kb);
+    int current_size = chunks_size(job), next_size = chunks_size_for_limit(record_settings->next_value_max_kb);
     if (!schema_version_active() || current_size <= next_size) return current_size;
-    bool one_transaction = chunks_count_of_size(job, next_size) <= record_settings->txn_ops;
+    bool one_transaction = chunks_count_of_size(job, next_size) <= record_settings->txn_operations_max;
     return job->n_recorded_chunks == 0 || one_transaction ? next_size : current_size;
 }
 
-/* A range of tasks: first is included, end is not. */
+/* A range of tasks, from first to end - 1. */
 struct task_range {
     int first, end;
 };
@@ -43,7 +43,7 @@
     return (struct task_range){first, MIN(first + chunk_size, job->spec.tasks)};
 }
 
-/* Whether a task of the range is reported done but not recorded so. */
+/* Returns whether a task of the range is reported done, but not recorded as done. */
 static bool done_bits_differ(const struct job *job, struct task_range range) {
     if (!job->reported_done_bits || range.end <= range.first) return false;
     size_t first_byte = (size_t)range.first / BITS_PER_BYTE;
@@ -67,7 +67,7 @@
 
 /* ---- values ---- */
 
-/* The lowest attempt among the allocations and plans for the record; INT64_MAX if there are none. */
+/* Returns the lowest attempt among the allocations and plans for the record, or INT64_MAX if there are none. */
 static int64_t lowest_attempt(const struct job *job, struct task_range range, const GArray *plans) {
     int64_t lowest = INT64_MAX;
     for (guint i = 0; i < job->allocations->len; i++) {
@@ -81,7 +81,7 @@
     return lowest;
 }
 
-/* The text of the record's entries; freed by the caller. */
+/* Returns the text of the record's entries, which the caller frees. */
 static GString *write_entries(const struct job *job, struct task_range range, const GArray *plans,
                               int64_t base_attempt) {
     GString *entries = g_string_new("");
@@ -98,7 +98,7 @@
     return entries;
 }
 
-/* The done tasks of the range as text, freed by the caller; NULL if none is done. */
+/* Returns the done tasks of the range as text, which the caller frees, or NULL if none is done. */
 static char *write_done_bits(const struct job *job, struct task_range range) {
     if (!job->reported_done_bits) return NULL;
     char *done_bits = task_bits_text(job->reported_done_bits, range.first, range.end - range.first);
@@ -146,7 +146,7 @@
     allocation->task = entry->task;
     allocation->attempt = entry->attempt;
     allocation->allocated_at = allocation->state_since = clock_now();
-    allocation->inherited = true; /* a scheduling round clears this for its own decisions */
+    allocation->inherited = true; /* a scheduling round clears this for the allocations that it decided */
     allocation->stop_requested = job->state != JOB_QUEUED;
     allocation->index_in_job = job->allocations->len;
     allocation->index_in_machine = machine->allocations->len;
@@ -185,10 +185,10 @@
     struct job *job;
     struct task_range range;
     struct allocation **current; /* the task's allocation; NULL: none */
-    bool *in_record;             /* whether the record contains the task */
+    bool *in_record;             /* whether the record contains an entry of the task */
 };
 
-/* Finds the current allocation of each task in the chunk, preferably one that is not released. */
+/* Finds the current allocation of each task in the chunk: of several, one that is not released. */
 static void chunk_update_init(struct chunk_update *update, struct job *job, int first_task, int size) {
     update->job = job;
     update->range = (struct task_range){first_task, first_task + size};
@@ -236,20 +236,20 @@
     }
 }
 
-/* The job of the key suffix ID/N; NULL if the id is invalid. */
+/* Returns the job of the key suffix ID/N, or NULL if the id is invalid. */
 static struct job *find_job_of_key(const char *key_suffix, const char *separator) {
     char job_id[JOB_ID_SIZE];
     g_strlcpy(job_id, key_suffix, MIN(sizeof job_id, (size_t)(separator - key_suffix) + 1));
     return job_id_valid(job_id) ? jobs_find_or_stub(job_id) : NULL;
 }
 
-/* The chunk size of the record; 0 if it is invalid. A deleted record had the chunk size of the job's other records. */
+/* Returns the chunk size of the record, or 0 if it is invalid. A deleted record had the job's current chunk size. */
 static int record_chunk_size(const struct job *job, const cJSON *data, const struct allocation_record *record) {
     if (!data) return chunks_size(job);
     return record->has_chunk_size ? record->chunk_size : chunks_first_layout_size();
 }
 
-/* Observer of allocation records, called with store_lock held. data NULL: the record was deleted. */
+/* Observer of allocation records, called with store_lock held. data is NULL if the record was deleted. */
 static void apply_record(const char *key_suffix, const cJSON *data, int64_t mod_revision) {
     (void)mod_revision;
     const char *separator = strchr(key_suffix, '/');
@@ -274,7 +274,7 @@
     struct chunk_update update;
     chunk_update_init(&update, job, first_task, size);
     bool complete = apply_entries(&update, &record) && (!data || cJSON_IsObject(data));
-    /* The entries after a malformed one are unknown, so no allocation may be freed. */
+    /* The entries after a malformed one can't be read, so any allocation may still be recorded and none is freed. */
     if (complete) {
         free_unrecorded(&update);
     } else {
@@ -282,7 +282,7 @@
     }
     chunk_update_clear(&update);
 
-    /* Changes that heartbeats reported after the record was written are not in it and have to be written. */
+    /* Changes that heartbeats reported after the record was written are not in the record and have to be written. */
     if (allocations_chunk_dirty(job, chunk)) chunks_mark_dirty(job, first_task);
     jobs_update_lists(job);
 }
--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -66,13 +66,13 @@
         request->written = earlier->written;
         return;
     }
-    int writes_before = txn->writes;
+    int writes_before = txn->n_operations;
     if (request->was_known) {
         cancel_add_record(request, txn, key.text, job);
     } else if (request->kind == REQUEST_SUBMIT) {
         submit_add_record(request, txn, key.text);
     }
-    request->written = txn->writes > writes_before;
+    request->written = txn->n_operations > writes_before;
 }
 
 static void fill_transaction(const GPtrArray *batch, struct store_txn *txn) {
@@ -88,7 +88,7 @@
         store_lock();
         store_apply_committed(&attempt->txn, response->revision);
         store_unlock();
-        if (attempt->txn.writes) peers_notify_store_change();
+        if (attempt->txn.n_operations) peers_notify_store_change();
     } else if (attempt->result == STORE_CONFLICT) {
         for (guint i = 0; i < response->conflicts->len; i++) store_refresh(client, response->conflicts->pdata[i]);
     } else if (attempt->result == STORE_UNKNOWN) {
@@ -200,7 +200,7 @@
     for (;;) {
         struct attempt attempt = {.result = STORE_REJECTED};
         g_ptr_array_set_size(batch, 0);
-        request_queue_take(&write_queue, batch, (guint)settings->txn_ops);
+        request_queue_take(&write_queue, batch, (guint)settings->txn_operations_max);
         store_txn_init(&attempt.txn);
         submit_check_prerequisites(client, batch);
         write_batch(client, batch, &attempt);
--- a/src/api/poll.c
+++ b/src/api/poll.c
@@ -86,11 +86,11 @@
 }
 
 static void take_batch(GPtrArray *batch) {
-    guint max_requests = (guint)settings->txn_ops * COMPARISONS_PER_OPERATION;
+    guint max_requests = (guint)settings->txn_operations_max * COMPARISONS_PER_OPERATION;
     g_ptr_array_set_size(batch, 0);
     request_queue_take(&poll_queue, batch, max_requests);
     /* Hundreds of polls with one request each would leave no requests to the store for allocations. */
-    if (batch->len < (guint)settings->txn_ops && store_budget_requests_scarce()) {
+    if (batch->len < (guint)settings->txn_operations_max && store_budget_requests_scarce()) {
         clock_sleep(clock_from_seconds(BATCH_DELAY_S));
         request_queue_take_available(&poll_queue, batch, max_requests);
     }
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -52,7 +52,7 @@
 
 static void count_machine(struct occupancy_summary *summary, struct machine *machine,
                           const struct machine *reception_machine) {
-    int window = (int)autoscaler_settings->tuning.occupancy_window;
+    int window = (int)autoscaler_settings->tuning.occupancy_window_heartbeats;
     struct drain_candidate candidate = {machine, placement_occupancy(machine, window)};
     summary->occupied += candidate.occupancy;
     if (machine->retirement.draining) {
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -97,7 +97,7 @@
     double finish_within_s =
         settings_shortest_objective_s(settings, OBJECTIVE_FINISHED, spec->job_class, FINISH_DEFAULT_S);
     bool too_slow = plan->backlog_gpus > 0 &&
-                    plan->backlog_gpu_s / plan->backlog_gpus > settings->tuning.spot_backlog * finish_within_s;
+                    plan->backlog_gpu_s / plan->backlog_gpus > settings->tuning.spot_backlog_factor * finish_within_s;
     return rental->within_guarantee || too_slow ? RENTAL_SPOT_FIRST : RENTAL_SPOT_ONLY;
 }
 
@@ -181,7 +181,7 @@
         shard_plan_remaining_machines(plan) <= 0)
         return;
     const struct job *job = find_on_demand_job(reception_machine);
-    double occupancy = placement_occupancy(reception_machine, (int)settings->tuning.occupancy_window);
+    double occupancy = placement_occupancy(reception_machine, (int)settings->tuning.occupancy_window_heartbeats);
     bool lone_below_threshold = plan->n_on_demand_serving == 1 && occupancy <= settings->tuning.reception_threshold;
     struct rental_request request = {0};
     if (job && !lone_below_threshold && rental_choice_find(plan->shard, job, NULL, RENTAL_SPOT_FIRST, &request))
--- a/src/autoscaler/shard_plan.c
+++ b/src/autoscaler/shard_plan.c
@@ -53,7 +53,8 @@
         if (planned) planned->reserved_for_gangs = true;
     }
     if (machine != plan->reception_machine &&
-        placement_occupancy(machine, (int)settings->tuning.occupancy_window) < settings->tuning.admission_threshold)
+        placement_occupancy(machine, (int)settings->tuning.occupancy_window_heartbeats) <
+            settings->tuning.admission_threshold)
         plan->other_below_admission = true;
 }
 
--- a/src/autoscaler/shard_status.c
+++ b/src/autoscaler/shard_status.c
@@ -42,7 +42,7 @@
     status->n_draining += machine->retirement.draining;
     if (!machine->liveness.up || !machine->type) return;
     kind->gpus += machine->type->gpus;
-    status->occupied += placement_occupancy(machine, (int)autoscaler_settings->tuning.occupancy_window);
+    status->occupied += placement_occupancy(machine, (int)autoscaler_settings->tuning.occupancy_window_heartbeats);
     count_allocated(status, machine);
 }
 
--- a/src/cloud/catalogue.c
+++ b/src/cloud/catalogue.c
@@ -28,7 +28,7 @@
         store_lock();
         machine_types_apply(answer.body);
         store_unlock();
-        if (text && (double)strlen(text) < settings->next_value_kb * BYTES_PER_KIB - RECORD_OVERHEAD_BYTES)
+        if (text && (double)strlen(text) < settings->next_value_max_kb * BYTES_PER_KIB - RECORD_OVERHEAD_BYTES)
             write_record(answer.body);
         free(text);
     }
--- a/src/cloud/client.c
+++ b/src/cloud/client.c
@@ -49,7 +49,7 @@
     for (int shard = 0; shard < n_shards; shard++) n_owned += membership_owns(shard);
     double min_share = MIN_SHARES_TOTAL / membership_live_controllers();
     store_unlock();
-    return settings->cloud_rps * fmax((double)n_owned / n_shards, min_share);
+    return settings->cloud_requests_per_s * fmax((double)n_owned / n_shards, min_share);
 }
 
 bool cloud_client_reserve_call(enum call_urgency urgency) {
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -48,8 +48,8 @@
     store_lock();
     state.is_leader = membership_is_leader();
     state.catalogue_known = machine_types_known();
-    state.list_interval_s =
-        fmax(LIST_INTERVAL_MIN_S, CALLS_PER_LIST_PAGE * membership_live_controllers() / cloud.settings->cloud_rps);
+    state.list_interval_s = fmax(LIST_INTERVAL_MIN_S, CALLS_PER_LIST_PAGE * membership_live_controllers() /
+                                                          cloud.settings->cloud_requests_per_s);
     store_unlock();
     return state;
 }
--- a/src/dependencies/cascade.c
+++ b/src/dependencies/cascade.c
@@ -14,14 +14,14 @@
 #include "../sync/sync.h"
 #include "dependencies.h"
 
-/* Delays after which a cancellation that is not recorded yet is written by the owner of the job's shard, and by any
- * controller. */
+/* Delays after which the owner of the job's shard, and then any controller, writes a cancellation that is not recorded
+ * yet. */
 #define OWNER_DELAY_S 0.5
 #define ANY_CONTROLLER_DELAY_S 4.0
 
-#define TXN_CANCELLATIONS_MAX 16 /* per transaction */
-#define TXN_INTERVAL_S 0.15      /* between two transactions, because users' requests share the rate budget */
-#define CHECK_INTERVAL_S 0.5     /* between checks of the marked jobs if nothing wakes the thread */
+#define TXN_CANCELLATIONS_MAX 16 /* cancellations per transaction */
+#define TXN_INTERVAL_S 0.15      /* pause after a transaction, because users' requests share the rate budget */
+#define CHECK_INTERVAL_S 0.5     /* interval between checks of the marked jobs if nothing wakes the thread */
 
 static struct {
     const struct settings *settings;
@@ -79,8 +79,8 @@
 
 /* ---- Writing records ---- */
 
-/* Whether this controller acknowledged to a user the cancellation that causes the job's own, directly or through other
- * jobs. */
+/* Returns whether this controller acknowledged to a user the cancellation of a job that causes the cancellation of this
+ * one, directly or through other jobs. */
 static bool cancellation_acknowledged_here(const struct job *job) {
     for (guint i = 0; i < job->prerequisites->len; i++) {
         const struct job *prerequisite = job->prerequisites->pdata[i];
@@ -89,7 +89,7 @@
     return false;
 }
 
-/* Whether it is this controller's turn to write the job's cancellation. */
+/* Returns whether this controller may write the job's cancellation now. */
 static bool may_write_cancellation(struct job *job) {
     job->cascade_acknowledged = job->cascade_acknowledged || cancellation_acknowledged_here(job);
     double waited_s = clock_seconds_since(job->cascade_since);
@@ -110,11 +110,13 @@
     return n;
 }
 
-/* Adds the next cancellations to the transaction; returns the number of jobs that it cancels. */
+/* Adds the next cancellations to the transaction and returns their number. */
 static int fill_transaction(struct store_txn *txn) {
     struct job *jobs[TXN_CANCELLATIONS_MAX];
     store_lock();
-    int n = store_unreachable() ? 0 : cascade_next_jobs(jobs, MIN(TXN_CANCELLATIONS_MAX, cascade.settings->txn_ops));
+    int n = store_unreachable()
+                ? 0
+                : cascade_next_jobs(jobs, MIN(TXN_CANCELLATIONS_MAX, cascade.settings->txn_operations_max));
     for (int i = 0; i < n; i++) {
         struct store_key key = store_key_job(jobs[i]->spec.job_id);
         store_txn_compare(txn, key.text, store_key_revision(key.text));
@@ -141,7 +143,7 @@
     return result;
 }
 
-/* Sends one transaction if there is anything to write. Returns whether there may be more to write. */
+/* Sends a transaction with the next cancellations, if there are any. Returns whether there may be more to write. */
 static bool cancel_next(struct http_client *client) {
     struct store_txn txn;
     store_txn_init(&txn);
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -1,5 +1,5 @@
 /* Tests dependencies between jobs whose records are read in any order: which jobs wait, their priorities and deadlines,
- * and which jobs are to be cancelled. */
+ * and which jobs have to be cancelled. */
 #include "dependencies/dependencies.h"
 
 #include <glib.h>
@@ -27,8 +27,9 @@
 #define RUNTIME_S 50.0
 #define SUBMITTED_S 1000 /* time of day of the submission, in all records */
 
-/* Stores the record of a job. due_s: its deadline, in seconds after the submission; prerequisites: a JSON list; end_s:
- * when a done job ended, or 0 for a record of the first version, which has no end time. */
+/* Applies the record of a job to the mirror. due_s: the job's deadline, in seconds after the submission; prerequisites:
+ * a JSON list; end_s: time of day when a done job ended, or 0 for a record without an end time, as the first version
+ * wrote them. */
 static void put(const char *job_id, const char *team, const char *priority, double due_s, const char *prerequisites,
                 const char *state, double end_s) {
     char *ended = end_s > 0 ? g_strdup_printf(",\"end\":%f", end_s) : g_strdup("");
@@ -67,9 +68,9 @@
     return n;
 }
 
-/* A job is not scheduled until the records of all prerequisites say done, in whatever order records are read. Its times
- * count from the end of the last one. A prerequisite whose tasks are all reported done is not done yet: it may
- * still be cancelled. */
+/* A job is not scheduled until all prerequisites are recorded as done, in whatever order records are read. Its waiting
+ * time counts from the end of the prerequisite that ended last. A prerequisite whose tasks are all reported done is not
+ * done yet: it may still be cancelled. */
 static void job_waits_until_all_prerequisites_are_recorded_done(void **state) {
     (void)state;
     put_queued("req-10003", "[\"req-10001\",\"req-10002\"]"); /* its prerequisites are read later */
@@ -90,15 +91,15 @@
     assert_false(dependencies_unmet(job));
     assert_int_equal(occurrences_in_order("req-10003"), 1);
     assert_float_equal(job->ready_at, 1200, 1e-6);
-    /* A record of the first version has no end time: the times count from the submission. */
+    /* A record of the first version has no end time: the waiting time counts from the submission. */
     put_ended("req-10004", "[]", "done", 0);
     put_queued("req-10005", "[\"req-10004\"]");
     assert_float_equal(jobs_find("req-10005")->ready_at, SUBMITTED_S, 1e-6);
     assert_int_equal(occurrences_in_order("req-10005"), 1);
 }
 
-/* The jobs of a row below are numbered from 1 to ROW_JOBS; the id of a job is its number added to a base that differs
- * per row and order. */
+/* The jobs of a row in the next test are numbered from 1 to ROW_JOBS. The id of a job is its number plus a base, which
+ * differs per row and per order in which the row's records are read. */
 enum { ROW_JOBS = 4, ID_SIZE = 16 };
 
 struct row_job {
@@ -111,7 +112,7 @@
     g_snprintf(job_id, ID_SIZE, "req-%d", base + atoi(number));
 }
 
-/* Stores the record of a job; for an ended job, a record as queued comes first. */
+/* Applies the record of a job to the mirror; for an ended job, first a record with the state queued. */
 static void put_row_job(const struct row_job *job, int base) {
     if (!job->number) return;
     char job_id[ID_SIZE];
@@ -128,7 +129,7 @@
     g_string_free(prerequisites, TRUE);
 }
 
-/* A job inherits priority and deadline from all unfinished jobs that depend on it, also those of other teams. The
+/* A job inherits priority and deadline from all unfinished jobs that depend on it, including those of other teams. The
  * records of each row are read in both orders. */
 static void priority_and_deadline_come_from_unfinished_dependents(void **state) {
     (void)state;
@@ -147,7 +148,7 @@
          "1",
          PRIORITY_HIGH,
          400 - 2 * RUNTIME_S},
-        {"a diamond: highest priority and earliest deadline",
+        {"highest priority and earliest deadline of several dependents",
          {{"1", "red", "idle", 0, "[]", "queued"},
           {"2", "red", "normal", 200, "[\"1\"]", "queued"},
           {"3", "red", "idle", 0, "[\"1\"]", "queued"},
@@ -199,7 +200,7 @@
 
 /* All jobs that depend on a cancelled job have to be cancelled. They have never had a task, because no job starts
  * before its prerequisites are done, and a done job is never cancelled. */
-static void dependents_of_a_cancelled_job_are_to_be_cancelled(void **state) {
+static void dependents_of_a_cancelled_job_must_be_cancelled(void **state) {
     (void)state;
     put_queued("req-30001", "[]");
     put_queued("req-30002", "[\"req-30001\"]");
@@ -210,19 +211,19 @@
     assert_true(dependencies_must_cancel(jobs_find("req-30003")));
     assert_true(dependencies_unmet(jobs_find("req-30003")));
     assert_int_equal(jobs_find("req-30003")->allocations->len, 0);
-    char *names[] = {(char *)"req-30001", (char *)"req-30003", NULL};
-    assert_true(dependencies_any_cancelled(names)); /* prerequisites of a job that is submitted later */
+    char *prerequisites[] = {(char *)"req-30001", (char *)"req-30003", NULL};
+    assert_true(dependencies_any_cancelled(prerequisites)); /* prerequisites of a job that is submitted later */
     assert_false(dependencies_any_cancelled(NULL));
     put_queued("req-30004", "[\"req-30003\"]");
     assert_true(dependencies_must_cancel(jobs_find("req-30004")));
-    /* Once its own record says cancelled, a job does not have to be cancelled any more. */
+    /* Once a job is recorded as cancelled, it does not have to be cancelled any more. */
     put_ended("req-30003", "[\"req-30002\"]", "cancelled", 0);
     assert_false(dependencies_must_cancel(jobs_find("req-30003")));
     put_ended("req-30004", "[\"req-30003\"]", "cancelled", 0);
 }
 
 /* In deep and wide graphs that are read dependents first, the controller that acknowledged the first cancellation finds
- * every job to be cancelled, prerequisites before their dependents. */
+ * every job that must be cancelled, prerequisites before their dependents. */
 static void deep_and_wide_graphs_are_cancelled_in_order(void **state) {
     (void)state;
     enum { CHAIN_LENGTH = 3000, DIRECT_DEPENDENTS = 300 };
@@ -276,7 +277,7 @@
     workers_init(&cfg);
     const struct CMUnitTest tests[] = {cmocka_unit_test(job_waits_until_all_prerequisites_are_recorded_done),
                                        cmocka_unit_test(priority_and_deadline_come_from_unfinished_dependents),
-                                       cmocka_unit_test(dependents_of_a_cancelled_job_are_to_be_cancelled),
+                                       cmocka_unit_test(dependents_of_a_cancelled_job_must_be_cancelled),
                                        cmocka_unit_test(deep_and_wide_graphs_are_cancelled_in_order)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/dependencies/graph.c
+++ b/src/dependencies/graph.c
@@ -11,7 +11,8 @@
 
 bool dependencies_unmet(const struct job *job) { return job->n_unmet_prerequisites > 0; }
 
-/* Called once per job. Creates the lists of prerequisites and dependents, which live as long as their jobs. */
+/* Adds the job and its prerequisites to each other's lists of dependents and prerequisites, which live as long as their
+ * jobs. Called once per job. */
 static void link_prerequisites(struct job *job) {
     if (!job->spec.prerequisites) return;
     job->prerequisites = g_ptr_array_new();
@@ -23,9 +24,10 @@
     }
 }
 
-/* Recounts the unmet prerequisites and sets the time from which the job's waiting time counts: the end of its last
- * prerequisite. That time comes from the records, so that it is the same for every owner of the shard. Records of the
- * first version have no end time, but are older than any job with prerequisites. */
+/* Recounts the unmet prerequisites and sets the time from which the job's waiting time counts: the end of the
+ * prerequisite that ended last, but not before the submission. That time comes from the records, so that it is the same
+ * for every owner of the shard. Records of the first version have no end time, but are older than any job with
+ * prerequisites. */
 static void update_unmet(struct job *job) {
     double ready_since = job->submitted_at;
     job->n_unmet_prerequisites = 0;
--- a/src/dependencies/submission_check.c
+++ b/src/dependencies/submission_check.c
@@ -1,4 +1,4 @@
-/* Checks the prerequisites of a submission in the mirror, and reads those from the store that are not in the mirror. */
+/* Checks the prerequisites of a submission in the mirror. Those that are not in the mirror are read from the store. */
 #include <stdbool.h>
 #include <string.h>
 
--- a/src/dependencies/urgency.c
+++ b/src/dependencies/urgency.c
@@ -12,7 +12,8 @@
 
 void urgency_reset(struct job *job) {
     job->effective_priority = job->spec.priority;
-    /* A deadline counts only if a deadline objective covers the job's class; otherwise other objectives apply to it. */
+    /* A deadline counts only if a deadline objective names the job's class; otherwise the class's other objectives
+     * apply. */
     bool deadline_counts = job->recorded && job->spec.deadline_s > 0 &&
                            settings_has_objective(settings, OBJECTIVE_DEADLINE, job->spec.job_class);
     job->effective_deadline = deadline_counts ? job->submitted_at + job->spec.deadline_s : INFINITY;
@@ -29,8 +30,9 @@
     return changed;
 }
 
-/* Propagates the urgency of the jobs in the queue to their prerequisites, and from there on as long as anything
- * changes. Frees the queue. This does not recurse, because chains of dependencies may be thousands of jobs long. */
+/* Propagates the urgency of the jobs in the queue to their prerequisites, and from these to their own prerequisites as
+ * long as anything changes. Frees the queue. The function does not recurse, because chains of dependencies may be
+ * thousands of jobs long. */
 static void propagate(GQueue *queue) {
     struct job *job;
     while ((job = g_queue_pop_head(queue))) {
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -21,7 +21,7 @@
     return CLAMP(allocations, CHUNK_SIZE_MIN, CHUNK_SIZE_MAX) / CHUNK_SIZE_MIN * CHUNK_SIZE_MIN;
 }
 
-int chunks_first_layout_size(void) { return chunks_size_for_limit(settings->value_kb); }
+int chunks_first_layout_size(void) { return chunks_size_for_limit(settings->value_max_kb); }
 
 int chunks_size(const struct job *job) { return job->chunk_size ? job->chunk_size : chunks_first_layout_size(); }
 
--- a/src/jobs/job_record.c
+++ b/src/jobs/job_record.c
@@ -94,5 +94,5 @@
     return value;
 }
 
-size_t jobs_record_bytes_max(void) { return (size_t)(settings->next_value_kb * BYTES_PER_KIB); }
+size_t jobs_record_bytes_max(void) { return (size_t)(settings->next_value_max_kb * BYTES_PER_KIB); }
 size_t jobs_record_bytes(const char *spec_text) { return strlen(spec_text) + OTHER_FIELDS_BYTES; }
--- a/src/jobs/jobs_test.c
+++ b/src/jobs/jobs_test.c
@@ -147,14 +147,14 @@
 /* A record may have been accepted that exceeds the store's next value limit. The job's final record does not. */
 static void job_with_an_oversized_record_can_be_ended(void **state) {
     (void)state;
-    char *filler = g_strnfill((gsize)(settings.value_kb * 1024), 'x'),
+    char *filler = g_strnfill((gsize)(settings.value_max_kb * 1024), 'x'),
          *extra = g_strdup_printf("\"extra\":\"%s\"", filler);
     char *text = test_replace_first(valid_submission, "\"extra\":1", extra);
     assert_true(jobs_record_bytes(text) > jobs_record_bytes_max());
     struct job job = {.spec_text = text, .submitted_at = 5};
     cJSON *value = jobs_final_value(&job, JOB_DONE);
     char *written = cJSON_PrintUnformatted(value);
-    assert_true(strlen(written) <= settings.next_value_kb * 1024);
+    assert_true(strlen(written) <= settings.next_value_max_kb * 1024);
     struct job_spec spec;
     assert_null(job_spec_read(cJSON_GetObjectItem(value, "spec"), &settings, &spec));
     job_spec_clear(&spec);
--- a/src/liveness/zones.c
+++ b/src/liveness/zones.c
@@ -50,7 +50,7 @@
 double zones_task_survival_s(const char *zone) {
     const struct settings *settings = liveness_settings;
     bool controller_in_zone = strcmp(settings->zone, zone) == 0;
-    for (int i = 0; i < settings->n_seeds; i++) controller_in_zone |= strcmp(settings->seeds[i].zone, zone) == 0;
+    for (int i = 0; i < settings->n_peers; i++) controller_in_zone |= strcmp(settings->peers[i].zone, zone) == 0;
     return clock_to_seconds(settings->worker_lease) +
            (controller_in_zone ? membership_read_validity_s() + PROXY_RESPONSE_MARGIN_S : 0);
 }
--- a/src/machines/machines_test.c
+++ b/src/machines/machines_test.c
@@ -97,7 +97,7 @@
         if (!used[page]) continue;
         values[page] = machines_page_value(1, page, &count);
         char *text = cJSON_PrintUnformatted(values[page]);
-        assert_true(strlen(text) <= settings.value_kb * 1024);
+        assert_true(strlen(text) <= settings.value_max_kb * 1024);
         free(text);
         total += count;
         pages_used++;
--- a/src/machines/page_assignment.c
+++ b/src/machines/page_assignment.c
@@ -27,7 +27,9 @@
     if (lifetime == ENTRY_STAYS) usage->next_bytes += id_and_address + NEXT_ENTRY_OVERHEAD_BYTES;
 }
 
-bool machines_page_limit_decreases(void) { return machines_settings->next_value_kb < machines_settings->value_kb; }
+bool machines_page_limit_decreases(void) {
+    return machines_settings->next_value_max_kb < machines_settings->value_max_kb;
+}
 
 int machines_page_max_bytes(double value_kb) { return (int)(value_kb * BYTES_PER_KIB * PAGE_FILL_FACTOR); }
 
@@ -35,11 +37,11 @@
     int overhead = NEXT_PAGE_OVERHEAD_BYTES;
     for (int i = 0; i < machines_settings->n_zones; i++)
         overhead += (int)strlen(machines_settings->zones[i]) + NAME_OVERHEAD_BYTES;
-    return usage->next_bytes <= machines_page_max_bytes(machines_settings->next_value_kb) - overhead;
+    return usage->next_bytes <= machines_page_max_bytes(machines_settings->next_value_max_kb) - overhead;
 }
 
 static bool page_fits(const struct page_usage *usage) {
-    return usage->current_bytes <= machines_page_max_bytes(machines_settings->value_kb) - PAGE_OVERHEAD_BYTES &&
+    return usage->current_bytes <= machines_page_max_bytes(machines_settings->value_max_kb) - PAGE_OVERHEAD_BYTES &&
            (!machines_page_limit_decreases() || machines_page_fits_next_limit(usage));
 }
 
--- a/src/machines/records.c
+++ b/src/machines/records.c
@@ -207,7 +207,7 @@
 
 static bool fits_next_limit(const cJSON *page) {
     char *text = cJSON_PrintUnformatted(page);
-    bool fits = strlen(text) <= (size_t)machines_page_max_bytes(machines_settings->next_value_kb);
+    bool fits = strlen(text) <= (size_t)machines_page_max_bytes(machines_settings->next_value_max_kb);
     free(text);
     return fits;
 }
--- a/src/membership/leader_election.h
+++ b/src/membership/leader_election.h
@@ -6,7 +6,7 @@
 
 #include "../store/store.h"
 
-/* Adds to the transaction that this controller becomes the leader. Returns false, and adds nothing, if there is a live
- * leader. Called with store_lock held. */
+/* Adds a leader record that names this controller to the transaction. Returns false, and adds nothing, if there is a
+ * live leader. Called with store_lock held. */
 bool leader_election_campaign(struct store_txn *txn);
 #endif
--- a/src/membership/lease.h
+++ b/src/membership/lease.h
@@ -12,11 +12,13 @@
 /* Called before the thread starts. Keeps the pointer to the settings. */
 void lease_init(const struct settings *settings);
 
-/* Both functions block, are called without store_lock, and return whether this controller holds a lease afterwards. */
+/* The next two functions block, are called without store_lock, and return whether this controller holds a lease
+ * afterwards. */
 
 /* Requests a lease and writes the node record of this controller under it. */
 bool lease_join(struct http_client *client);
-/* Renews the lease if a quarter of its duration has passed. Returns false if the lease has expired. */
+/* Renews the lease if a quarter of its duration has passed since the last renewal. Returns false if the store answers
+ * that the lease has expired. */
 bool lease_renew_if_due(struct http_client *client);
 
 /* Returns the ID of the lease, or 0 if none is held. Called with or without store_lock. */
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -23,8 +23,8 @@
     MEMBERSHIP_SHARDS_MAX = 64
 };
 
-/* The assignment of a shard, as its record in the store describes it. */
-struct shard {
+/* Which controller owns a shard, as the shard's record in the store describes it. */
+struct membership_shard_state {
     char owner[MEMBERSHIP_NAME_BYTES];              /* name of a controller; empty: the shard has no owner */
     char incarnation[MEMBERSHIP_INCARNATION_BYTES]; /* identifies one start of the owner's process */
     int64_t mod_revision;                           /* 0: no record */
@@ -32,25 +32,25 @@
     struct timespec owner_changed_at; /* when this controller read the current owner for the first time */
 };
 
-/* Each is called once, from the program's main thread, before any other thread starts. Keeps the pointer to the
- * settings. */
+/* The next two functions are called once each, from the program's main thread, before any other thread starts.
+ * membership_init keeps the pointer to the settings. */
 void membership_init(const struct settings *settings);
 void membership_start(void);
 
-/* Adds another record of this controller to the transaction, or returns false if there is nothing to write. The
- * announcements are called in the order of their registration, with store_lock held, until one returns true. They are
- * registered before membership_start. */
+/* An announcement adds a record that another package writes for this controller to the transaction, or returns false if
+ * there is nothing to write. Announcements are registered before membership_start. They are called in the order of
+ * their registration, with store_lock held, until one returns true. */
 typedef bool (*membership_announcement)(struct store_txn *txn);
 void membership_add_announcement(membership_announcement announcement);
-/* Sends requests to a few workers and returns whether one of them answers. Called without store_lock, while the workers
- * are marked as unreachable. */
+/* A worker probe sends requests to a few workers and returns whether one of them answers. It is called without
+ * store_lock, while the workers are marked as unreachable. */
 typedef bool (*membership_worker_probe)(struct http_client *client);
 void membership_set_worker_probe(membership_worker_probe probe);
 
 /* The functions below may be called from any thread, with store_lock held. */
 
-/* The pointer stays valid, but the shard may change when the lock is released. */
-const struct shard *membership_shard(int shard);
+/* Returns the shard's state. The pointer stays valid, but the state may change when the lock is released. */
+const struct membership_shard_state *membership_shard(int shard);
 /* Returns whether this incarnation of this controller owns the shard and the mirror holds everything that the previous
  * owner wrote. */
 bool membership_owns(int shard);
@@ -61,13 +61,13 @@
 /* Returns the fencing counter in the mirror. */
 int64_t membership_fencing_counter(void);
 
-/* Returns for how many seconds after a read of the store this controller may answer workers. */
+/* Returns for how many seconds after it sent a read of the store this controller may answer workers. */
 double membership_read_validity_s(void);
 /* Returns whether the last read is recent enough to answer workers: a cancellation that another controller has
  * acknowledged since still takes effect in time. */
 bool membership_may_answer_workers(void);
-/* Returns whether the last read is recent enough to start tasks: few of them can have been cancelled through other
- * controllers since. */
+/* Returns whether this controller may start tasks: the store is reachable and the last read is recent enough to answer
+ * workers. Few tasks can then have been cancelled through other controllers since that read. */
 bool membership_may_start_tasks(void);
 
 /* Marks the workers as unreachable or reachable. The node record of a controller contains this mark, and the leader
@@ -90,6 +90,6 @@
 double membership_write_fraction(int n_live, int n_shards, int n_owned);
 /* Returns the shard to assign next and sets *new_owner to the index of its new owner; returns -1 if there is nothing to
  * assign. Shards without an owner come first; then shards are moved until the numbers of shards per node differ by at
- * most one. owners has the index of the owning node of each shard, or -1 if the shard has no owner. Pure. */
+ * most one. owners[i] is the index of the node that owns shard i, or -1 if the shard has no owner. Pure. */
 int membership_plan_assignment(int n_shards, const int *owners, int n_nodes, int *new_owner);
 #endif
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -1,4 +1,5 @@
-/* Tests the assignment of shards, records that are read out of order, and the division of the write rate. */
+/* Tests the assignment of shards, records that are read out of order or too early, the division of the write rate, and
+ * the delay of worker probes. */
 #include "membership/membership.h"
 
 #include <glib.h>
@@ -15,7 +16,7 @@
     } cases[] = {
         {3, {0, 1, 2}, 3, -1, 0},         /* balanced: nothing moves */
         {3, {0, 0, 0}, 2, 0, 1},          /* a new node gets one shard */
-        {3, {0, 0, 1}, 2, -1, 0},         /* a difference of one stays, to prevent flapping */
+        {3, {0, 0, 1}, 2, -1, 0},         /* a difference of one stays, so that shards don't move back and forth */
         {3, {0, -1, 0}, 2, 1, 1},         /* an orphan goes first, to the node with the fewest shards */
         {3, {-1, -1, -1}, 1, 0, 0},       /* the only node takes all shards, one at a time */
         {3, {0, 0, 0}, 0, -1, 0},         /* there is no live node */
@@ -37,8 +38,8 @@
     cJSON_Delete(data);
 }
 
-/* A watch response that arrives late must not replace a newer record, which a write of this controller has already
- * applied. */
+/* An older version of a record, read by a watch that is answered late, must not replace a newer one, which this
+ * controller has written and applied meanwhile. */
 static void late_watch_does_not_replace_a_newer_record(void **state) {
     (void)state;
     apply_record("share/0", "{\"owner\":\"n1\",\"inc\":\"x\",\"fence\":5}", 10);
@@ -89,10 +90,10 @@
     (void)state;
     static const struct {
         int consecutive_losses;
-        double want_s;
+        double expected_s;
     } cases[] = {{0, 15}, {1, 15}, {2, 30}, {3, 60}, {4, 120}, {90, 120}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-        assert_true(membership_worker_probe_delay_s(cases[i].consecutive_losses) == cases[i].want_s);
+        assert_true(membership_worker_probe_delay_s(cases[i].consecutive_losses) == cases[i].expected_s);
 }
 
 int main(void) {
--- a/src/membership/reachability.c
+++ b/src/membership/reachability.c
@@ -14,7 +14,7 @@
 static struct {
     bool unreachable;
     struct timespec changed_at; /* when `unreachable` last changed */
-    int consecutive_losses;     /* in a row, each soon after the workers were reachable again */
+    int consecutive_losses;     /* losses of the workers in a row, each soon after the last recovery */
     membership_worker_probe probe;
 } workers;
 
@@ -30,8 +30,8 @@
 void membership_set_workers_unreachable(bool unreachable) {
     if (unreachable == workers.unreachable) return;
     workers.unreachable = unreachable;
-    /* If this controller can reach the workers but their heartbeats can't reach it, every probe succeeds and the
-     * workers are soon lost again. The growing delay keeps the shards from moving back and forth each time. */
+    /* If this controller can reach the workers but their heartbeats can't reach it, every probe succeeds, the shards
+     * move back, and the workers are soon lost again. The growing delay makes these moves rare. */
     if (unreachable) {
         bool lost_again_soon = clock_seconds_since(workers.changed_at) < 2 * probe_delay_max_s;
         workers.consecutive_losses = lost_again_soon ? workers.consecutive_losses + 1 : 1;
--- a/src/membership/reachability.h
+++ b/src/membership/reachability.h
@@ -1,5 +1,5 @@
-/* Tracks whether the workers can reach this controller. The other functions are declared in membership.h. Used inside
- * the package only. */
+/* Tracks whether the workers can reach this controller. The module's other functions are declared in membership.h. Used
+ * inside the package only. */
 #ifndef FF_MEMBERSHIP_REACHABILITY_H
 #define FF_MEMBERSHIP_REACHABILITY_H
 #include "../http/client.h"
--- a/src/membership/read_validity.c
+++ b/src/membership/read_validity.c
@@ -18,8 +18,8 @@
  *     cancel_s - lease_s - margin
  *
  * after it sent the read. The margin covers twice the drift of both clocks and the resolution of timers. It is 0.5 s,
- * or a tenth of cancel_s - lease_s if that is less, plus 0.002 of cancel_s. It is no larger, because it shortens the
- * time for which a zone that is cut off from the store can keep its tasks running. */
+ * or a tenth of cancel_s - lease_s if that is less, plus 0.002 of cancel_s. A larger margin would shorten the time for
+ * which a zone that is cut off from the store can keep its tasks running. */
 double membership_read_validity_s(void) {
     static const double timer_margin_max_s = 0.5, timer_margin_fraction = 0.1;
     static const double drift_margin_fraction = 0.002;
@@ -32,7 +32,7 @@
     return store_synced() && clock_seconds_since(store_last_read_sent()) < membership_read_validity_s();
 }
 
-/* Starting tasks needs a more recent read than answering workers. An owner that the store rejected, while it served the
- * other controllers, kept starting allocated tasks for the whole read validity of 24 s, although the others had
- * acknowledged cancellations. A reachable store always provides a read that is recent enough. */
+/* Starting tasks needs a more recent read than answering workers. Without this rule, an owner whose requests the store
+ * rejected, while it served the other controllers, kept starting allocated tasks for the whole read validity of 24 s,
+ * although the others had acknowledged cancellations. A reachable store always provides a recent enough read. */
 bool membership_may_start_tasks(void) { return membership_may_answer_workers() && !store_unreachable(); }
--- a/src/membership/records.c
+++ b/src/membership/records.c
@@ -13,8 +13,8 @@
 
 static const struct settings *cfg;
 static struct {
-    struct shard shards[MEMBERSHIP_SHARDS_MAX];
-    struct node nodes[MEMBERSHIP_NODES_MAX];
+    struct membership_shard_state shards[MEMBERSHIP_SHARDS_MAX];
+    struct membership_node nodes[MEMBERSHIP_NODES_MAX];
     int n_nodes;
     char leader[MEMBERSHIP_NAME_BYTES], leader_incarnation[MEMBERSHIP_INCARNATION_BYTES];
     int64_t fencing_counter;
@@ -23,7 +23,7 @@
 
 /* ---- queries ---- */
 
-const struct shard *membership_shard(int shard) { return &records.shards[shard]; }
+const struct membership_shard_state *membership_shard(int shard) { return &records.shards[shard]; }
 int64_t membership_fencing_counter(void) { return records.fencing_counter; }
 const char *membership_incarnation(void) { return own_incarnation; }
 
@@ -32,7 +32,7 @@
 }
 
 bool membership_owns(int shard) {
-    const struct shard *record = &records.shards[shard];
+    const struct membership_shard_state *record = &records.shards[shard];
     return store_synced() && record->mod_revision && is_this_incarnation(record->owner, record->incarnation) &&
            store_revision() >= record->mod_revision;
 }
@@ -46,25 +46,25 @@
 }
 
 int records_node_count(void) { return records.n_nodes; }
-const struct node *records_node(int index) { return &records.nodes[index]; }
+const struct membership_node *records_node(int index) { return &records.nodes[index]; }
 
-static struct node *find_node(const char *name) {
+static struct membership_node *find_node(const char *name) {
     for (int i = 0; i < records.n_nodes; i++)
         if (strcmp(records.nodes[i].name, name) == 0) return &records.nodes[i];
     return NULL;
 }
 
-const struct node *records_find_node(const char *name) { return *name ? find_node(name) : NULL; }
+const struct membership_node *records_find_node(const char *name) { return *name ? find_node(name) : NULL; }
 
-const struct node *records_own_node(void) {
-    const struct node *node = find_node(cfg->node);
+const struct membership_node *records_own_node(void) {
+    const struct membership_node *node = find_node(cfg->node);
     return node && node->live && strcmp(node->incarnation, own_incarnation) == 0 ? node : NULL;
 }
 
-const struct node *records_recorded_leader(void) { return records_find_node(records.leader); }
+const struct membership_node *records_recorded_leader(void) { return records_find_node(records.leader); }
 
-const struct node *records_live_leader(void) {
-    const struct node *leader = records_recorded_leader();
+const struct membership_node *records_live_leader(void) {
+    const struct membership_node *leader = records_recorded_leader();
     return leader && leader->live && strcmp(leader->incarnation, records.leader_incarnation) == 0 ? leader : NULL;
 }
 
@@ -109,8 +109,8 @@
 
 /* ---- observers ---- */
 
-/* Updates the fraction of the store's write rate that this controller may use, after the live controllers or the owned
- * shards have changed. */
+/* Updates the fraction of the store's write rate that this controller may use. Called when the live controllers or the
+ * owned shards may have changed. */
 static void update_write_fraction(void) {
     int n_owned = 0;
     for (int i = 0; i < cfg->n_shards; i++)
@@ -119,8 +119,9 @@
     store_budget_set_change_fraction(n_live, membership_write_fraction(n_live, cfg->n_shards, n_owned));
 }
 
-static struct node *find_or_add_node(const char *name) {
-    struct node *node = find_node(name);
+/* Returns NULL if the node is new and there are MEMBERSHIP_NODES_MAX nodes already. */
+static struct membership_node *find_or_add_node(const char *name) {
+    struct membership_node *node = find_node(name);
     if (node || records.n_nodes == MEMBERSHIP_NODES_MAX) return node;
     node = &records.nodes[records.n_nodes++];
     g_strlcpy(node->name, name, sizeof node->name);
@@ -128,7 +129,7 @@
 }
 
 static void apply_node(const char *name, const cJSON *data, int64_t mod_revision) {
-    struct node *node = find_or_add_node(name);
+    struct membership_node *node = find_or_add_node(name);
     if (!node) return;
     bool new_incarnation = read_string(data, "inc", node->incarnation, sizeof node->incarnation);
     if (data && (!node->live || new_incarnation)) node->live_since = clock_now();
@@ -154,7 +155,7 @@
 static void apply_shard(const char *key_suffix, const cJSON *data, int64_t mod_revision) {
     int index = (int)g_ascii_strtoll(key_suffix, NULL, 10);
     if (index < 0 || index >= MEMBERSHIP_SHARDS_MAX) return;
-    struct shard *shard = &records.shards[index];
+    struct membership_shard_state *shard = &records.shards[index];
     bool new_owner = read_string(data, "owner", shard->owner, sizeof shard->owner);
     bool new_incarnation = read_string(data, "inc", shard->incarnation, sizeof shard->incarnation);
     if (new_owner || new_incarnation) {
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -1,5 +1,5 @@
-/* The membership records in the mirror (nodes, leader, shards, fencing counter) and their JSON. Used inside the package
- * only.
+/* The membership records (nodes, leader, shards, fencing counter): their contents in the mirror, and their JSON. Used
+ * inside the package only.
  *
  * All functions but records_init are called with store_lock held. */
 #ifndef FF_MEMBERSHIP_RECORDS_H
@@ -12,7 +12,7 @@
 #include "membership.h"
 
 /* A controller that has a node record, or has had one. */
-struct node {
+struct membership_node {
     char name[MEMBERSHIP_NAME_BYTES];
     char incarnation[MEMBERSHIP_INCARNATION_BYTES];
     int64_t mod_revision;       /* 0: no record */
@@ -26,17 +26,18 @@
 
 /* The nodes are in the order in which their records were first read. Pointers to them stay valid. */
 int records_node_count(void);
-const struct node *records_node(int index);
+const struct membership_node *records_node(int index);
 /* Returns NULL if no node of that name has ever had a record, or if the name is empty. */
-const struct node *records_find_node(const char *name);
+const struct membership_node *records_find_node(const char *name);
 /* Returns the node of this controller if it is live and its record is of this incarnation, else NULL. */
-const struct node *records_own_node(void);
+const struct membership_node *records_own_node(void);
 /* Returns the node of the leader if it is live and the leader record contains its current incarnation, else NULL. */
-const struct node *records_live_leader(void);
+const struct membership_node *records_live_leader(void);
 /* Returns the node in the leader record, live or not, or NULL if there is none. */
-const struct node *records_recorded_leader(void);
+const struct membership_node *records_recorded_leader(void);
 
-/* Return the JSON of the records of this controller as a node and as the leader; the caller owns it. */
+/* Return the JSON of this controller's node record, and of a leader record that names this controller; the caller owns
+ * it. */
 cJSON *records_node_value(bool workers_unreachable);
 cJSON *records_leader_value(void);
 /* Makes the transaction conditional on the node record of this controller being unchanged. */
--- a/src/membership/shard_assignment.c
+++ b/src/membership/shard_assignment.c
@@ -43,8 +43,8 @@
     return NO_SHARD;
 }
 
-/* Adds to the transaction that the node owns the shard, and that the fencing counter is incremented. */
-static void add_assignment(struct store_txn *txn, int shard, const struct node *new_owner) {
+/* Adds the assignment of the shard to the node, and the increment of the fencing counter, to the transaction. */
+static void add_assignment(struct store_txn *txn, int shard, const struct membership_node *new_owner) {
     struct store_key key = store_key_shard(shard);
     int64_t fencing_token = membership_fencing_counter() + 1;
     store_txn_compare(txn, key.text, membership_shard(shard)->mod_revision);
@@ -57,7 +57,7 @@
 
 bool shard_assignment_reclaim(struct store_txn *txn) {
     for (int i = 0; i < cfg->n_shards; i++) {
-        const struct shard *shard = membership_shard(i);
+        const struct membership_shard_state *shard = membership_shard(i);
         if (strcmp(shard->owner, cfg->node) != 0 || strcmp(shard->incarnation, membership_incarnation()) == 0) continue;
         add_assignment(txn, i, records_own_node());
         return true;
@@ -67,7 +67,7 @@
 
 /* The nodes that are eligible to own shards, and the eligible owner of each shard. */
 struct ownership {
-    const struct node *nodes[MEMBERSHIP_NODES_MAX];
+    const struct membership_node *nodes[MEMBERSHIP_NODES_MAX];
     int n_nodes;
     int owners[MEMBERSHIP_SHARDS_MAX]; /* index in nodes, or NO_OWNER */
     bool has_orphans;                  /* at least one shard has no eligible owner */
@@ -79,13 +79,13 @@
     for (int i = 0; i < records_node_count(); i++)
         any_reaches_workers |= records_node(i)->live && !records_node(i)->workers_unreachable;
     for (int i = 0; i < records_node_count(); i++) {
-        const struct node *node = records_node(i);
+        const struct membership_node *node = records_node(i);
         if (node->live && !(any_reaches_workers && node->workers_unreachable))
             ownership->nodes[ownership->n_nodes++] = node;
     }
 }
 
-static int eligible_index(const struct ownership *ownership, const struct node *node) {
+static int eligible_index(const struct ownership *ownership, const struct membership_node *node) {
     for (int i = 0; i < ownership->n_nodes; i++)
         if (ownership->nodes[i] == node) return i;
     return NO_OWNER;
@@ -93,16 +93,16 @@
 
 static void list_owners(struct ownership *ownership) {
     for (int i = 0; i < cfg->n_shards; i++) {
-        const struct node *owner = records_find_node(membership_shard(i)->owner);
+        const struct membership_node *owner = records_find_node(membership_shard(i)->owner);
         ownership->owners[i] = eligible_index(ownership, owner);
         if (ownership->owners[i] == NO_OWNER) ownership->has_orphans = true;
     }
 }
 
 /* Returns whether a shard may move to balance the load: the new owner has been live, and the shard's owner unchanged,
- * for half of lease_s. This keeps shards from flapping when a controller comes and goes, and lets the restart or
- * recovery that brought the controller back finish first, since a new owner has to query all machines again. */
-static bool may_move_for_balance(const struct node *new_owner, const struct shard *shard) {
+ * for half of lease_s. This keeps shards from moving back and forth when a controller comes and goes. It also lets the
+ * controller's restart or recovery finish first, since a new owner has to query all machines again. */
+static bool may_move_for_balance(const struct membership_node *new_owner, const struct membership_shard_state *shard) {
     double wait_s = clock_to_seconds(cfg->worker_lease) / 2;
     return clock_seconds_since(new_owner->live_since) >= wait_s &&
            clock_seconds_since(shard->owner_changed_at) >= wait_s;
@@ -115,9 +115,11 @@
     list_owners(&ownership);
     int index = membership_plan_assignment(cfg->n_shards, ownership.owners, ownership.n_nodes, &new_owner_index);
     if (index == NO_SHARD) return false;
-    const struct shard *shard = membership_shard(index);
-    const struct node *new_owner = ownership.nodes[new_owner_index], *previous_owner = records_find_node(shard->owner);
+    const struct membership_shard_state *shard = membership_shard(index);
+    const struct membership_node *new_owner = ownership.nodes[new_owner_index],
+                                 *previous_owner = records_find_node(shard->owner);
     if (!ownership.has_orphans && !may_move_for_balance(new_owner, shard)) return false;
+    /* If the previous owner has failed, its node record must still be absent. */
     if (ownership.has_orphans && shard->owner[0] && !(previous_owner && previous_owner->live))
         store_txn_compare(txn, store_key_node(shard->owner).text, 0);
     add_assignment(txn, index, new_owner);
--- a/src/membership/shard_assignment.h
+++ b/src/membership/shard_assignment.h
@@ -10,11 +10,11 @@
 /* Called before the threads start. Keeps the pointer to the settings. */
 void shard_assignment_init(const struct settings *settings);
 
-/* Both functions add one assignment to the transaction, or return false if none is due. Called with store_lock held. */
+/* The functions below add one assignment to the transaction, or return false if none is due. They are called with
+ * store_lock held, while this controller holds its lease. */
 
-/* Reassigns a shard from an earlier incarnation of this controller to the current one, without waiting for the leader.
- */
+/* Assigns a shard of an earlier incarnation of this controller to the current one, without waiting for the leader. */
 bool shard_assignment_reclaim(struct store_txn *txn);
-/* Assigns one shard, those without a live owner first. Called by the leader. */
+/* Assigns one shard; a shard goes first if its owner has failed or can't reach the workers. Called by the leader. */
 bool shard_assignment_assign(struct store_txn *txn);
 #endif
--- a/src/peers/peers.c
+++ b/src/peers/peers.c
@@ -18,8 +18,8 @@
 enum { CONNECTIONS_MAX = 64, REQUEST_TIMEOUT_MS = 700, URL_BYTES = 128, BODY_BYTES = 64 };
 static const double request_interval_s = 1;
 static const double store_age_never_read_s = 1e6; /* reported before the first full read of the store */
-static const double recent_store_age_max_s = 4;   /* below this age, the peer has recently read the store */
-static const double answer_valid_s = 3;           /* an older answer of a peer no longer counts */
+static const double recent_store_age_max_s = 4;   /* a peer whose last read is older has not recently read the store */
+static const double answer_valid_s = 3;           /* age up to which an answer of a peer counts */
 
 /* When the latest answers of one peer arrived; zero: no such answer yet. */
 struct peer {
@@ -31,13 +31,14 @@
 static struct {
     pthread_mutex_t lock;
     pthread_cond_t hint_added;
-    unsigned n_hints; /* calls of peers_notify_store_change; each thread compares it with the number it has handled */
-    struct peer peers[SETTINGS_SEEDS_MAX];
+    unsigned n_hints; /* calls of peers_notify_store_change; each thread compares this with the number it has handled */
+    struct peer peers[SETTINGS_PEERS_MAX];
 } shared = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
 /* ---- requests from peers ---- */
 
-/* A request for "/hint" reports that the store has changed. Every request is answered with the age of the last read. */
+/* A request for "/hint" reports that the store has changed. Every request is answered with the age of this controller's
+ * last read of the store. */
 static void handle_request(struct http_request *request, void *context) {
     (void)context;
     if (strcmp(http_path(request), "/hint") == 0) store_wake_watch();
@@ -51,8 +52,8 @@
 
 /* ---- requests to peers ---- */
 
-/* Waits for a new hint for at most request_interval_s. Returns whether there is one; *hints_handled, the number of
- * hints that the caller has handled, then includes it. */
+/* Waits for a new hint for at most request_interval_s. Returns whether there is one, and sets *hints_handled, the
+ * number of hints that the calling thread has handled, to the number of all hints. */
 static bool wait_for_hint(unsigned *hints_handled) {
     pthread_mutex_lock(&shared.lock);
     if (*hints_handled == shared.n_hints)
@@ -67,7 +68,7 @@
     char url[URL_BYTES];
     long status;
     cJSON *answer = NULL;
-    snprintf(url, sizeof url, "http://%s/%s", cfg->seeds[index].address, path);
+    snprintf(url, sizeof url, "http://%s/%s", cfg->peers[index].address, path);
     if (http_call(client, "GET", url, NULL, REQUEST_TIMEOUT_MS, &status, &answer) == HTTP_ANSWERED) {
         struct peer *peer = &shared.peers[index];
         pthread_mutex_lock(&shared.lock);
@@ -99,11 +100,11 @@
 }
 
 bool peers_listen(void) {
-    return http_server_start(cfg->cluster_listen, CONNECTIONS_MAX, handle_request, NULL) != NULL;
+    return http_server_start(cfg->peer_listen_address, CONNECTIONS_MAX, handle_request, NULL) != NULL;
 }
 
 void peers_start(void) {
-    for (int i = 0; i < cfg->n_seeds; i++) sync_start_thread(peer_main, (void *)(intptr_t)i);
+    for (int i = 0; i < cfg->n_peers; i++) sync_start_thread(peer_main, (void *)(intptr_t)i);
 }
 
 /* ---- hints and state of the peers ---- */
@@ -122,7 +123,7 @@
 bool peers_any_reads_store(void) {
     bool any_reads_store = false;
     pthread_mutex_lock(&shared.lock);
-    for (int i = 0; i < cfg->n_seeds; i++) any_reads_store |= is_valid_answer(shared.peers[i].read_store_at);
+    for (int i = 0; i < cfg->n_peers; i++) any_reads_store |= is_valid_answer(shared.peers[i].read_store_at);
     pthread_mutex_unlock(&shared.lock);
     return any_reads_store;
 }
@@ -130,8 +131,8 @@
 bool peers_is_reachable(const char *node) {
     bool reachable = false;
     pthread_mutex_lock(&shared.lock);
-    for (int i = 0; i < cfg->n_seeds; i++)
-        reachable |= strcmp(cfg->seeds[i].node, node) == 0 && is_valid_answer(shared.peers[i].answered_at);
+    for (int i = 0; i < cfg->n_peers; i++)
+        reachable |= strcmp(cfg->peers[i].node, node) == 0 && is_valid_answer(shared.peers[i].answered_at);
     pthread_mutex_unlock(&shared.lock);
     return reachable;
 }
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -91,7 +91,8 @@
         machine->round.dirty = machine->round.leaves_page = false;
         machine->round.next_fencing_token = 0;
         machine->round.next_page = -1;
-        machine->round.occupancy = placement_occupancy(machine, (int)placement_settings->tuning.occupancy_window);
+        machine->round.occupancy =
+            placement_occupancy(machine, (int)placement_settings->tuning.occupancy_window_heartbeats);
         count_used(machine);
         machine->round.schedulable = is_schedulable(machine, shard, overdue_s);
     }
--- a/src/preemption/make_room.c
+++ b/src/preemption/make_room.c
@@ -56,7 +56,7 @@
 /* Asks the task to stop for the job. accepted_wait_s is the wait that the job's users accept. */
 static void preempt(struct allocation *allocation, const struct job *job, double accepted_wait_s) {
     const struct job_spec *spec = &allocation->job->spec;
-    quota_note_preempted(allocation);
+    quota_count_as_stopping(allocation);
     allocation->stop_requested = true;
     allocation->grace_s = preemption_grace_s(spec, accepted_wait_s);
     placement_release(allocation->machine, spec);
--- a/src/preemption/team_usage.c
+++ b/src/preemption/team_usage.c
@@ -29,6 +29,7 @@
 double preemption_guarantee_excess(int team) {
     if (team < 0) return 0;
     const struct settings_team *guarantee = &preemption_settings->teams[team];
-    bool only_cpus = guarantee->gpus <= 0 && guarantee->cpus > 0;
-    return only_cpus ? usage_by_team[team].vcpus - guarantee->cpus : usage_by_team[team].gpus - guarantee->gpus;
+    bool only_cpus = guarantee->guaranteed_gpus <= 0 && guarantee->guaranteed_cpus > 0;
+    return only_cpus ? usage_by_team[team].vcpus - guarantee->guaranteed_cpus
+                     : usage_by_team[team].gpus - guarantee->guaranteed_gpus;
 }
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -50,10 +50,12 @@
  * guarantee is not checked. */
 static bool within_guarantee(const struct team_demand *demand, const struct job *job) {
     const struct settings_team *team = &priority_settings->teams[job->spec.team];
-    if (team->cpus <= 0 && team->gpus <= 0) return false;
+    if (team->guaranteed_cpus <= 0 && team->guaranteed_gpus <= 0) return false;
     return !quarantine_job_suspect(job) &&
-           (team->cpus <= 0 || demand->vcpus[job->spec.team] <= team->cpus + PRIORITY_SUM_TOLERANCE) &&
-           (team->gpus <= 0 || demand->gpus[job->spec.team] <= team->gpus + PRIORITY_SUM_TOLERANCE);
+           (team->guaranteed_cpus <= 0 ||
+            demand->vcpus[job->spec.team] <= team->guaranteed_cpus + PRIORITY_SUM_TOLERANCE) &&
+           (team->guaranteed_gpus <= 0 ||
+            demand->gpus[job->spec.team] <= team->guaranteed_gpus + PRIORITY_SUM_TOLERANCE);
 }
 
 /* Orders the jobs that match the filter; `jobs` are sorted oldest first. A team's jobs in other shards only add to its
--- a/src/quota/allotments.c
+++ b/src/quota/allotments.c
@@ -134,7 +134,7 @@
     return record->limit.thousandths[dimension] > 0;
 }
 
-/* How many of the demand's tasks fit into the available amount. */
+/* Returns how many of the demand's tasks fit into the available amount. */
 static int tasks_that_fit(const struct quota_record *record, const struct quota_demand *demand,
                           struct quota_amount available) {
     int64_t tasks = demand->tasks;
@@ -150,8 +150,8 @@
     return per_task;
 }
 
-/* Whether the claimed amount fits under the limit beside the team's work that does not end by itself. If it does not,
- * waiting never frees enough capacity for it. */
+/* Returns whether the claimed amount fits under the limit beside the team's work that does not end by itself. If the
+ * claimed amount does not fit, waiting never frees enough capacity for it. */
 static bool fits_beside_lasting(const struct quota_record *record, struct quota_amount lasting,
                                 struct quota_amount claimed) {
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
@@ -192,7 +192,7 @@
     return result;
 }
 
-/* The sum of the amounts by which allotments are below their targets. */
+/* Returns the sum of the amounts by which allotments are below their targets. */
 static struct quota_amount total_shortage(const struct quota_record *record, const struct quota_targets *targets) {
     struct quota_amount sum = zero_amount;
     for (int i = 0; i < record->n_allotments; i++) {
@@ -202,15 +202,15 @@
     return sum;
 }
 
-/* By how much an allotment is lowered: the shortage that the unassigned amount does not cover, at least one
- * step, but no more than the allotment exceeds `keep`. A closing allotment releases all that exceeds `keep`. */
+/* Returns by how much an allotment is lowered: by the shortage, which is what the unassigned amount does not cover, at
+ * least by one step, but never below `keep`. A closing allotment releases all that exceeds `keep`. */
 static int64_t amount_to_release(int64_t allotted, int64_t keep, int64_t shortage, int64_t step, bool closing) {
     int64_t spare = MAX(allotted - keep, 0);
     if (closing) return spare;
     return shortage > 0 ? MIN(spare, MAX(shortage, step)) : 0;
 }
 
-/* The change, zero or negative, that lowers an owned allotment in favour of other shards. */
+/* Returns the change, zero or negative, that lowers an owned allotment in favour of other shards. */
 static struct quota_amount decrease_for_others(const struct quota_record *record, int index, bool closing,
                                                const struct quota_amount *used, const struct quota_targets *targets) {
     struct quota_amount shortage = quota_amount_difference(total_shortage(record, targets), record->unassigned);
@@ -228,7 +228,7 @@
     return change;
 }
 
-/* The change, zero or positive, that raises an owned allotment from the unassigned amount. */
+/* Returns the change, zero or positive, that raises an owned allotment from the unassigned amount. */
 static struct quota_amount increase_from_unassigned(const struct quota_record *record, int index,
                                                     const struct quota_targets *targets) {
     struct quota_amount shortage = total_shortage(record, targets), change = zero_amount;
@@ -264,9 +264,9 @@
     return changed;
 }
 
-/* The excess of all allotments over the limit, plus the excess of the other shards' use over their allotments (tasks
- * that they started before there was a limit). Each owner leaves this whole amount free in its own shard, so that no
- * task that starts takes the team above the limit, whatever the other owners do at the same time. */
+/* Returns the excess of all allotments over the limit, plus the excess of the other shards' use over their allotments,
+ * which is due to tasks that started before there was a limit. Each owner leaves this whole amount free in its own
+ * shard, so that no task that starts takes the team above the limit, whatever the other owners do at the same time. */
 static int64_t amount_to_leave_free(const struct quota_record *record, int index, int dimension, int64_t limit,
                                     const struct quota_amount *used) {
     int64_t allotted = 0, overuse = 0;
--- a/src/quota/allotments.h
+++ b/src/quota/allotments.h
@@ -22,31 +22,32 @@
     struct quota_amount limit, guarantee;
 };
 
-/* The record of a divided team, `quota/TEAM` in the state service. */
+/* The record of a divided team, `quota/TEAM` in the store. */
 struct quota_record {
     int64_t epoch; /* rises with every change of the limit, the guarantee or the number of shards */
-    int n_shards;  /* new jobs go to this many shards, counted from the home shard; other allotments are closing */
+    int n_shards;  /* number of shards, from the home shard on, that take new jobs; the other allotments are closing */
     struct quota_amount limit, guarantee;
     struct quota_amount unassigned, guarantee_unassigned;
     struct quota_allotment allotments[QUOTA_SHARDS_MAX];
     int n_allotments;
 };
 
-/* The team's shard with this index; index 0 is the home shard, the only shard of an undivided team. */
+/* Returns the team's shard with this index; index 0 is the home shard, the only shard of an undivided team. */
 int quota_shard_by_index(int home_shard, int cluster_shards, int index);
-/* The shard of a new job, chosen by a hash of the job's id among the first `team_shards` shards of the team. */
+/* Returns the shard of a new job, chosen by a hash of the job's id among the first `team_shards` shards of the team. */
 int quota_shard_for_job(const char *job_id, int home_shard, int cluster_shards, int team_shards);
 
 /* Returns NULL if the record satisfies the invariant, otherwise a description of the violation. */
 const char *quota_record_violation(const struct quota_record *record);
-/* The index of the shard's allotment in the record; -1 if the shard has none. */
+/* Returns the index of the shard's allotment in the record, or -1 if the shard has none. */
 int quota_allotment_index(const struct quota_record *record, int shard);
-/* The shard's allotment, or NULL if it has none. */
+/* Returns the shard's allotment, or NULL if it has none. */
 struct quota_allotment *quota_find_allotment(struct quota_record *record, int shard);
-/* Whether the shard's allotment is closing: the shard takes no new jobs of the team and releases unused amounts. */
+/* Returns whether the shard's allotment is closing: the shard takes no new jobs of the team and releases unused
+ * amounts. */
 bool quota_allotment_closing(const struct quota_record *record, int home_shard, int cluster_shards, int shard);
 
-/* The first record of a team. The home shard holds the whole limit, as it did while the team was undivided. */
+/* Returns the first record of a team. The home shard holds the whole limit, as it did while the team was undivided. */
 struct quota_record quota_record_create(int home_shard, int cluster_shards, int team_shards, struct quota_amount limit,
                                         struct quota_amount guarantee);
 /* Starts a new epoch with another limit, guarantee or number of shards. The allotments of the limit stay as they are;
@@ -79,28 +80,27 @@
 };
 
 /* Computes the target of each allotment: what its shard uses, plus the shard's waiting demands as far as they fit under
- * the limit, in the given order. The first demand that does not fit and may reserve counts as well, and no demand after
- * it. All controllers compute the same targets from the same records. `used` is in the order of the record's
- * allotments. `lasting` is what the team uses for work that does not end by itself. No capacity is reserved for a
- * demand that exceeds the limit together with `lasting`. */
+ * the limit, in the given order. Capacity is reserved for the first demand that does not fit and may reserve: the
+ * target includes that demand, and no target includes a later one. All controllers compute the same targets from the
+ * same records. `used` is in the order of the record's allotments. `lasting` is what the team uses for work that does
+ * not end by itself. No capacity is reserved for a demand that exceeds the limit together with `lasting`. */
 struct quota_targets quota_targets(const struct quota_record *record, const struct quota_amount *used,
                                    struct quota_amount lasting, const struct quota_demand *demands, int n);
 
-/* Moves the allotments of the caller's shards towards the targets: lowers them if another shard needs more, or to what
- * is used if they are closing, and raises them from the unassigned amount. An allotment is never lowered below what its
- * shard uses. Returns whether the record changed. `owned` tells for each allotment whether the caller owns its shard.
- */
+/* Moves the allotments of the caller's shards towards the targets. It lowers an allotment if another shard needs more,
+ * or if the allotment is closing, but never below what its shard uses. It raises an allotment from the unassigned
+ * amount. `owned` tells for each allotment whether the caller owns its shard. Returns whether the record changed. */
 bool quota_rebalance(struct quota_record *record, int home_shard, int cluster_shards, const struct quota_amount *used,
                      const struct quota_targets *targets, const bool *owned);
 
-/* The total amount that the shard may use: its allotment of the limit, minus the excess of all allotments over the
- * limit and the excess of other shards' use over their allotments. Where the limit is scarce, the shard's target caps
- * it; a closing shard gets no more than it uses. `limit` is the lowest limit in any controller's settings, 0 where none
- * sets one. INT64_MAX in dimensions without a limit. `targets` may be NULL. */
+/* Returns the total amount that the shard may use: its allotment of the limit, minus the excess of all allotments over
+ * the limit and the excess of other shards' use over their allotments. In a scarce dimension the amount is at most the
+ * shard's target; for a closing shard it is at most what the shard uses. In dimensions without a limit it is INT64_MAX.
+ * `limit` is the lowest limit in any controller's settings, 0 where none sets one. `targets` may be NULL. */
 struct quota_amount quota_allowance(const struct quota_record *record, int index, struct quota_amount limit,
                                     const struct quota_amount *used, const struct quota_targets *targets, bool closing);
 
-/* The amount of the team's work in the shard that may be preempted for other teams: the team's use beyond its
- * guarantee. Of each other shard's use, only the part within that shard's allotment of the guarantee is counted. */
+/* Returns how much of the shard's use may be preempted for other teams: the part beyond the team's guarantee. The
+ * guarantee counts as used by the other shards first, by each up to its own allotment of the guarantee. */
 struct quota_amount quota_over_guarantee(const struct quota_record *record, int index, const struct quota_amount *used);
 #endif
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -16,16 +16,16 @@
 #define QUOTA_ROUNDING_TOLERANCE 1e-6 /* decimal amounts are not exact in binary */
 #define QUOTA_THOUSANDTHS_PER_UNIT 1000.0
 
-/* The amount of a limit or guarantee, rounded down to thousandths. */
+/* Returns the amount of a limit or guarantee, rounded down to thousandths. */
 struct quota_amount quota_amount_rounded_down(double vcpus, double gpus);
-/* The amount that `tasks` tasks of the job use. The amount of one task is rounded up to thousandths. */
+/* Returns the amount that `tasks` tasks of the job use. The amount of one task is rounded up to thousandths. */
 struct quota_amount quota_amount_of_tasks(const struct job_spec *spec, int tasks);
 struct quota_amount quota_amount_sum(struct quota_amount left, struct quota_amount right);
 struct quota_amount quota_amount_difference(struct quota_amount left, struct quota_amount right);
-/* The minimum and the maximum in each dimension. */
+/* Return the minimum and the maximum in each dimension. */
 struct quota_amount quota_amount_min(struct quota_amount left, struct quota_amount right);
 struct quota_amount quota_amount_max(struct quota_amount left, struct quota_amount right);
-/* One dimension as a number of processors or GPUs. */
+/* Returns one dimension as a number of processors or GPUs. */
 double quota_amount_units(struct quota_amount amount, enum quota_dimension dimension);
 bool quota_amount_equal(struct quota_amount left, struct quota_amount right);
 #endif
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -17,7 +17,7 @@
  * capacity that is not in use yet, and must not take writes from allocations. */
 #define CHANGES_RATE_FRACTION 0.15
 #define CHANGES_BURST 3.0   /* changes that the full budget allows */
-#define MOVE_INTERVAL_S 0.2 /* between searches for waiting jobs that belong in another shard */
+#define MOVE_INTERVAL_S 0.2 /* interval between searches for waiting jobs that belong in another shard */
 
 /* Token bucket that limits this controller's changes of records. Protected by store_lock. */
 static struct {
@@ -28,14 +28,14 @@
 /* Refills the budget and returns whether it allows a change. */
 static bool budget_allows_change(void) {
     struct timespec now = clock_now();
-    double rate = quota_settings->state_write_rps * CHANGES_RATE_FRACTION / membership_live_controllers();
+    double rate = quota_settings->store_changes_per_s * CHANGES_RATE_FRACTION / membership_live_controllers();
     double refilled = budget.tokens + (clock_to_seconds(now) - clock_to_seconds(budget.refilled_at)) * rate;
     budget.tokens = refilled < CHANGES_BURST ? refilled : CHANGES_BURST;
     budget.refilled_at = now;
     return budget.tokens >= 1;
 }
 
-/* Whether this controller owns the shard and the mirror holds all writes to it, so that its use is known. */
+/* Returns whether this controller knows the shard's use: it owns the shard, and the mirror holds all writes to it. */
 static bool usage_known(int shard) {
     const struct shard_state *state = &owned_shard_states[shard];
     return membership_owns(shard) && !state->barrier_pending &&
@@ -47,7 +47,7 @@
 struct change {
     struct store_txn txn;
     struct store_key key;
-    int shards[QUOTA_SHARDS_MAX]; /* the shards whose records it requires to be unchanged */
+    int shards[QUOTA_SHARDS_MAX]; /* the shards whose records must be unchanged */
     int n_shards;
 };
 
@@ -74,7 +74,7 @@
     return false;
 }
 
-/* Whether the team has allotments and jobs in its home shard only, so that its record can be deleted. */
+/* Returns whether the team has allotments and jobs in its home shard only, so that its record can be deleted. */
 static bool division_ended(const struct quota_team *team_quota) {
     if (team_quota->record.n_shards > 1 || team_quota->record.n_allotments > 1) return false;
     for (int shard = 0; shard < quota_settings->n_shards; shard++) {
@@ -85,8 +85,8 @@
     return true;
 }
 
-/* The limit while the controllers have not all recorded their views: lowered as soon as one view has a lower limit, but
- * not raised. */
+/* Returns the limit that applies while not all controllers have recorded their views: it is lowered as soon as one view
+ * has a lower limit, but not raised. */
 static struct quota_amount limit_until_agreed(const struct quota_team *team_quota) {
     struct quota_amount limit = quota_view_lowest_limit(team_quota->team);
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
@@ -115,6 +115,7 @@
     require_shard(change, team_quota->home_shard);
 }
 
+/* Prepares the first record of a team. Returns false if the team is not to be divided yet. */
 static bool divide_team(struct change *change, const struct quota_team *team_quota, const struct quota_view *agreed) {
     if (!agreed || agreed->n_shards <= 1 || !schema_version_divided_quota_active()) return false;
     struct quota_record record = quota_record_create(team_quota->home_shard, quota_settings->n_shards, agreed->n_shards,
@@ -124,7 +125,8 @@
     return true;
 }
 
-/* The changes that the home shard's owner makes: it creates the record, applies the settings to it, and deletes it. */
+/* Prepares a change that only the owner of the home shard makes: creates the record, applies the settings to it, or
+ * deletes it. Returns false if no such change is due. */
 static bool change_division(struct change *change, struct quota_team *team_quota) {
     struct quota_view view;
     const struct quota_view *agreed = quota_view_agreed(team_quota->team, &view) ? &view : NULL;
@@ -143,7 +145,7 @@
     return true;
 }
 
-/* Moves the allotments of owned shards towards their targets. */
+/* Prepares a change that moves the allotments of owned shards towards their targets. Returns false if none is due. */
 static bool change_allotments(struct change *change, struct quota_team *team_quota) {
     bool owned[QUOTA_SHARDS_MAX], any_owned = false;
     if (!team_quota->recorded) return false;
@@ -181,7 +183,7 @@
     store_response_clear(&response);
 }
 
-/* Whether the job has nothing allocated, and its id now maps to another shard of its team. */
+/* Returns whether the job has no allocations and its id now maps to another shard of its team. */
 static bool belongs_elsewhere(const struct job *job, int shard) {
     if (job->allocations->len > 0 || job->n_dirty_chunks > 0 || !job->spec_text || job->spec.team < 0) return false;
     const struct quota_team *team_quota = quota_team_find(job->spec.team);
@@ -189,8 +191,9 @@
     return !unreadable && quota_shard_for_new_job(job->spec.team, job->spec.job_id) != shard;
 }
 
-/* Moves up to `moves_max` waiting jobs from this shard to the one that they belong in after their team's number of
- * shards has changed. An allocation of such a job that is still in flight fails, since the job's record has changed. */
+/* Prepares a change that moves up to `moves_max` waiting jobs from this shard to the one that they belong in after
+ * their team's number of shards has changed. Returns false if there are none. An allocation of such a job that is still
+ * in flight fails, since the job's record has changed. */
 static bool move_jobs(struct change *change, int shard, int moves_max) {
     int n_moved = 0;
     GPtrArray *jobs = jobs_active_in_shard(shard);
@@ -210,8 +213,8 @@
     return n_moved > 0;
 }
 
-static void finish_change(struct http_client *client, struct change *change, bool wanted) {
-    if (wanted) send_change(client, change);
+static void finish_change(struct http_client *client, struct change *change, bool due) {
+    if (due) send_change(client, change);
     if (change->txn.comparisons) store_txn_free(&change->txn);
 }
 
@@ -221,36 +224,35 @@
         store_lock();
         struct quota_team *team_quota = quota_team_find_or_create(team);
         memset(&change, 0, sizeof change);
-        bool wanted = team_quota && budget_allows_change() &&
-                      (change_division(&change, team_quota) || change_allotments(&change, team_quota));
-        budget.tokens -= wanted;
+        bool due = team_quota && budget_allows_change() &&
+                   (change_division(&change, team_quota) || change_allotments(&change, team_quota));
+        budget.tokens -= due;
         store_unlock();
-        finish_change(client, &change, wanted);
+        finish_change(client, &change, due);
     }
 }
 
-/* Jobs that wait in a closing shard are not served there, so they are moved as fast as the store's write budget for
- * this priority allows. */
+/* Waiting jobs are not served in a closing shard, so they are moved as fast as the rate budget allows. */
 static void move_waiting_jobs(struct http_client *client) {
     struct change change;
     for (int shard = 0; shard < quota_settings->n_shards; shard++) {
-        int moves_max = MIN(store_budget_available(STORE_PRIORITY_PROGRESS), quota_settings->txn_ops);
+        int moves_max = MIN(store_budget_available(STORE_PRIORITY_PROGRESS), quota_settings->txn_operations_max);
         if (moves_max < 1) return;
         store_lock();
         memset(&change, 0, sizeof change);
-        bool wanted = move_jobs(&change, shard, moves_max);
+        bool due = move_jobs(&change, shard, moves_max);
         store_unlock();
-        finish_change(client, &change, wanted);
+        finish_change(client, &change, due);
     }
 }
 
 void quota_commit_changes(struct http_client *client) {
     static struct timespec last_move;
     store_lock();
-    bool in_use = quota_in_use(), foreign = jobs_any_outside_home_shard();
+    bool in_use = quota_in_use(), any_outside_home_shard = jobs_any_outside_home_shard();
     store_unlock();
     if (in_use) change_records(client);
-    if ((in_use || foreign) && clock_seconds_since(last_move) > MOVE_INTERVAL_S) {
+    if ((in_use || any_outside_home_shard) && clock_seconds_since(last_move) > MOVE_INTERVAL_S) {
         last_move = clock_now();
         move_waiting_jobs(client);
     }
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -11,8 +11,9 @@
 #include "../priority/priority.h"
 #include "../quarantine/quarantine.h"
 
-#define DEMANDS_MAX 512 /* waiting jobs of a team that are measured, the first ones in the order of service */
+#define DEMANDS_MAX 512 /* how many waiting jobs of a team are measured, from the one served first */
 
+/* Returns the amount that the job's tasks use whose stop is requested. */
 static struct quota_amount stopping_amount(const struct job *job) {
     int n = 0;
     for (guint i = 0; i < job->allocations->len; i++) {
@@ -23,8 +24,7 @@
 }
 
 /* Sums up, for the shard of each allotment, what the team uses and which part of it is stopping, and in *lasting what
- * its unfinished services use. Tasks of cancelled jobs and on lost machines count until they are known to have ended.
- */
+ * its unfinished services use. Tasks of cancelled jobs and on lost machines count until their end is known. */
 static void count_used(struct quota_team *team_quota, struct quota_amount *lasting) {
     memset(team_quota->used, 0, sizeof team_quota->used);
     memset(team_quota->stopping, 0, sizeof team_quota->stopping);
@@ -36,37 +36,37 @@
             for (guint n = 0; n < lists[list]->len; n++) {
                 const struct job *job = lists[list]->pdata[n];
                 if (job->spec.team != team_quota->team) continue;
-                struct quota_amount uses = quota_amount_of_tasks(&job->spec, allocations_count(job));
-                team_quota->used[i] = quota_amount_sum(team_quota->used[i], uses);
+                struct quota_amount job_amount = quota_amount_of_tasks(&job->spec, allocations_count(job));
+                team_quota->used[i] = quota_amount_sum(team_quota->used[i], job_amount);
                 team_quota->stopping[i] = quota_amount_sum(team_quota->stopping[i], stopping_amount(job));
                 if (job->spec.kind == JOB_SERVICE && job->state == JOB_QUEUED)
-                    *lasting = quota_amount_sum(*lasting, uses);
+                    *lasting = quota_amount_sum(*lasting, job_amount);
             }
         }
     }
 }
 
 /* A job whose reservation timed out. */
-struct timed_out {
+struct timed_out_job {
     char job_id[JOB_ID_SIZE];
-    struct timespec until; /* no capacity is reserved for the job before this instant */
+    struct timespec paused_until; /* no capacity is reserved for the job before this instant */
 };
-#define TIMED_OUT_MAX 64 /* the oldest entry is overwritten */
-static struct timed_out timed_out[TIMED_OUT_MAX];
-static unsigned n_timed_out;
+#define TIMED_OUT_JOBS_MAX 64 /* a further job overwrites the oldest one */
+static struct timed_out_job timed_out[TIMED_OUT_JOBS_MAX];
+static unsigned n_timed_out; /* since the start, including overwritten jobs */
 
 static bool timed_out_recently(const char *job_id) {
-    for (unsigned i = 0; i < MIN(n_timed_out, TIMED_OUT_MAX); i++)
-        if (strcmp(timed_out[i].job_id, job_id) == 0 && clock_seconds_since(timed_out[i].until) < 0) return true;
+    for (unsigned i = 0; i < MIN(n_timed_out, TIMED_OUT_JOBS_MAX); i++)
+        if (strcmp(timed_out[i].job_id, job_id) == 0 && clock_seconds_since(timed_out[i].paused_until) < 0) return true;
     return false;
 }
 
 /* After a reservation has timed out, the job gets none for this many times the reservation timeout. */
 #define RESERVATION_PAUSE_TIMEOUTS 2
 
-/* Updates the team's reservation to the job, NULL for none. Capacity is reserved for one job at a time, and no
- * longer than the timeout, which restarts when the number of the job's tasks changes. A job that never fits must not
- * keep its team's capacity idle. */
+/* Sets the job that the team's capacity is reserved for; NULL: none. Capacity is reserved for one job at a time, and no
+ * longer than the timeout, so that a job that never fits doesn't keep its team's capacity idle. The timeout restarts
+ * when the number of the job's allocated tasks changes. */
 static void update_reservation(struct quota_team *team_quota, const struct job *job) {
     double timeout_s = clock_to_seconds(quota_settings->quota.reservation_timeout);
     if (!job) {
@@ -81,16 +81,17 @@
         return;
     }
     if (clock_seconds_since(team_quota->reservation_started_at) < timeout_s) return;
-    struct timed_out *entry = &timed_out[n_timed_out++ % TIMED_OUT_MAX];
+    struct timed_out_job *entry = &timed_out[n_timed_out++ % TIMED_OUT_JOBS_MAX];
     g_strlcpy(entry->job_id, job->spec.job_id, sizeof entry->job_id);
-    entry->until = clock_now_plus(clock_from_seconds(RESERVATION_PAUSE_TIMEOUTS * timeout_s));
+    entry->paused_until = clock_now_plus(clock_from_seconds(RESERVATION_PAUSE_TIMEOUTS * timeout_s));
     team_quota->reserved_job_id[0] = 0;
     log_info("quota: team %s: reservation for job %s timed out", quota_settings->teams[team_quota->team].name,
              job->spec.job_id);
 }
 
-/* How many more tasks of the job may start now: none while it waits to be retried, at most one if it is suspect and no
- * gang. */
+/* Returns how many more tasks of the job may start now. While the job waits to be retried, none may. The missing tasks
+ * of a partly allocated gang may only start while its attempt is open. A suspect job that is no gang starts one at
+ * most. */
 static int tasks_waiting(const struct job *job) {
     if (clock_seconds_since(job->retry_at) < 0) return 0;
     if (job->spec.kind == JOB_GANG && allocations_count(job) > 0)
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -14,7 +14,8 @@
 
 static int n_divided; /* teams with a record, readable or not, at the last quota_refresh */
 
-/* The state of a divided team, measured if its record has changed since the last time; NULL if it is undivided. */
+/* Returns the state of a divided team, or NULL if the team is undivided. Measures the demand if the team's record has
+ * changed since the last measurement. */
 static struct quota_team *divided_team(int team) {
     struct quota_team *team_quota = quota_team_find(team);
     if (!team_quota || !(team_quota->recorded || team_quota->unreadable)) return NULL;
@@ -63,8 +64,8 @@
                    : zero_bound;
     }
     int index = quota_allotment_index(&team_quota->record, shard);
-    /* A rejected write may be the retry of one that was applied, so the shard's use is unknown until the mirror has
-     * reached the revision of the rejection. */
+    /* A write that failed with a conflict may be the retry of a write that was applied, so the shard's use is unknown
+     * until the mirror has reached the revision of the conflict. */
     if (team_quota->unreadable || index < 0 || owned_shard_states[shard].conflict_revision > store_revision())
         return zero_bound;
     bool closing =
@@ -86,7 +87,8 @@
                           (team_quota->targets.scarce[QUOTA_GPUS] && job->spec.gpus > 0));
 }
 
-/* The dimension in which the team's guarantee is compared with its use: GPUs unless it guarantees only vcpus. */
+/* Returns the dimension in which the team's use is compared with its guarantee: GPUs, unless the guarantee is of vcpus
+ * only. */
 static enum quota_dimension guarantee_dimension(const struct quota_team *team_quota) {
     return team_quota->record.guarantee.thousandths[QUOTA_GPUS] > 0 ||
                    team_quota->record.guarantee.thousandths[QUOTA_VCPUS] == 0
@@ -111,7 +113,8 @@
     bool may_preempt = true;
     guint counted = 0;
     struct quota_amount stopping_before[MACHINE_TASKS_MAX] = {{{0}}};
-    /* Tasks that were checked count as stopping, since all tasks together must lie beyond the guarantee. */
+    /* A checked task counts as stopping while the next ones are checked, since all tasks together must lie beyond the
+     * guarantee. The second loop restores the amounts. */
     for (; counted < machine->allocations->len && counted < MACHINE_TASKS_MAX; counted++) {
         const struct allocation *allocation = machine->allocations->pdata[counted];
         struct quota_team *team_quota = divided_team(allocation->job->spec.team);
@@ -121,7 +124,7 @@
         may_preempt &= !team_quota || allocation->job->effective_priority < priority || quota_may_preempt(allocation);
         if (index < 0) continue;
         stopping_before[counted] = team_quota->stopping[index];
-        quota_note_preempted(allocation);
+        quota_count_as_stopping(allocation);
     }
     while (counted-- > 0) {
         const struct allocation *allocation = machine->allocations->pdata[counted];
@@ -146,7 +149,7 @@
                bound.gpus + QUOTA_ROUNDING_TOLERANCE;
 }
 
-void quota_note_preempted(const struct allocation *allocation) {
+void quota_count_as_stopping(const struct allocation *allocation) {
     struct quota_team *team_quota = divided_team(allocation->job->spec.team);
     int index = team_quota ? quota_allotment_index(&team_quota->record, jobs_shard(allocation->job)) : -1;
     if (index >= 0) {
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -1,7 +1,7 @@
 /* Divides a team over several shards with different owners while its limit and guarantee stay exact (docs/quota.md).
  *
- * A team is divided if its record `quota/TEAM` exists. For an undivided team all functions give the answers that apply
- * without this package. */
+ * A team is divided if its record `quota/TEAM` exists. For an undivided team, the functions return its whole limit in
+ * its home shard, and restrict nothing else. */
 #ifndef FF_QUOTA_H
 #define FF_QUOTA_H
 #include <stdbool.h>
@@ -10,53 +10,54 @@
 #include "../machines/machines.h"
 #include "../store/store.h"
 
-/* Called once, before the threads start. The settings stay owned by the caller. */
+/* Called once, before the threads start. Keeps the pointer to the settings. */
 void quota_init(const struct settings *settings);
 
 /* The functions up to quota_log_status are called with store_lock held. */
 
-/* Whether the team is divided over several shards. */
+/* Returns whether the team is divided over several shards. */
 bool quota_divided(int team);
-/* Whether any team was divided at the last quota_refresh. */
+/* Returns whether any team was divided at the last quota_refresh. */
 bool quota_any_divided(void);
-/* The shard of a job of the team that is accepted now. */
+/* Returns the shard of a job of the team that is accepted now. */
 int quota_shard_for_new_job(int team, const char *job_id);
 /* Measures the demand of all divided teams. A scheduling round calls it before it plans. */
 void quota_refresh(void);
 
-/* How much a team's tasks in one shard may use in total; INFINITY: no limit. */
+/* The amounts that a team's tasks in one shard may use in total; INFINITY: no limit. */
 struct quota_bound {
     double vcpus, gpus;
 };
 struct quota_bound quota_bound(int team, int shard);
 
-/* Whether capacity is reserved for the job until all of it fits. Until then the scheduler starts no tasks of later jobs
- * of the team that use scarce capacity. */
+/* Returns whether capacity is reserved for the job until all of it fits. Until then the scheduler starts no tasks of
+ * later jobs of the team that use scarce capacity. */
 bool quota_reserves_for(const struct job *job);
-/* Whether the job uses a resource that is scarce: the team's limit does not cover the demand of all its waiting jobs.
- */
+/* Returns whether the job uses a scarce resource, of which the team's limit does not cover the demand of all its
+ * waiting jobs. */
 bool quota_uses_scarce_capacity(const struct job *job);
 
-/* Whether preempting the task for another team's guarantee leaves its own team the guarantee. Always true for a task of
- * an undivided team. */
+/* Returns whether preempting the task for another team's guarantee leaves its own team the guarantee. Always true for a
+ * task of an undivided team. */
 bool quota_may_preempt(const struct allocation *allocation);
-/* Whether preempting all tasks on the machine together leaves their teams the guarantees. Tasks below `priority` are
- * allowed in any case. */
+/* Returns whether preempting all tasks on the machine together leaves their teams the guarantees. Tasks below
+ * `priority` may be preempted in any case. */
 bool quota_may_preempt_machine(const struct machine *machine, enum job_priority priority);
 /* Counts the task as stopping until the next measurement. */
-void quota_note_preempted(const struct allocation *allocation);
+void quota_count_as_stopping(const struct allocation *allocation);
 
-/* Whether the bound of the job's shard allows this many more tasks of the job, so that more machines would help it. */
+/* Returns whether the bound of the job's shard allows this many more tasks of the job, so that more machines would help
+ * the job. */
 bool quota_allows_tasks(const struct job *job, int tasks);
 
-/* Adds the record of the divided teams in this controller's settings to the transaction. Returns false if there is
- * nothing to write. */
+/* Adds the record of the divided teams in this controller's settings to the transaction. Returns false if the record is
+ * up to date. */
 bool quota_publish_views(struct store_txn *txn);
 /* Logs a status line for each divided team whose home shard this controller owns. */
 void quota_log_status(void);
 
-/* Called without store_lock. Writes at most one change of each team's record, and moves waiting jobs to the shards
- * that they now belong in. Called between scheduling rounds and on their thread, so that this controller has no
- * allocation in flight. */
+/* Writes at most one change of each team's record, and moves waiting jobs to the shards that they now belong in. Called
+ * without store_lock, between scheduling rounds and on their thread, so that this controller has no allocation in
+ * flight. */
 void quota_commit_changes(struct http_client *client);
 #endif
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -20,29 +20,29 @@
     (void)state;
     static const struct {
         const char *name, *text;
-        bool good;
+        bool valid;
     } rows[] = {
         {"valid record",
          "{\"epoch\":2,\"shares\":2,\"limit\":[0,12000],\"guarantee\":[0,4000],\"unassigned\":[0,2000],"
          "\"guarantee_unassigned\":[0,0],\"parts\":[[1,0,7000,0,2000],[2,0,3000,0,2000]]}",
          true},
-        {"sum of the limit parts differs from the limit",
+        {"allotments and unassigned amount do not add up to the limit",
          "{\"epoch\":2,\"shares\":2,\"limit\":[0,12000],\"guarantee\":[0,4000],\"unassigned\":[0,3000],"
          "\"guarantee_unassigned\":[0,0],\"parts\":[[1,0,7000,0,2000],[2,0,3000,0,2000]]}",
          false},
-        {"sum of the guarantee parts differs from the guarantee",
+        {"allotments and unassigned amount do not add up to the guarantee",
          "{\"epoch\":2,\"shares\":2,\"limit\":[0,12000],\"guarantee\":[0,4000],\"unassigned\":[0,2000],"
          "\"guarantee_unassigned\":[0,0],\"parts\":[[1,0,7000,0,2000],[2,0,3000,0,1000]]}",
          false},
-        {"negative part",
+        {"negative allotment",
          "{\"epoch\":2,\"shares\":2,\"limit\":[0,12000],\"guarantee\":[0,0],\"unassigned\":[0,6000],"
          "\"guarantee_unassigned\":[0,0],\"parts\":[[1,0,7000,0,0],[2,0,-1000,0,0]]}",
          false},
-        {"two parts for one share",
+        {"two allotments of one shard",
          "{\"epoch\":2,\"shares\":2,\"limit\":[0,10000],\"guarantee\":[0,0],\"unassigned\":[0,0],"
          "\"guarantee_unassigned\":[0,0],\"parts\":[[1,0,7000,0,0],[1,0,3000,0,0]]}",
          false},
-        {"share outside the cluster",
+        {"shard outside the cluster",
          "{\"epoch\":2,\"shares\":1,\"limit\":[0,7000],\"guarantee\":[0,0],\"unassigned\":[0,0],"
          "\"guarantee_unassigned\":[0,0],\"parts\":[[3,0,7000,0,0]]}",
          false},
@@ -56,9 +56,9 @@
         cJSON *value = cJSON_Parse(rows[i].text);
         struct quota_record record;
         const char *fault = NULL;
-        if (quota_record_read(value, CLUSTER_SHARDS, &record, &fault) != rows[i].good) fail_msg("%s", rows[i].name);
-        if (!rows[i].good && !fault) fail_msg("%s: no fault was returned", rows[i].name);
-        cJSON *written = rows[i].good ? quota_record_value(&record) : NULL;
+        if (quota_record_read(value, CLUSTER_SHARDS, &record, &fault) != rows[i].valid) fail_msg("%s", rows[i].name);
+        if (!rows[i].valid && !fault) fail_msg("%s: no fault was returned", rows[i].name);
+        cJSON *written = rows[i].valid ? quota_record_value(&record) : NULL;
         char *text = written ? cJSON_PrintUnformatted(written) : NULL;
         if (text) assert_string_equal(text, rows[i].text);
         free(text);
@@ -67,8 +67,8 @@
     }
 }
 
-/* The largest record fits into 1 KiB, the smallest value limit that the settings allow. */
-static void largest_record_fits_the_smallest_value(void **state) {
+/* The largest record fits into 1 KiB, the smallest maximum size of a value that the settings allow. */
+static void largest_record_fits_the_smallest_value_limit(void **state) {
     (void)state;
     struct quota_amount large_limit = quota_amount_rounded_down(1e9, 1e9);
     struct quota_record record = quota_record_create(0, 64, QUOTA_SHARDS_MAX, large_limit, large_limit);
@@ -93,7 +93,7 @@
         struct {
             int shard_index, tasks, per_task; /* shard_index: 0 for the home shard, 1 for the second */
             bool all_or_nothing;
-        } demands[3]; /* the demands, in the order in which they are served */
+        } demands[3]; /* in the order in which they are served */
         int targets[2];
         int allotments[2]; /* after each owner has rebalanced twice */
         int reserved_demand_index;
@@ -107,7 +107,12 @@
          {11, 1},
          {11, 1},
          -1},
-        {"the second shard is first", {3, 0}, {{1, 8, 1, false}, {0, 8, 1, false}}, {4, 8}, {4, 8}, -1},
+        {"more demand than the limit in both shards, the second shard is first",
+         {3, 0},
+         {{1, 8, 1, false}, {0, 8, 1, false}},
+         {4, 8},
+         {4, 8},
+         -1},
         {"an allotment is not lowered below what is used", {12, 0}, {{1, 1, 1, false}}, {12, 1}, {12, 0}, 0},
         {"gang that fits", {3, 0}, {{1, 8, 1, true}}, {3, 8}, {4, 8}, -1},
         {"capacity is reserved for a gang that does not fit",
@@ -133,13 +138,13 @@
         struct quota_record record = quota_record_create(HOME_SHARD, CLUSTER_SHARDS, 2, gpus(12), gpus(4));
         struct quota_amount used[2] = {gpus(rows[i].used[0]), gpus(rows[i].used[1])};
         struct quota_demand demands[3];
-        int count = 0;
-        for (; count < 3 && rows[i].demands[count].tasks; count++)
-            demands[count] = (struct quota_demand){
-                quota_shard_by_index(HOME_SHARD, CLUSTER_SHARDS, rows[i].demands[count].shard_index),
-                rows[i].demands[count].tasks, gpus(rows[i].demands[count].per_task),
-                rows[i].demands[count].all_or_nothing, true};
-        struct quota_targets targets = quota_targets(&record, used, (struct quota_amount){{0}}, demands, count);
+        int n_demands = 0;
+        for (; n_demands < 3 && rows[i].demands[n_demands].tasks; n_demands++)
+            demands[n_demands] = (struct quota_demand){
+                quota_shard_by_index(HOME_SHARD, CLUSTER_SHARDS, rows[i].demands[n_demands].shard_index),
+                rows[i].demands[n_demands].tasks, gpus(rows[i].demands[n_demands].per_task),
+                rows[i].demands[n_demands].all_or_nothing, true};
+        struct quota_targets targets = quota_targets(&record, used, (struct quota_amount){{0}}, demands, n_demands);
         for (int turn = 0; turn < 4; turn++) {
             bool owned[2] = {turn % 2 == 0, turn % 2 == 1};
             quota_rebalance(&record, HOME_SHARD, CLUSTER_SHARDS, used, &targets, owned);
@@ -192,8 +197,8 @@
     }
 }
 
-/* After the number of shards was lowered, the others close: their allotments shrink to what is used, and those that
- * reach zero are removed. */
+/* After a team's number of shards was lowered, its other shards close: their allotments shrink to what is used, and
+ * those that reach zero are removed. */
 static void closing_shards_release_what_they_do_not_use(void **state) {
     (void)state;
     struct quota_record record = quota_record_create(HOME_SHARD, CLUSTER_SHARDS, 3, gpus(12), gpus(5));
@@ -232,7 +237,7 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {cmocka_unit_test(invalid_record_is_rejected),
-                                       cmocka_unit_test(largest_record_fits_the_smallest_value),
+                                       cmocka_unit_test(largest_record_fits_the_smallest_value_limit),
                                        cmocka_unit_test(allotments_move_by_demand),
                                        cmocka_unit_test(lowered_limit_applies_at_once),
                                        cmocka_unit_test(closing_shards_release_what_they_do_not_use),
--- a/src/quota/views.c
+++ b/src/quota/views.c
@@ -13,13 +13,14 @@
     bool recorded;
     struct quota_view by_team[SETTINGS_TEAMS_MAX];
 };
-static struct node_views *views; /* of this controller, then of the seeds in the order of the settings */
+static struct node_views *views; /* of this controller, then of the peers in the order of the settings */
 static char *own_record_text;    /* this controller's record in the store, as JSON; NULL: none */
 
+/* Returns the index of the node in `views`, or -1 if the settings name no such node. */
 static int node_index(const char *node) {
     if (strcmp(node, quota_settings->node) == 0) return 0;
-    for (int i = 0; i < quota_settings->n_seeds; i++)
-        if (strcmp(node, quota_settings->seeds[i].node) == 0) return i + 1;
+    for (int i = 0; i < quota_settings->n_peers; i++)
+        if (strcmp(node, quota_settings->peers[i].node) == 0) return i + 1;
     return -1;
 }
 
@@ -40,10 +41,10 @@
     return (struct quota_view){
         .n_shards = MIN(team_settings->n_shards, MIN(quota_settings->n_shards, QUOTA_SHARDS_MAX)),
         .limit = quota_amount_rounded_down(team_settings->cpus_max, team_settings->gpus_max),
-        .guarantee = quota_amount_rounded_down(team_settings->cpus, team_settings->gpus)};
+        .guarantee = quota_amount_rounded_down(team_settings->guaranteed_cpus, team_settings->guaranteed_gpus)};
 }
 
-/* The lower of two limits in each dimension; 0 means no limit. */
+/* Returns the lower of two limits in each dimension; 0 means no limit. */
 static struct quota_amount lower_limit(struct quota_amount left, struct quota_amount right) {
     for (int dimension = 0; dimension < QUOTA_DIMENSIONS; dimension++) {
         if (left.thousandths[dimension] == 0 ||
@@ -56,7 +57,7 @@
 bool quota_view_agreed(int team, struct quota_view *out) {
     *out = quota_view_own(team);
     bool same_n_shards = true;
-    for (int node = 0; node <= quota_settings->n_seeds; node++) {
+    for (int node = 0; node <= quota_settings->n_peers; node++) {
         const struct quota_view *view = &views[node].by_team[team];
         if (!views[node].recorded || view->n_shards == 0) return false;
         same_n_shards &= view->n_shards == out->n_shards;
@@ -69,12 +70,12 @@
 
 struct quota_amount quota_view_lowest_limit(int team) {
     struct quota_amount lowest = quota_view_own(team).limit;
-    for (int node = 1; node <= quota_settings->n_seeds; node++)
+    for (int node = 1; node <= quota_settings->n_peers; node++)
         if (views[node].by_team[team].n_shards > 0) lowest = lower_limit(lowest, views[node].by_team[team].limit);
     return lowest;
 }
 
-/* Returns this controller's views as JSON: of each team that its settings divide or that is already divided. */
+/* Returns this controller's views, of each team that its settings divide or that is already divided, as JSON. */
 static cJSON *own_views(void) {
     cJSON *views_value = cJSON_CreateObject();
     for (int team = 0; team < quota_settings->n_teams; team++) {
@@ -86,7 +87,7 @@
     return views_value;
 }
 
-/* Whether this controller's record already holds these views; without a record, whether there are none. */
+/* Returns whether this controller's record holds these views. A missing record counts as one without views. */
 static bool is_recorded(const cJSON *views_value) {
     if (!own_record_text) return cJSON_GetArraySize(views_value) == 0;
     char *text = cJSON_PrintUnformatted(views_value);
@@ -109,6 +110,6 @@
 }
 
 void quota_views_init(void) {
-    views = g_new0(struct node_views, (gsize)quota_settings->n_seeds + 1);
+    views = g_new0(struct node_views, (gsize)quota_settings->n_peers + 1);
     store_observe_prefix(STORE_PREFIX_QUOTA_VIEW, apply_view);
 }
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -53,7 +53,7 @@
              job->spec.job_id);
     for (guint i = 0; i < machine->allocations->len; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
-        if (!allocation->stop_requested) quota_note_preempted(allocation);
+        if (!allocation->stop_requested) quota_count_as_stopping(allocation);
         allocations_request_stop(allocation, preemption_grace_s(&allocation->job->spec, INFINITY));
     }
 }
--- a/src/rebalancing/waiting_job.c
+++ b/src/rebalancing/waiting_job.c
@@ -86,7 +86,8 @@
     const struct settings_team *team = &settings->teams[job->spec.team];
     /* The guarantee plus the excess over it is the team's usage. */
     return team->gpus_max > 0 &&
-           preemption_guarantee_excess(job->spec.team) + team->gpus + tasks * job->spec.gpus > team->gpus_max;
+           preemption_guarantee_excess(job->spec.team) + team->guaranteed_gpus + tasks * job->spec.gpus >
+               team->gpus_max;
 }
 
 /* Returns how many tasks of the job wait for a machine. */
--- a/src/scheduler/barrier.c
+++ b/src/scheduler/barrier.c
@@ -27,7 +27,7 @@
     store_txn_init(&transaction);
     store_lock();
     bool owned = membership_owns(shard);
-    const struct shard *record = membership_shard(shard);
+    const struct membership_shard_state *record = membership_shard(shard);
     store_txn_compare(&transaction, key.text, record->mod_revision);
     cJSON *same_value = membership_shard_value(record->owner, record->incarnation, record->fencing_token);
     store_txn_put(&transaction, key.text, same_value, 0);
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -61,7 +61,7 @@
 /* Handles a transaction that the store has rejected as invalid. For a while, records don't share transactions, so that
  * an invalid record doesn't affect others; a record that was rejected alone is skipped for REJECTED_KEY_PAUSE_S. */
 static void handle_invalid(const struct scheduling_round *round, const struct store_txn *transaction) {
-    if (round->one_record_per_transaction || transaction->writes == 1) rejected_keys_add(transaction);
+    if (round->one_record_per_transaction || transaction->n_operations == 1) rejected_keys_add(transaction);
     owned_shard_states[round->shard].one_record_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
 }
 
@@ -99,7 +99,7 @@
     bool sent_any = false;
     for (guint i = 0; i < round->transactions->len; i++) {
         struct store_txn *transaction = round->transactions->pdata[i];
-        if (!transaction->writes) continue;
+        if (!transaction->n_operations) continue;
         if (!send_transaction(client, round, transaction)) break;
         sent_any = true;
     }
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -21,14 +21,14 @@
 static int round_writes(const struct scheduling_round *round) {
     int writes = 0;
     for (guint i = 0; i < round->transactions->len; i++)
-        writes += ((struct store_txn *)round->transactions->pdata[i])->writes;
+        writes += ((struct store_txn *)round->transactions->pdata[i])->n_operations;
     return writes;
 }
 
 static int largest_transaction(const struct scheduling_round *round) {
     int largest = 0;
     for (guint i = 0; i < round->transactions->len; i++)
-        largest = MAX(largest, ((struct store_txn *)round->transactions->pdata[i])->writes);
+        largest = MAX(largest, ((struct store_txn *)round->transactions->pdata[i])->n_operations);
     return largest;
 }
 
@@ -125,7 +125,7 @@
         struct scheduling_round *round = scheduling_round_decide(0, rows[row].budget);
         if (round_writes(round) > rows[row].writes_max) fail_msg("%d writes", round_writes(round));
         assert_true(shard_owner_planned_tasks(round, NULL) <= 2);
-        assert_true(largest_transaction(round) <= cfg.txn_ops);
+        assert_true(largest_transaction(round) <= cfg.txn_operations_max);
         scheduling_round_free(round);
     }
     assert_true(jobs_find("req-50009")->unplaced);
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -27,8 +27,8 @@
 
 static void check_limits(const char *description, const struct store_txn *transaction) {
     const cJSON *operation;
-    if (transaction->writes > NEXT_TXN_OPS || cJSON_GetArraySize(transaction->comparisons) > 4 * NEXT_TXN_OPS)
-        fail_msg("%s: %d operations, %d comparisons", description, transaction->writes,
+    if (transaction->n_operations > NEXT_TXN_OPS || cJSON_GetArraySize(transaction->comparisons) > 4 * NEXT_TXN_OPS)
+        fail_msg("%s: %d operations, %d comparisons", description, transaction->n_operations,
                  cJSON_GetArraySize(transaction->comparisons));
     cJSON_ArrayForEach(operation, transaction->operations) {
         char *text = cJSON_PrintUnformatted(cJSON_GetObjectItem(operation, "data"));
@@ -48,7 +48,7 @@
         for (guint k = 0; k < transactions->len; k++) {
             const struct store_txn *transaction = transactions->pdata[k];
             check_limits(description, transaction);
-            wrote |= transaction->writes > 0;
+            wrote |= transaction->n_operations > 0;
             scheduling_round_apply(round, transaction, shard_owner_next_revision());
         }
         scheduling_round_free(round);
@@ -252,7 +252,7 @@
     char *text = test_settings_json();
     char *next_limits =
         test_replace_first(text, "\"txn_ops\":8", "\"txn_ops\":8,\"next\":{\"value_kb\":2,\"txn_ops\":4}");
-    if (!settings_parse(next_limits, "f.json", &cfg, NULL) || !standin_store_start(cfg.state_address)) return 1;
+    if (!settings_parse(next_limits, "f.json", &cfg, NULL) || !standin_store_start(cfg.store_address)) return 1;
     g_free(text);
     g_free(next_limits);
     shard_owner_start(&cfg);
--- a/src/scheduler/transactions.c
+++ b/src/scheduler/transactions.c
@@ -17,9 +17,9 @@
 
 static bool has_room(const struct scheduling_round *round, const struct store_txn *transaction, int writes,
                      int comparisons) {
-    int writes_max = scheduler_settings->txn_ops;
-    if (round->one_record_per_transaction && transaction->writes > 0) return false;
-    return transaction->writes + writes <= writes_max &&
+    int writes_max = scheduler_settings->txn_operations_max;
+    if (round->one_record_per_transaction && transaction->n_operations > 0) return false;
+    return transaction->n_operations + writes <= writes_max &&
            cJSON_GetArraySize(transaction->comparisons) + comparisons <= writes_max * COMPARISONS_MAX_PER_WRITE;
 }
 
--- a/src/schema_version/schema_version.h
+++ b/src/schema_version/schema_version.h
@@ -1,9 +1,9 @@
-/* Version of the layout of the records in the state service.
+/* Version of the layout of the records in the store.
  *
  * During a rolling upgrade, controllers of two versions work on the same records, and a controller that exits before it
  * is upgraded restarts in the old version. A layout that the old version would misread may be written only when no
- * controller can restart in the old version. For this, each controller records the version that it can read under
- * `format/NODE`, without a lease, so that the record outlives the process. A controller is never downgraded. */
+ * controller can restart in the old version. For this, each controller writes the version that it can read to the
+ * record `format/NODE`, without a lease, so that the record outlives the process. A controller is never downgraded. */
 #ifndef FF_SCHEMA_VERSION_H
 #define FF_SCHEMA_VERSION_H
 #include <stdbool.h>
@@ -28,7 +28,7 @@
  * has settings that divide one. */
 bool schema_version_divided_quota_active(void);
 /* Marks the store as unreadable: it holds records of a layout that this version can't read. This controller then takes
- * no shard. */
+ * no shard and doesn't become the leader. */
 void schema_version_mark_store_unreadable(void);
 bool schema_version_store_unreadable(void);
 /* Adds the record of this controller's version to the transaction. Returns false, and adds nothing, if the record is up
--- a/src/schema_version/schema_version_test.c
+++ b/src/schema_version/schema_version_test.c
@@ -31,21 +31,21 @@
         const char *description, *key, *record;
         bool active;
     } cases[] = {
-        {"only the own record", "format/n0", "{\"version\":2}", false},
-        {"a controller missing from the settings", "format/n7", "{\"version\":2}", false},
+        {"only this controller's record", "format/n0", "{\"version\":2}", false},
+        {"a controller that the settings don't name", "format/n7", "{\"version\":2}", false},
         {"the peer's node record removed", "node/n1", NULL, false},
         {"the peer's record is unreadable", "format/n1", "{\"version\":\"2\"}", false},
         {"the peer recorded an older version", "format/n1", "{\"version\":1}", false},
         {"the peer recorded a newer version", "format/n1", "{\"version\":3}", true},
         {"the peer's record removed afterwards", "format/n1", NULL, true},
-        {"the own record downgraded afterwards", "format/n0", "{\"version\":1}", true},
+        {"this controller's record downgraded afterwards", "format/n0", "{\"version\":1}", true},
     };
     struct store_txn txn;
     store_txn_init(&txn);
     assert_false(schema_version_active());
     assert_true(schema_version_announce(&txn));
     const cJSON *operation = cJSON_GetArrayItem(txn.operations, 0);
-    assert_int_equal(txn.writes, 1);
+    assert_int_equal(txn.n_operations, 1);
     assert_string_equal(json_get_string(operation, "set"), "format/n0");
     assert_null(cJSON_GetObjectItem(operation, "lease")); /* the record must outlive the process */
     store_txn_free(&txn);
@@ -65,24 +65,24 @@
     (void)state;
     static const struct {
         const char *description;
-        int shards; /* over which the settings divide a team; 1: not divided */
+        int n_shards; /* over which the settings divide a team; 1: not divided */
         const char *key, *record;
         bool active;
-        int announced; /* version written to the own record; 0: the record is not written */
+        int announced; /* version written to this controller's record; 0: the record is not written */
     } cases[] = {
         {"the settings divide no team", 1, "format/n0", "{\"version\":2}", false, 0},
         {"the settings divide a team now", 2, "format/n1", "{\"version\":2}", false, 3},
-        {"only the own record has version 3", 2, "format/n0", "{\"version\":3}", false, 0},
-        {"the peer's record has it, too", 2, "format/n1", "{\"version\":3}", true, 0},
+        {"only this controller's record has version 3", 2, "format/n0", "{\"version\":3}", false, 0},
+        {"the peer's record has version 3, too", 2, "format/n1", "{\"version\":3}", true, 0},
         {"the peer recorded version 2 again", 2, "format/n1", "{\"version\":2}", false, 0},
         {"the peer recorded version 3 again", 2, "format/n1", "{\"version\":3}", true, 0},
         {"the settings no longer divide a team", 1, "format/n1", "{\"version\":3}", true, 2},
-        {"the own record has version 2 again", 1, "format/n0", "{\"version\":2}", false, 0},
+        {"this controller's record has version 2 again", 1, "format/n0", "{\"version\":2}", false, 0},
         {"the peer's record removed", 2, "format/n1", NULL, false, 3},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct store_txn txn;
-        cfg.teams[0].n_shards = cases[i].shards;
+        cfg.teams[0].n_shards = cases[i].n_shards;
         apply_record(cases[i].key, cases[i].record);
         store_txn_init(&txn);
         int64_t version = 0;
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -95,7 +95,7 @@
  * status. */
 static bool listen_on_addresses(const struct settings *settings) {
     unsigned connections = server_connections(settings->sockets_max);
-    return http_server_start(settings->bind, connections, on_request, NULL) && peers_listen();
+    return http_server_start(settings->listen_address, connections, on_request, NULL) && peers_listen();
 }
 
 bool service_start(const struct settings *settings) {
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -31,7 +31,7 @@
     char url[160];
     long status = 0;
     cJSON *response = NULL;
-    g_snprintf(url, sizeof url, "http://%s%s", settings.bind, path);
+    g_snprintf(url, sizeof url, "http://%s%s", settings.listen_address, path);
     http_call(client, method, url, body, REQUEST_TIMEOUT_MS, &status, &response);
     if (job_state)
         g_strlcpy(job_state, json_get_string(response, "state") ? json_get_string(response, "state") : "", n);
@@ -229,7 +229,8 @@
 /* Replaces the ports of TEST_SETTINGS_JSON: with fixed ports, concurrent runs of this test received each other's
  * requests. */
 static bool use_free_ports(void) {
-    char **addresses[] = {&settings.bind, &settings.cluster_listen, &settings.cloud_address, &settings.state_address};
+    char **addresses[] = {&settings.listen_address, &settings.peer_listen_address, &settings.cloud_address,
+                          &settings.store_address};
     if (!ports_claim()) return false;
     for (size_t i = 0; i < G_N_ELEMENTS(addresses); i++) {
         char address[32];
@@ -249,14 +250,14 @@
     if (!settings_parse(settings_json, "f.json", &settings, NULL)) return 1;
     g_free(short_report_json);
     g_free(settings_json);
-    settings.state_rps = 1000;
-    settings.state_write_rps = 500;
+    settings.store_requests_per_s = 1000;
+    settings.store_changes_per_s = 500;
     settings.tuning.silence_timeout = clock_from_seconds(1);
-    settings.n_seeds = 0;
+    settings.n_peers = 0;
     settings.teams[0].gpus_max = 0;
     if (!use_free_ports()) return 1;
-    standin_workers_start(settings.bind);
-    if (!standin_store_start(settings.state_address) || !standin_cloud_start(settings.cloud_address)) return 1;
+    standin_workers_start(settings.listen_address);
+    if (!standin_store_start(settings.store_address) || !standin_cloud_start(settings.cloud_address)) return 1;
     logging_init("error");
     client = http_client_new();
     service_init(&settings);
--- a/src/settings/platform_file.c
+++ b/src/settings/platform_file.c
@@ -7,7 +7,7 @@
 #include "reader.h"
 
 #define FIELD_NAME_BYTES 128
-#define TEAM_AMOUNT_MAX 1e9 /* processors or GPUs */
+#define TEAM_AMOUNT_MAX 1e9 /* processors or GPUs of a team */
 #define RATE_OR_SIZE_MAX 1e6
 #define HOUR_S 3600
 #define DAY_S 86400
@@ -33,13 +33,13 @@
 }
 
 static void fail_member(struct settings_reader *reader, enum settings_error code, struct section section,
-                        const char *name, const char *what) {
+                        const char *name, const char *problem) {
     char field[FIELD_NAME_BYTES];
     snprintf(field, sizeof field, "%s%s", section.prefix, name);
-    settings_reader_fail(reader, code, field, what);
+    settings_reader_fail(reader, code, field, problem);
 }
 
-/* Returns a copy of the string, never NULL. */
+/* Returns a copy of the string. Reports an error if it is absent or empty, and then returns an empty copy. */
 static char *read_string(struct settings_reader *reader, struct section section, const char *name) {
     const char *value = json_get_string(section.object, name);
     if (!value || !*value) fail_member(reader, SETTINGS_ERROR_MISSING, section, name, "a non-empty string is needed");
@@ -69,34 +69,34 @@
 static void read_node(struct settings_reader *reader, struct section root, struct settings *settings) {
     settings->node = read_string(reader, root, "node");
     settings->zone = read_string(reader, root, "area");
-    settings->bind = read_string(reader, root, "bind");
-    settings->cluster_listen = read_string(reader, root, "cluster_listen");
-    check_address(reader, "bind", settings->bind);
-    check_address(reader, "cluster_listen", settings->cluster_listen);
+    settings->listen_address = read_string(reader, root, "bind");
+    settings->peer_listen_address = read_string(reader, root, "cluster_listen");
+    check_address(reader, "bind", settings->listen_address);
+    check_address(reader, "cluster_listen", settings->peer_listen_address);
     struct section services = subsection(root, "services", "services.");
     settings->cloud_address = read_string(reader, services, "cloud");
-    settings->state_address = read_string(reader, services, "state");
+    settings->store_address = read_string(reader, services, "state");
     check_address(reader, "services.cloud", settings->cloud_address);
-    check_address(reader, "services.state", settings->state_address);
+    check_address(reader, "services.state", settings->store_address);
 }
 
-static void read_seed(struct settings_reader *reader, const cJSON *object, struct settings *settings) {
+static void read_peer(struct settings_reader *reader, const cJSON *object, struct settings *settings) {
     struct section section = {object, "seeds."};
-    struct settings_seed *seed = &settings->seeds[settings->n_seeds++];
-    seed->node = read_string(reader, section, "node");
-    seed->zone = read_string(reader, section, "area");
-    seed->address = read_string(reader, section, "address");
-    check_address(reader, "seeds.address", seed->address);
-    if (strcmp(seed->node, settings->node) == 0)
+    struct settings_peer *peer = &settings->peers[settings->n_peers++];
+    peer->node = read_string(reader, section, "node");
+    peer->zone = read_string(reader, section, "area");
+    peer->address = read_string(reader, section, "address");
+    check_address(reader, "seeds.address", peer->address);
+    if (strcmp(peer->node, settings->node) == 0)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "seeds.node", "names this node itself");
 }
 
-static void read_seeds(struct settings_reader *reader, const cJSON *list, struct settings *settings) {
-    const cJSON *seed;
-    if (list && (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > SETTINGS_SEEDS_MAX))
+static void read_peers(struct settings_reader *reader, const cJSON *list, struct settings *settings) {
+    const cJSON *peer;
+    if (list && (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > SETTINGS_PEERS_MAX))
         settings_reader_fail(reader, SETTINGS_ERROR_INVALID, "seeds", "not a list of at most 16");
     if (reader->failed) return;
-    cJSON_ArrayForEach(seed, list) read_seed(reader, seed, settings);
+    cJSON_ArrayForEach(peer, list) read_peer(reader, peer, settings);
 }
 
 static void read_zones(struct settings_reader *reader, const cJSON *list, struct settings *settings) {
@@ -115,9 +115,9 @@
 
 static void check_team(struct settings_reader *reader, const struct settings *settings,
                        const struct settings_team *team) {
-    if (team->gpus_max > 0 && team->gpus > team->gpus_max)
+    if (team->gpus_max > 0 && team->guaranteed_gpus > team->gpus_max)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "settings.teams.gpus", "above gpus_max");
-    if (team->cpus_max > 0 && team->cpus > team->cpus_max)
+    if (team->cpus_max > 0 && team->guaranteed_cpus > team->cpus_max)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "settings.teams.cpus", "above cpus_max");
     for (const struct settings_team *other = settings->teams; other < team; other++) {
         if (strcmp(other->name, team->name) == 0)
@@ -130,9 +130,9 @@
     struct settings_team *team = &settings->teams[settings->n_teams++];
     team->name = read_string(reader, section, "name");
     team->n_shards = 1;
-    team->cpus = read_number(reader, section, "cpus", 0, TEAM_AMOUNT_MAX);
+    team->guaranteed_cpus = read_number(reader, section, "cpus", 0, TEAM_AMOUNT_MAX);
     team->cpus_max = read_number(reader, section, "cpus_max", 0, TEAM_AMOUNT_MAX);
-    team->gpus = read_number(reader, section, "gpus", 0, TEAM_AMOUNT_MAX);
+    team->guaranteed_gpus = read_number(reader, section, "gpus", 0, TEAM_AMOUNT_MAX);
     team->gpus_max = read_number(reader, section, "gpus_max", 0, TEAM_AMOUNT_MAX);
     check_team(reader, settings, team);
 }
@@ -162,7 +162,7 @@
     objective->kind = (enum settings_objective_kind)kind_index;
     objective->job_class = g_strdup(job_class ? job_class : "");
     objective->within_s = json_get_double(object, "within_s", OBJECTIVE_WITHIN_DEFAULT_S);
-    objective->fraction = json_get_double(object, "share", 1);
+    objective->job_fraction = json_get_double(object, "share", 1);
 }
 
 static void read_workers(struct settings_reader *reader, struct section workers, struct settings *settings) {
@@ -175,7 +175,7 @@
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "settings.workers.cancel_s", "must be above lease_s");
 }
 
-/* Reads an optional limit of `state.next`. Returns the lower of it and the current limit. */
+/* Reads an optional limit of `state.next`. Returns that limit or the current one, whichever is lower. */
 static double read_next_limit(struct settings_reader *reader, struct section next, const char *name, double minimum,
                               double current) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(next.object, name);
@@ -185,25 +185,26 @@
 }
 
 static void read_state_limits(struct settings_reader *reader, struct section state, struct settings *settings) {
-    settings->state_rps = read_number(reader, state, "rps", 1, RATE_OR_SIZE_MAX);
-    settings->state_write_rps = read_number(reader, state, "write_rps", 1, RATE_OR_SIZE_MAX);
-    settings->value_kb = read_number(reader, state, "value_kb", 1, RATE_OR_SIZE_MAX);
-    settings->txn_ops =
+    settings->store_requests_per_s = read_number(reader, state, "rps", 1, RATE_OR_SIZE_MAX);
+    settings->store_changes_per_s = read_number(reader, state, "write_rps", 1, RATE_OR_SIZE_MAX);
+    settings->value_max_kb = read_number(reader, state, "value_kb", 1, RATE_OR_SIZE_MAX);
+    settings->txn_operations_max =
         (int)read_number(reader, state, "txn_ops", TRANSACTION_OPERATIONS_MIN, TRANSACTION_OPERATIONS_MAX);
     struct section next = subsection(state, "next", "settings.state.next.");
     if (next.object && !cJSON_IsNull(next.object) && !cJSON_IsObject(next.object))
         settings_reader_fail(reader, SETTINGS_ERROR_INVALID, "settings.state.next", "an object is needed");
-    settings->state_rps = read_next_limit(reader, next, "rps", 1, settings->state_rps);
-    settings->state_write_rps = read_next_limit(reader, next, "write_rps", 1, settings->state_write_rps);
-    settings->next_value_kb = read_next_limit(reader, next, "value_kb", 1, settings->value_kb);
-    settings->txn_ops = (int)read_next_limit(reader, next, "txn_ops", TRANSACTION_OPERATIONS_MIN, settings->txn_ops);
+    settings->store_requests_per_s = read_next_limit(reader, next, "rps", 1, settings->store_requests_per_s);
+    settings->store_changes_per_s = read_next_limit(reader, next, "write_rps", 1, settings->store_changes_per_s);
+    settings->next_value_max_kb = read_next_limit(reader, next, "value_kb", 1, settings->value_max_kb);
+    settings->txn_operations_max =
+        (int)read_next_limit(reader, next, "txn_ops", TRANSACTION_OPERATIONS_MIN, settings->txn_operations_max);
 }
 
 static void read_limits(struct settings_reader *reader, struct section section, struct settings *settings) {
     read_state_limits(reader, subsection(section, "state", "settings.state."), settings);
     struct section cloud = subsection(section, "cloud", "settings.cloud.");
-    settings->cloud_rps = read_number(reader, cloud, "rps", CLOUD_RPS_MIN, RATE_OR_SIZE_MAX);
-    settings->list_lag = read_duration(reader, cloud, "list_lag_s", 0, HOUR_S);
+    settings->cloud_requests_per_s = read_number(reader, cloud, "rps", CLOUD_RPS_MIN, RATE_OR_SIZE_MAX);
+    settings->machine_list_lag = read_duration(reader, cloud, "list_lag_s", 0, HOUR_S);
     struct section machine = subsection(section, "machine_limits", "settings.machine_limits.");
     settings->sockets_max = (int)json_get_double(machine.object, "sockets", SOCKETS_DEFAULT);
     if (settings->sockets_max < SOCKETS_MIN)
@@ -232,7 +233,7 @@
     if (cJSON_IsObject(object)) {
         struct section root = {object, ""};
         read_node(&reader, root, out);
-        read_seeds(&reader, cJSON_GetObjectItemCaseSensitive(object, "seeds"), out);
+        read_peers(&reader, cJSON_GetObjectItemCaseSensitive(object, "seeds"), out);
         read_cluster(&reader, subsection(root, "settings", "settings."), out);
     } else {
         settings_reader_fail(&reader, SETTINGS_ERROR_SYNTAX, "(whole file)", "not a JSON object");
--- a/src/settings/quota_file.c
+++ b/src/settings/quota_file.c
@@ -3,7 +3,7 @@
  *     gather_s = 20
  *     divide = ( { team = "vision", shares = 3 }, { team = "*", shares = 2 } )
  *
- * For each team the first entry that names it applies; "*" names all teams. */
+ * For each team, the first entry that names it applies; "*" names all teams. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdio.h>
@@ -29,7 +29,7 @@
     }
 }
 
-/* Returns the entry's integer of this name; 0 if there is none or it is of another type. */
+/* Returns the entry's integer member of this name, or 0 if the member is absent or has another type. */
 static int integer_member(const config_setting_t *entry, const char *name) {
     const config_setting_t *value = config_setting_get_member(entry, name);
     return value && config_setting_type(value) == CONFIG_TYPE_INT ? config_setting_get_int(value) : 0;
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -1,4 +1,4 @@
-/* Shared by the readers of the settings files: error reporting, and parsing of HCL. Internal to this package. */
+/* Error reporting and parsing of HCL, shared by the readers of the settings files. Used inside the package only. */
 #ifndef FF_SETTINGS_READER_H
 #define FF_SETTINGS_READER_H
 #include <glib.h>
@@ -17,9 +17,9 @@
 extern const struct settings_tuning settings_tuning_defaults;
 extern const struct settings_quota settings_quota_defaults;
 
-/* Reports an error as "FILE: FIELD: WHAT" if it is the first one. */
+/* Reports an error as "FILE: FIELD: PROBLEM" if it is the first one. */
 void settings_reader_fail(struct settings_reader *reader, enum settings_error code, const char *field,
-                          const char *what);
+                          const char *problem);
 /* Parses HCL's `name = value` lines into an initialised configuration. On failure it reports the line and destroys the
  * configuration. */
 bool settings_reader_parse_hcl(struct settings_reader *reader, config_t *config, const char *hcl);
--- a/src/settings/settings.c
+++ b/src/settings/settings.c
@@ -4,7 +4,7 @@
 
 #include "reader.h"
 
-/* Returns the file's text, which the caller frees; NULL and *error set if the file cannot be read. */
+/* Returns the file's text, which the caller frees. If the file cannot be read, sets *error and returns NULL. */
 static char *read_file(const char *path, GError **error) {
     char *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, NULL))
@@ -48,7 +48,7 @@
     return -1;
 }
 
-/* Whether the objective is of this kind and applies to the class. One without a class applies to all classes. */
+/* Returns whether the objective is of this kind and applies to the class. One without a class applies to all. */
 static bool applies_to(const struct settings_objective *objective, enum settings_objective_kind kind,
                        const char *job_class) {
     if (objective->kind != kind) return false;
@@ -75,13 +75,14 @@
 }
 
 void settings_clear(struct settings *settings) {
-    char *const texts[] = {settings->node,           settings->zone,          settings->bind,
-                           settings->cluster_listen, settings->cloud_address, settings->state_address};
+    char *const texts[] = {settings->node,           settings->zone,
+                           settings->listen_address, settings->peer_listen_address,
+                           settings->cloud_address,  settings->store_address};
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) g_free(texts[i]);
-    for (int i = 0; i < settings->n_seeds; i++) {
-        g_free(settings->seeds[i].node);
-        g_free(settings->seeds[i].zone);
-        g_free(settings->seeds[i].address);
+    for (int i = 0; i < settings->n_peers; i++) {
+        g_free(settings->peers[i].node);
+        g_free(settings->peers[i].zone);
+        g_free(settings->peers[i].address);
     }
     for (int i = 0; i < settings->n_objectives; i++) g_free(settings->objectives[i].job_class);
     for (int i = 0; i < settings->n_zones; i++) g_free(settings->zones[i]);
--- a/src/settings/settings_test.c
+++ b/src/settings/settings_test.c
@@ -13,7 +13,7 @@
     g_autoptr(GError) error = NULL;
     assert_true(settings_parse(TEST_SETTINGS_JSON, "f.json", &settings, &error));
     assert_int_equal(settings.n_teams, 3);
-    assert_int_equal(settings.n_seeds, 1);
+    assert_int_equal(settings.n_peers, 1);
     assert_int_equal(settings.cancel_timeout.tv_sec, 40);
     assert_int_equal(settings_team(&settings, "blue"), 1);
     assert_int_equal(settings_team(&settings, "none"), -1);
@@ -52,13 +52,13 @@
     assert_false(settings_parse("[1]", "f.json", &settings, &error));
 }
 
-/* Limits that the state service may switch to: each is optional, and one above the current limit has no effect. */
+/* Limits to which the store may change: each is optional, and one above the current limit has no effect. */
 static void next_limits_are_optional_and_never_above_current(void **state) {
     (void)state;
     static const struct {
         const char *next;
-        double write_rps, value_kb, next_value_kb;
-        int txn_ops;
+        double changes_per_s, value_max_kb, next_value_max_kb;
+        int txn_operations_max;
         const char *expected_error;
     } rows[] = {
         {"{\"write_rps\":15,\"value_kb\":2,\"txn_ops\":4}", 15, 4, 2, 4, NULL},
@@ -79,10 +79,10 @@
         assert_int_equal(valid, rows[i].expected_error == NULL);
         if (rows[i].expected_error) assert_non_null(strstr(error->message, rows[i].expected_error));
         if (valid) {
-            assert_float_equal(settings.state_write_rps, rows[i].write_rps, 1e-9);
-            assert_float_equal(settings.value_kb, rows[i].value_kb, 1e-9);
-            assert_float_equal(settings.next_value_kb, rows[i].next_value_kb, 1e-9);
-            assert_int_equal(settings.txn_ops, rows[i].txn_ops);
+            assert_float_equal(settings.store_changes_per_s, rows[i].changes_per_s, 1e-9);
+            assert_float_equal(settings.value_max_kb, rows[i].value_max_kb, 1e-9);
+            assert_float_equal(settings.next_value_max_kb, rows[i].next_value_max_kb, 1e-9);
+            assert_int_equal(settings.txn_operations_max, rows[i].txn_operations_max);
         }
         settings_clear(&settings);
         g_free(text);
@@ -114,12 +114,12 @@
     assert_int_equal(tuning.drain_timeout.tv_sec, 90);
 }
 
-/* For each team, the first entry that names it sets the number of shards. */
+/* For each team, the first entry that names the team or "*" sets the number of shards. */
 static void first_entry_that_names_a_team_applies(void **state) {
     (void)state;
     static const struct {
         const char *text;
-        int shards[3];              /* red, blue, green */
+        int n_shards[3];            /* of the teams red, blue and green */
         const char *expected_error; /* text that the error must contain; NULL: the file is valid */
     } rows[] = {
         {"", {1, 1, 1}, NULL},
@@ -148,7 +148,7 @@
             assert_non_null(strstr(error->message, "quota.hcl"));
             assert_non_null(strstr(error->message, rows[i].expected_error));
         }
-        for (int t = 0; valid && t < 3; t++) assert_int_equal(settings.teams[t].n_shards, rows[i].shards[t]);
+        for (int t = 0; valid && t < 3; t++) assert_int_equal(settings.teams[t].n_shards, rows[i].n_shards[t]);
         settings_clear(&settings);
     }
 }
--- a/src/settings/tuning_file.c
+++ b/src/settings/tuning_file.c
@@ -1,5 +1,5 @@
-/* Reads the operators' tuning file, lines `name = value`. Each setting has a default and bounds (docs/operations.md).
- */
+/* Reads the operators' tuning file, which has lines `name = value`. Each setting has a default and bounds
+ * (docs/operations.md). */
 #include <stddef.h>
 #include <string.h>
 
@@ -10,18 +10,19 @@
     .reception_threshold = 0.5,
     .admission_threshold = 0.8,
     .headroom_margin = 1.5,
-    .occupancy_window = 6,
+    .occupancy_window_heartbeats = 6,
     .drain_timeout = {60, 0},
     .silence_timeout = {8, 0},
     .controller_lease = {2, 500000000},
     .watch_gap = {0, 80000000},
     .machines_per_shard = 5000, /* one team may use nearly the whole fleet, and the fleet may double */
-    .spot_backlog = 1.5,
+    .spot_backlog_factor = 1.5,
 };
 
 enum field_type { FIELD_NUMBER, FIELD_DURATION };
 
-/* A setting: its name in the file, its bounds (durations in seconds), and the offset of its member. */
+/* A setting: its name in the file, its bounds (in seconds if it is a duration), and the offset of its member in struct
+ * settings_tuning. */
 struct tuning_field {
     const char *name;
     double minimum, maximum;
@@ -33,13 +34,13 @@
     {"reception", 0, 1, FIELD_NUMBER, offsetof(struct settings_tuning, reception_threshold)},
     {"admission", 0.05, 1.01, FIELD_NUMBER, offsetof(struct settings_tuning, admission_threshold)},
     {"margin", 0.5, 20, FIELD_NUMBER, offsetof(struct settings_tuning, headroom_margin)},
-    {"window", 1, 60, FIELD_NUMBER, offsetof(struct settings_tuning, occupancy_window)},
+    {"window", 1, 60, FIELD_NUMBER, offsetof(struct settings_tuning, occupancy_window_heartbeats)},
     {"drain_reopen", 5, 3600, FIELD_DURATION, offsetof(struct settings_tuning, drain_timeout)},
     {"silent_return", 2, 3600, FIELD_DURATION, offsetof(struct settings_tuning, silence_timeout)},
     {"node_lease", 1, 60, FIELD_DURATION, offsetof(struct settings_tuning, controller_lease)},
     {"watch_gap", 0, 5, FIELD_DURATION, offsetof(struct settings_tuning, watch_gap)},
     {"machines_per_share", 1, 10000, FIELD_NUMBER, offsetof(struct settings_tuning, machines_per_shard)},
-    {"dear_backlog", 0, 100, FIELD_NUMBER, offsetof(struct settings_tuning, spot_backlog)},
+    {"dear_backlog", 0, 100, FIELD_NUMBER, offsetof(struct settings_tuning, spot_backlog_factor)},
 };
 
 static const struct tuning_field *find_field(const char *name) {
--- a/src/store/client.c
+++ b/src/store/client.c
@@ -12,14 +12,14 @@
 #include "keys.h"
 #include "request.h"
 
-/* Users time out after 2 s for a poll and 5 s for a submission. The timeouts here are shorter, so that a user still
- * gets an error response if the store doesn't answer. */
+/* Users' clients time out after 2 s for a poll and 5 s for a submission. The timeouts here are shorter, so that a user
+ * still gets an error response if the store doesn't answer. */
 enum { CHECK_TIMEOUT_MS = 1200, COMMIT_TIMEOUT_MS = 2000 };
 enum { READ_TIMEOUT_MS = 1500, GRANT_TIMEOUT_MS = 1500, RENEWAL_TIMEOUT_MS = 1200 };
 enum { GRANT_BODY_BYTES = 64, MS_PER_SECOND = 1000 };
 
-/* Returns the result of a request that changes the store. Answers with a meaning specific to one kind of request are
- * handled by the callers. */
+/* Returns the result of a request that changes the store. The callers handle the answers that mean different things for
+ * different kinds of requests. */
 static enum store_result result_from_answer(enum store_answer answer) {
     switch (answer) {
         case STORE_ANSWER_OK:
@@ -48,7 +48,7 @@
         g_string_append_printf(keys_with_sizes, " %s (%zu bytes)", change.key, value ? strlen(value) : 0);
         free(value);
     }
-    log_error("store rejected a transaction as malformed: %d operations, %d comparisons:%s", txn->writes,
+    log_error("store rejected a transaction as malformed: %d operations, %d comparisons:%s", txn->n_operations,
               cJSON_GetArraySize(txn->comparisons), keys_with_sizes->str);
     g_string_free(keys_with_sizes, TRUE);
 }
@@ -84,7 +84,7 @@
 static char *format_transaction(const struct store_txn *txn) {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddItemReferenceToObject(object, "if", txn->comparisons);
-    if (txn->writes) cJSON_AddItemReferenceToObject(object, "then", txn->operations);
+    if (txn->n_operations) cJSON_AddItemReferenceToObject(object, "then", txn->operations);
     char *body = cJSON_PrintUnformatted(object);
     cJSON_Delete(object);
     return body;
@@ -103,11 +103,11 @@
 enum store_result store_commit(struct http_client *client, enum store_priority priority, struct store_txn *txn,
                                struct store_response *response) {
     *response = (struct store_response){0};
-    if (!store_budget_take(priority, txn->writes)) return STORE_REJECTED;
+    if (!store_budget_take(priority, txn->n_operations)) return STORE_REJECTED;
     char *request_body = format_transaction(txn);
     struct store_request request = {.method = "POST", .path = "/multi", .body = request_body};
-    request.timeout_ms = txn->writes ? COMMIT_TIMEOUT_MS : CHECK_TIMEOUT_MS;
-    request.rate = txn->writes ? STORE_RATE_CHANGES : STORE_RATE_REQUESTS;
+    request.timeout_ms = txn->n_operations ? COMMIT_TIMEOUT_MS : CHECK_TIMEOUT_MS;
+    request.rate = txn->n_operations ? STORE_RATE_CHANGES : STORE_RATE_REQUESTS;
     cJSON *answer_body;
     enum store_answer answer = store_request_send(client, &request, &answer_body);
     enum store_result result =
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -31,7 +31,7 @@
 /* Numbers of changes that this controller has written since its start, by kind of record. */
 struct store_write_counts {
     unsigned jobs, allocations;
-    unsigned removed_allocations; /* removals of records of allocations */
+    unsigned removed_allocations; /* removals of allocation records */
     unsigned machine_records;     /* pages of machines, and records of single machines */
     unsigned other_records;
 };
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -39,7 +39,8 @@
 /* Key of the assignment of a shard to its owner. */
 struct store_key store_key_shard(int shard);
 
-/* The length of names in the settings is not limited; a name that doesn't fit is truncated. */
+/* The keys below end with a name from the settings. The length of names is not limited; one that doesn't fit is
+ * truncated. */
 struct store_key store_key_node(const char *node);
 struct store_key store_key_schema_version(const char *node);
 struct store_key store_key_quota(const char *team);
--- a/src/store/keys_test.c
+++ b/src/store/keys_test.c
@@ -11,7 +11,7 @@
     (void)state;
     const struct {
         struct store_key key;
-        const char *want;
+        const char *expected;
     } cases[] = {
         {store_key_job("req-10001"), "job/req-10001"},
         {store_key_allocations("req-10001", 12), "run/req-10001/12"},
@@ -22,7 +22,7 @@
         {store_key_schema_version("n0"), "format/n0"},
         {store_key_quota("blue"), "quota/blue"},
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) assert_string_equal(cases[i].key.text, cases[i].want);
+    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) assert_string_equal(cases[i].key.text, cases[i].expected);
 }
 
 static void longest_id_is_not_truncated(void **state) {
--- a/src/store/mirror.c
+++ b/src/store/mirror.c
@@ -33,7 +33,7 @@
     pthread_mutex_t lock; /* store_lock */
     GArray *observers;
     GHashTable *key_revisions; /* key -> struct key_revision; includes recently removed keys */
-    int64_t revision;          /* all changes up to this revision of the store are applied */
+    int64_t revision;          /* of the store; all changes up to it are applied */
     bool synced;
     struct timespec last_read_sent_at;
 } mirror = {.lock = PTHREAD_MUTEX_INITIALIZER};
@@ -53,15 +53,15 @@
 }
 
 void store_apply(const char *key, const cJSON *data, int64_t mod_revision) {
-    struct key_revision *known = g_hash_table_lookup(mirror.key_revisions, key);
+    struct key_revision *entry = g_hash_table_lookup(mirror.key_revisions, key);
     /* The result of a late watch or read must not replace that of a newer one or of this controller's own write. */
-    if (known && known->mod_revision >= mod_revision) return;
-    if (!known) {
-        known = g_new0(struct key_revision, 1);
-        g_hash_table_insert(mirror.key_revisions, g_strdup(key), known);
+    if (entry && entry->mod_revision >= mod_revision) return;
+    if (!entry) {
+        entry = g_new0(struct key_revision, 1);
+        g_hash_table_insert(mirror.key_revisions, g_strdup(key), entry);
     }
-    known->mod_revision = mod_revision;
-    known->removed = data == NULL;
+    entry->mod_revision = mod_revision;
+    entry->removed = data == NULL;
     for (guint i = 0; i < mirror.observers->len; i++) {
         const struct observer *observer = &g_array_index(mirror.observers, struct observer, i);
         if (g_str_has_prefix(key, observer->prefix))
@@ -78,8 +78,8 @@
 }
 
 int64_t store_key_revision(const char *key) {
-    const struct key_revision *known = g_hash_table_lookup(mirror.key_revisions, key);
-    return known && !known->removed ? known->mod_revision : 0;
+    const struct key_revision *entry = g_hash_table_lookup(mirror.key_revisions, key);
+    return entry && !entry->removed ? entry->mod_revision : 0;
 }
 
 bool store_refresh(struct http_client *client, const char *key) {
@@ -118,7 +118,8 @@
 
 bool store_unreachable(void) {
     static const double answer_delay_max_s = 0.9;
-    /* Just before an idle watch returns, the previous watch was sent two hold times and one gap ago. */
+    /* Until an idle watch returns, the last successful read is the watch before it. That watch may have been sent two
+     * hold times and one gap ago. */
     double idle_read_age_max_s = 2 * store_watch_hold_ms() / (double)MS_PER_SECOND +
                                  clock_to_seconds(cfg->tuning.watch_gap) + answer_delay_max_s;
     return !mirror.synced || clock_seconds_since(mirror.last_read_sent_at) > idle_read_age_max_s;
@@ -129,8 +130,8 @@
 static gboolean is_expired_removal(gpointer key, gpointer value, gpointer data) {
     (void)key;
     (void)data;
-    const struct key_revision *known = value;
-    return known->removed && known->mod_revision + REMOVED_KEY_RETENTION_REVISIONS <= mirror.revision;
+    const struct key_revision *entry = value;
+    return entry->removed && entry->mod_revision + REMOVED_KEY_RETENTION_REVISIONS <= mirror.revision;
 }
 
 void store_mirror_apply_watch(int64_t revision, struct timespec sent_at) {
@@ -139,15 +140,15 @@
     mirror.last_read_sent_at = sent_at;
 }
 
-/* Applies the removal of the keys that a full read no longer listed. They were removed while there was no watch. */
+/* Applies the removal of the keys that a full read no longer lists. They were removed while no watch was running. */
 static void remove_unlisted_keys(GHashTable *listed_keys, int64_t revision) {
     GPtrArray *removed_keys = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iterator;
     gpointer key, value;
     g_hash_table_iter_init(&iterator, mirror.key_revisions);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
-        const struct key_revision *known = value;
-        if (!known->removed && known->mod_revision <= revision && !g_hash_table_contains(listed_keys, key))
+        const struct key_revision *entry = value;
+        if (!entry->removed && entry->mod_revision <= revision && !g_hash_table_contains(listed_keys, key))
             g_ptr_array_add(removed_keys, g_strdup(key));
     }
     for (guint i = 0; i < removed_keys->len; i++) store_apply(removed_keys->pdata[i], NULL, revision);
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -16,8 +16,9 @@
 
 /* The functions below are called before the threads start. */
 
-/* Called for each record that is applied, in the order of registration and with store_lock held. key_suffix is the key
- * without the prefix; data is NULL if the key was removed. The caller owns the data. */
+/* An observer is called for each applied record whose key has its prefix, in the order of registration and with
+ * store_lock held. key_suffix is the key without the prefix; data is NULL if the key was removed. The caller owns the
+ * data. */
 typedef void (*store_observer)(const char *key_suffix, const cJSON *data, int64_t mod_revision);
 void store_observe_prefix(const char *prefix, store_observer observer);
 /* Keeps the pointer to the settings. */
--- a/src/store/rate_budget.c
+++ b/src/store/rate_budget.c
@@ -15,7 +15,7 @@
 static const double initial_fill_s = 0.3;
 
 static const double factor_min = 0.8;
-static const double factor_max = 3.0; /* for changes, the number of live controllers if that is more */
+static const double factor_max = 3.0; /* for changes, the number of live controllers applies if it is higher */
 static const double factor_growth_per_s = 0.08;
 static const double factor_multiplier_after_rejection = 0.8;
 static const double pause_after_rejection_s = 0.12;
@@ -51,8 +51,8 @@
 void store_budget_init(const struct settings *settings) {
     cfg = settings;
     budget.refilled_at = clock_now();
-    budget.requests.tokens = settings->state_rps * initial_fill_s;
-    budget.changes.tokens = settings->state_write_rps * initial_fill_s;
+    budget.requests.tokens = settings->store_requests_per_s * initial_fill_s;
+    budget.changes.tokens = settings->store_changes_per_s * initial_fill_s;
 }
 
 void store_budget_set_change_fraction(int n_live, double change_fraction) {
@@ -65,17 +65,20 @@
 /* The functions below are called with the budget's lock held. */
 
 static double request_rate(void) {
-    return MIN(cfg->state_rps * max_rate_fraction, cfg->state_rps * budget.requests.factor / budget.n_live);
+    return MIN(cfg->store_requests_per_s * max_rate_fraction,
+               cfg->store_requests_per_s * budget.requests.factor / budget.n_live);
 }
 
 static double change_rate(void) {
-    return MIN(cfg->state_write_rps * max_rate_fraction,
-               cfg->state_write_rps * divided_change_fraction * budget.changes.factor * budget.change_fraction);
+    return MIN(cfg->store_changes_per_s * max_rate_fraction,
+               cfg->store_changes_per_s * divided_change_fraction * budget.changes.factor * budget.change_fraction);
 }
 
 /* Returns the capacity of the bucket of changes. It fits a whole transaction even if this controller's share of the
  * rate is smaller, but is at most one second of the store's rate. */
-static double change_capacity(void) { return MIN(MAX(change_rate(), cfg->txn_ops), cfg->state_write_rps); }
+static double change_capacity(void) {
+    return MIN(MAX(change_rate(), cfg->txn_operations_max), cfg->store_changes_per_s);
+}
 
 static void refill(void) {
     struct timespec now = clock_now();
@@ -84,9 +87,9 @@
     budget.requests.tokens = MIN(budget.requests.tokens + elapsed_s * request_rate(), request_rate());
     budget.changes.tokens = MIN(budget.changes.tokens + elapsed_s * change_rate(), change_capacity());
     budget.requests.factor = MIN(budget.requests.factor + elapsed_s * factor_growth_per_s, factor_max);
-    /* An owner of a flood of small jobs may use all of the rate that the other controllers leave. When the factor
-     * allowed it only a third of that, it wrote 10 of the 25 allowed changes per second, and 200 machines were idle
-     * while jobs waited. */
+    /* The owner of a flood of small jobs may use all of the rate that the other controllers leave. When the factor
+     * allowed only a third of that, the owner wrote 10 of the 25 allowed changes per second, and 200 machines were
+     * idle while jobs waited. */
     budget.changes.factor =
         MIN(budget.changes.factor + elapsed_s * factor_growth_per_s, MAX(factor_max, budget.n_live));
 }
@@ -97,7 +100,7 @@
     return budget.requests.tokens - 1 >= reserve_fraction[priority] * request_rate();
 }
 
-/* A transaction of more than half the capacity needs only half the capacity beyond the reserve. */
+/* A transaction of more than half the capacity is allowed once the tokens beyond the reserve are half the capacity. */
 static bool allows_changes(enum store_priority priority, int n_changes) {
     double capacity = change_capacity();
     return n_changes == 0 ||
@@ -133,10 +136,10 @@
     bucket->factor = MAX(bucket->factor * factor_multiplier_after_rejection, factor_min);
 }
 
-/* A rejected request without changes exceeded only the rate of requests, so the rate of changes stays as it is. When it
- * was reduced as well, many polls left hundreds of machines idle for minutes, while only half of the rate of changes
- * was used. */
-void store_budget_record_refusal(enum store_rate rate) {
+/* A rejected request without changes exceeded only the rate of requests, so the rate of changes stays as it is. When
+ * that rate was reduced as well, many polls left hundreds of machines idle for minutes, while only half of the rate of
+ * changes was used. */
+void store_budget_record_rejection(enum store_rate rate) {
     pthread_mutex_lock(&budget.lock);
     budget.paused_until = clock_now_plus(clock_from_seconds(pause_after_rejection_s));
     slow_down(&budget.requests);
--- a/src/store/rate_budget.h
+++ b/src/store/rate_budget.h
@@ -33,11 +33,11 @@
 void store_budget_set_change_fraction(int n_live, double change_fraction);
 
 /* Takes one request with this number of changes from the budget. Returns false, and takes nothing, if the budget
- * doesn't allow that for the priority. */
+ * doesn't allow the request for the priority. */
 bool store_budget_take(enum store_priority priority, int n_changes);
-/* Called when the store has rejected a request as over this rate. Slows down, and briefly holds back all priorities but
- * the first. */
-void store_budget_record_refusal(enum store_rate rate);
+/* Records that the store has rejected a request as over this rate: reduces the factor for requests, for
+ * STORE_RATE_CHANGES also that for changes, and briefly holds back all priorities but the first. */
+void store_budget_record_rejection(enum store_rate rate);
 
 /* Returns how many changes the budget currently allows for the priority. */
 int store_budget_available(enum store_priority priority);
--- a/src/store/request.c
+++ b/src/store/request.c
@@ -35,7 +35,7 @@
     char url[URL_BYTES];
     long status = 0;
     *body = NULL;
-    snprintf(url, sizeof url, "http://%s%s", cfg->state_address, request->path);
+    snprintf(url, sizeof url, "http://%s%s", cfg->store_address, request->path);
     switch (http_call(client, request->method, url, request->body, request->timeout_ms, &status, body)) {
         case HTTP_NOT_SENT:
             return STORE_ANSWER_NOT_SENT;
@@ -45,6 +45,6 @@
             break;
     }
     enum store_answer answer = answer_from_status(status);
-    if (answer == STORE_ANSWER_OVER_RATE) store_budget_record_refusal(request->rate);
+    if (answer == STORE_ANSWER_OVER_RATE) store_budget_record_rejection(request->rate);
     return answer;
 }
--- a/src/store/request.h
+++ b/src/store/request.h
@@ -17,7 +17,7 @@
     enum store_rate rate; /* reported to the rate budget if the store rejects the request as over the rate */
 };
 
-/* The store's answer to a request, by its HTTP status, or the reason for which there is none.
+/* The store's answer to a request, by its HTTP status, or the reason why there is no answer.
  *
  * NOT_SENT, OVER_RATE, UNAVAILABLE: the request was definitely not carried out. MALFORMED: it was definitely not
  * carried out, and won't be if it is sent again. NO_ANSWER: it may have been carried out, or may still be. COMPACTED:
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -42,7 +42,7 @@
     static const struct {
         enum standin_store_fault fault;
         int64_t mod_revision, lease;
-        enum store_result want;
+        enum store_result expected;
         bool written;
     } cases[] = {
         {STANDIN_OUTAGE, 0, 0, STORE_REJECTED, false},    {STANDIN_RATE_LIMITED, 0, 0, STORE_REJECTED, false},
@@ -54,9 +54,10 @@
         struct store_response response;
         g_snprintf(key, sizeof key, "x/%zu", i);
         standin_store_inject(cases[i].fault);
-        assert_int_equal(commit_put(key, "{\"v\":1}", cases[i].mod_revision, cases[i].lease, &response), cases[i].want);
-        if (cases[i].want == STORE_CONFLICT) assert_string_equal(response.conflicts->pdata[0], key);
-        if (cases[i].want == STORE_OK) assert_true(response.revision > 0);
+        assert_int_equal(commit_put(key, "{\"v\":1}", cases[i].mod_revision, cases[i].lease, &response),
+                         cases[i].expected);
+        if (cases[i].expected == STORE_CONFLICT) assert_string_equal(response.conflicts->pdata[0], key);
+        if (cases[i].expected == STORE_OK) assert_true(response.revision > 0);
         store_response_clear(&response);
         standin_store_inject(STANDIN_NO_FAULT);
         char *value = standin_store_value(key);
@@ -141,7 +142,7 @@
 
 int main(void) {
     char *settings_json = test_settings_json();
-    if (!settings_parse(settings_json, "f.json", &cfg, NULL) || !standin_store_start(cfg.state_address)) return 1;
+    if (!settings_parse(settings_json, "f.json", &cfg, NULL) || !standin_store_start(cfg.store_address)) return 1;
     g_free(settings_json);
     store_init(&cfg);
     store_observe_prefix("z/", count_applied);
--- a/src/store/transaction.c
+++ b/src/store/transaction.c
@@ -9,7 +9,7 @@
 void store_txn_init(struct store_txn *txn) {
     txn->comparisons = cJSON_CreateArray();
     txn->operations = cJSON_CreateArray();
-    txn->writes = 0;
+    txn->n_operations = 0;
 }
 
 void store_txn_free(struct store_txn *txn) {
@@ -31,7 +31,7 @@
 
 static void add_operation(struct store_txn *txn, cJSON *operation) {
     cJSON_AddItemToArray(txn->operations, operation);
-    txn->writes++;
+    txn->n_operations++;
 }
 
 void store_txn_put(struct store_txn *txn, const char *key, cJSON *data, int64_t lease) {
--- a/src/store/transaction.h
+++ b/src/store/transaction.h
@@ -13,7 +13,7 @@
 /* Initialized by store_txn_init, freed by store_txn_free. The arrays have the JSON format of the store's protocol. */
 struct store_txn {
     cJSON *comparisons, *operations;
-    int writes; /* number of operations */
+    int n_operations;
 };
 /* Initializes an empty transaction. */
 void store_txn_init(struct store_txn *txn);
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -39,7 +39,7 @@
 
 struct full_read {
     GHashTable *listed_keys; /* keys of the pages read so far */
-    GString *last_key;       /* of the last page; the next page begins after it */
+    GString *last_key;       /* the last key read so far; the next page begins after it */
     int64_t revision;        /* of the store at the first page; -1: no page was read yet */
     bool has_next;           /* whether there is another page */
 };
--- a/src/workers/codec.h
+++ b/src/workers/codec.h
@@ -1,5 +1,6 @@
 /* The JSON of the worker protocol: reads heartbeats and workers' answers, and writes commands and responses that carry
- * directives. Only codec.c knows the member names of these messages. Pure: any thread, no lock. */
+ * directives. Only codec.c knows the member names of these messages. Pure: callable from any thread, with or without
+ * store_lock. */
 #ifndef FF_WORKERS_CODEC_H
 #define FF_WORKERS_CODEC_H
 #include <stdbool.h>
@@ -14,13 +15,13 @@
     const char *machine_id, *address, *type_name, *zone; /* NULL: absent */
     bool spot;
     int64_t incarnation, sequence; /* -1: absent, or not an integer */
-    int64_t fencing_token;         /* the highest that the worker has received; 0: absent, or not an integer */
+    int64_t fencing_token;         /* the highest token that the worker has received; 0: absent, or not an integer */
     bool has_preemption_notice;
     double preemption_notice_s; /* seconds until the cloud reclaims the machine */
     const cJSON *tasks;         /* a JSON value of any type; NULL: absent */
 };
 
-/* Reads a heartbeat. With message NULL every member is absent. */
+/* Reads a heartbeat. If message is NULL, every member is absent. */
 struct heartbeat codec_read_heartbeat(const cJSON *message);
 
 /* An item of a heartbeat's list of tasks. */
@@ -31,29 +32,30 @@
 
 /* Reads the task's name and attempt. Returns false if one of them is absent or has the wrong type. */
 bool codec_read_task(const cJSON *item, struct listed_task *task);
-/* Returns the task's state; TASK_RUNNING if the state is absent or unknown to this version, since the task may run. */
+/* Returns the task's state. If the state is absent or unknown to this version, returns TASK_RUNNING, since the task may
+ * run. */
 enum task_state codec_read_task_state(const cJSON *item);
-/* Returns the cause of the task's end; NULL: absent. */
+/* Returns the cause of the task's end, or NULL if it is absent. */
 const char *codec_read_task_cause(const cJSON *item);
 
 /* DIRECTIVE_FORGET removes an attempt that has ended from the worker's list of tasks. */
 enum directive_kind { DIRECTIVE_RUN, DIRECTIVE_STOP, DIRECTIVE_FORGET };
 
-/* What a worker is to do with an attempt of a task. */
+/* A directive: what a worker has to do with an attempt of a task. */
 struct directive {
     enum directive_kind kind;
     const char *task; /* JOB/INDEX */
     int64_t attempt;
-    double grace_s; /* DIRECTIVE_STOP: seconds that the task has to save its state */
+    double grace_s; /* DIRECTIVE_STOP: time in which the task may save its state */
 };
 
 /* Appends the directive's JSON to the list. */
 void codec_add_directive(cJSON *directives, const struct directive *directive);
-/* Tells whether the list contains a directive that starts a task. */
+/* Returns whether the list contains a directive that starts a task. */
 bool codec_has_start(const cJSON *directives);
 
 /* Returns the body of a command, which the caller frees. The caller keeps ownership of the list of directives. */
 char *codec_write_command(int64_t fencing_token, int64_t incarnation, cJSON *directives);
-/* Returns the body of a response to a heartbeat, which the caller frees. Takes ownership of the list of directives. */
+/* Returns the body of a response to a heartbeat, which the caller frees. The body takes ownership of the directives. */
 cJSON *codec_write_response(int64_t fencing_token, cJSON *directives);
 #endif
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -8,7 +8,7 @@
 #include "../machines/machines.h"
 #include "../sync/sync.h"
 
-#define POP_WAIT_S 30 /* longest time between a waiting sender's checks of its queue */
+#define POP_WAIT_S 30 /* longest wait of a sender between two checks of its queue */
 
 static struct {
     pthread_mutex_t lock;
--- a/src/workers/commands.h
+++ b/src/workers/commands.h
@@ -10,18 +10,18 @@
 
 enum command_kind {
     COMMAND_DIRECTIVES,     /* directives to an owned machine */
-    COMMAND_TOKEN_PROBE,    /* tells an owned machine its current fencing token, and asks for its tasks */
+    COMMAND_TOKEN_PROBE,    /* tells an owned machine its current fencing token, and asks for its list of tasks */
     COMMAND_STOP_CANCELLED, /* stops cancelled tasks on another controller's machine */
     COMMAND_INSPECT         /* asks an unregistered machine for its id, type and zone */
 };
 
-/* A request to a worker that one of the senders makes. */
+/* A request that a sender makes to a worker. */
 struct command {
     enum command_kind kind;
     char machine_id[MACHINE_ID_SIZE], address[MACHINE_ADDRESS_SIZE];
     char *body;        /* COMMAND_DIRECTIVES and COMMAND_TOKEN_PROBE: the request body; else NULL */
     cJSON *directives; /* COMMAND_STOP_CANCELLED: the stops; else NULL */
-    bool has_start;    /* the directives start a task */
+    bool has_start;    /* the body contains a directive that starts a task */
     int64_t fencing_token, incarnation;
     int64_t owned_token; /* the shard's fencing token under which this controller owned the machine at decided_at */
     struct timespec decided_at; /* when the dispatcher created the command */
@@ -31,16 +31,17 @@
  * to other machines. */
 enum command_queue { QUEUE_DIRECTIVES, QUEUE_PROBES, QUEUE_COUNT };
 
-/* Must be called before the threads are started. */
+/* Called once, before the threads are started. */
 void commands_init(void);
 /* Creates a command to the machine; the caller sets the remaining members. */
 struct command *command_new(enum command_kind kind, const char *machine_id, const char *address);
-/* Creates a command with the machine's current fencing token and incarnation (1 if it is not known). With store_lock
- * held. */
+/* Creates a command with the machine's current fencing token and incarnation (1 if the incarnation is not known).
+ * Called with store_lock held. */
 struct command *command_new_fenced(enum command_kind kind, const struct machine *machine);
 void command_free(struct command *command);
-/* Adds a command to the queue and takes ownership of it. From any thread, with or without store_lock. */
+/* Adds a command to the queue and takes ownership of the command. Called with or without store_lock. */
 void commands_push(enum command_queue queue, struct command *command);
-/* Waits until the queue has a command, removes it and passes its ownership to the caller. Without store_lock. */
+/* Waits until the queue has a command, removes the command and passes its ownership to the caller. Called without
+ * store_lock. */
 struct command *commands_pop(enum command_queue queue);
 #endif
--- a/src/workers/directives.c
+++ b/src/workers/directives.c
@@ -16,8 +16,8 @@
            !machine->retirement.returning && !machine->retirement.return_wanted;
 }
 
-/* A probe in flight does not count, because it carries no starts. Machines are also probed while the outcome of their
- * last start is unknown: without that, hanging machines in this state were detected 5 s later than others. */
+/* A probe in flight does not count, because a probe carries no starts. Machines are probed even while the outcome of
+ * their last start is unknown; when they were not, hanging machines in this state were detected 5 s later. */
 bool directives_start_in_flight(const struct machine *machine) {
     return machine->commands.in_flight && !machine->commands.probe_in_flight;
 }
@@ -33,9 +33,9 @@
     }
 }
 
-/* Adds directives for tasks without an allocation: a stop, or a forget if the attempt has ended. While the worker lists
- * an ended attempt, a delayed start of that attempt has no effect. The attempt is therefore forgotten only when no such
- * start can arrive any more. */
+/* Adds directives for tasks without an allocation: a stop, or a forget if the attempt has ended. A delayed start of an
+ * ended attempt has no effect as long as the worker lists that attempt. The worker is therefore told to forget the
+ * attempt only when no such start can arrive any more. */
 static void add_for_unknown_tasks(const struct machine *machine, bool shows_token, cJSON *directives) {
     bool may_forget = shows_token && !machine->commands.start_outcome_unknown && !directives_start_in_flight(machine);
     for (guint i = 0; i < machine->agent.unknown_tasks->len && i < MACHINE_TASKS_MAX; i++) {
@@ -46,7 +46,7 @@
     }
 }
 
-/* Tells whether the allocation's stop is sent over the channel. Each response to a heartbeat repeats the stop; a
+/* Returns whether the allocation's stop is sent over the channel. Each response to a heartbeat repeats the stop; a
  * command repeats it only if its grace period is zero. */
 static bool stop_due(const struct allocation *allocation, enum worker_channel channel) {
     return allocation->was_listed &&
--- a/src/workers/directives.h
+++ b/src/workers/directives.h
@@ -1,4 +1,4 @@
-/* Decides which directives a machine gets. All functions must be called with store_lock held. */
+/* Decides which directives a machine gets. All functions are called with store_lock held. */
 #ifndef FF_WORKERS_DIRECTIVES_H
 #define FF_WORKERS_DIRECTIVES_H
 #include <stdbool.h>
@@ -12,15 +12,15 @@
     CHANNEL_COMMAND    /* the controller's command and the worker's answer to it */
 };
 
-/* Tells whether a start of the allocation's task may be sent: this owner allocated it, the worker has not listed it
- * yet, and neither its job nor its machine rules a start out. */
+/* Returns whether a start of the allocation's task may be sent: the shard's current owner allocated the task, the
+ * worker has not listed it yet, and neither the job nor the machine rules a start out. */
 bool directives_awaits_start(const struct allocation *allocation);
-/* Builds the list of directives for an owned machine, to be sent over the channel, and updates the machine's and its
- * allocations' state of sent starts and stops. The caller frees the list. */
+/* Builds the list of directives for an owned machine, to be sent over the channel. Records in the machine and its
+ * allocations which starts and stops the list contains. The caller frees the list. */
 cJSON *directives_build(struct machine *machine, enum worker_channel channel);
 /* Adds a stop for each of the machine's unknown tasks (struct unknown_task). */
 void directives_add_unknown_stops(const struct machine *machine, cJSON *directives);
-/* Tells whether a command that may start tasks is in flight to the machine. */
+/* Returns whether a command that may start tasks is in flight to the machine. */
 bool directives_start_in_flight(const struct machine *machine);
 /* Writes the name of the allocation's task, JOB/INDEX, to a buffer of n bytes. */
 void directives_task_name(const struct allocation *allocation, char *name, size_t n);
--- a/src/workers/directives_test.c
+++ b/src/workers/directives_test.c
@@ -1,4 +1,4 @@
-/* Tests which directives the response to a heartbeat contains. */
+/* Tests which directives a response to a heartbeat contains. */
 #include "workers/directives.h"
 
 #include <glib.h>
--- a/src/workers/dispatcher.c
+++ b/src/workers/dispatcher.c
@@ -16,21 +16,21 @@
 #define DISPATCH_INTERVAL_S 1     /* longest wait for a wakeup between two passes over the machines */
 #define DISPATCH_PAUSE_S 0.02     /* pause after each pass, so that directives due in the meantime are sent together */
 #define STOP_RETRY_INTERVAL_S 2.0 /* shortest time between two COMMAND_STOP_CANCELLED to the same machine */
-#define STOP_REQUESTS_PER_TASK_MAX 5 /* how many of these commands may name the same task */
+#define STOPS_PER_TASK_MAX 5      /* how many of these commands may name the same task */
 
 static struct sync_wakeup wakeup;
 
 void dispatcher_wake(void) { sync_wakeup_signal(&wakeup); }
 
-/* Returns stops for the machine's tasks whose cancellation this controller has acknowledged to a user, and counts them
- * as requested. NULL: none is due. */
+/* Returns stops for the machine's tasks whose cancellation this controller has acknowledged to a user, or NULL if none
+ * is due. Counts the stops in their allocations. */
 static cJSON *build_cancellation_stops(struct machine *machine) {
     cJSON *directives = NULL;
     for (guint i = 0; i < machine->allocations->len && i < MACHINE_TASKS_MAX; i++) {
         struct allocation *allocation = machine->allocations->pdata[i];
         char task[TASK_NAME_SIZE];
         if (allocation->released || !allocation->job->cancel_acknowledged ||
-            allocation->non_owner_stops_sent >= STOP_REQUESTS_PER_TASK_MAX)
+            allocation->non_owner_stops_sent >= STOPS_PER_TASK_MAX)
             continue;
         directives_task_name(allocation, task, sizeof task);
         if (!directives) directives = cJSON_CreateArray();
@@ -40,7 +40,7 @@
     return directives;
 }
 
-/* Called while the store is unreachable. The owner of the machine may then not learn of a cancellation until the store
+/* Called while the store is unreachable. The owner of the machine may then learn of a cancellation only when the store
  * is back, and a task that is still fetching its image would start running. The controller that acknowledged the
  * cancellation to the user therefore sends the stop itself, under the owner's fencing token. This only shortens the
  * delay: the owner keeps the cancellation deadline without it. */
@@ -56,7 +56,7 @@
     commands_push(QUEUE_DIRECTIVES, command);
 }
 
-/* Tells whether a command can be sent now to an owned machine for which one may be due. */
+/* Returns whether a command may be sent now to an owned machine for which a command may be due. */
 static bool can_send_to(const struct machine *machine) {
     const struct machine_commands *commands = &machine->commands;
     if (!machine->address[0] || commands->in_flight || machine->retirement.released) return false;
@@ -64,8 +64,8 @@
     return membership_may_answer_workers();
 }
 
-/* Tells whether the machine must be probed before it is sent directives. A machine with an unanswered command must be:
- * directives to a hundred machines that hang at the same time would delay those to all others. */
+/* Returns whether the machine must be probed before it is sent directives. This includes a machine that left a command
+ * unanswered: directives to a hundred machines that hang at the same time would delay those to all others. */
 static bool needs_probe(const struct machine *machine) {
     return machine->commands.needs_token_probe || machine->liveness.unanswered_probes > 0 ||
            machine->agent.reported_token < machines_fencing_token(machine);
@@ -86,7 +86,7 @@
     commands->unknown_start_incarnation = command->incarnation;
 }
 
-/* Queues a command of the kind to the machine. Takes ownership of the directives. */
+/* Queues a command of this kind to the machine. Takes ownership of the directives. */
 static void send_command(struct machine *machine, enum command_kind kind, cJSON *directives) {
     struct command *command = command_new_fenced(kind, machine);
     command->has_start = codec_has_start(directives);
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -21,7 +21,7 @@
 
 #define RETRY_AFTER_S 1
 #define MACHINE_ID_LENGTH_MAX 60
-#define REDIRECT_BODY_SIZE 128 /* bytes of a body that names the owner's node, with the terminating zero */
+#define OTHER_CONTROLLER_BODY_SIZE 128 /* of a body that names another controller, with the terminating zero */
 
 static const struct settings *settings;
 
@@ -31,7 +31,7 @@
 enum response_kind {
     RESPONSE_DIRECTIVES,      /* renews the worker's lease, with a fencing token and directives */
     RESPONSE_RETRY,           /* asks the worker to retry after RETRY_AFTER_S */
-    RESPONSE_OTHER_CONTROLLER /* refers the worker to another controller, which owns the machine */
+    RESPONSE_OTHER_CONTROLLER /* refers the worker to the controller that owns the machine */
 };
 struct response {
     enum response_kind kind;
@@ -50,7 +50,7 @@
 }
 
 static void reply_other_controller(struct http_request *request, const char *owner) {
-    char body[REDIRECT_BODY_SIZE];
+    char body[OTHER_CONTROLLER_BODY_SIZE];
     if (owner && *owner && strcmp(owner, settings->node) != 0) {
         snprintf(body, sizeof body, "{\"master\":\"%s\"}", owner);
     } else {
@@ -73,8 +73,8 @@
     }
 }
 
-/* Responds to a machine that no record names. The owner of the shard that the machine would belong to has it inspected,
- * after which the machine is adopted. */
+/* Responds to a machine that no record names. The owner of the shard that the machine would belong to queues an
+ * inspection, after which the machine is adopted. */
 static struct response respond_unrecorded(const struct heartbeat *heartbeat) {
     int shard = machines_shard_for_id(heartbeat->machine_id);
     if (!membership_owns(shard)) return other_controller_response(membership_shard(shard)->owner);
@@ -83,8 +83,8 @@
     return retry_response();
 }
 
-/* Responds to a machine whose shard this controller does not own, or was assigned but does not manage yet. If proxy.h
- * allows it, the response is given on the owner's behalf. */
+/* Responds to a machine whose shard this controller does not own, or was assigned but does not manage yet. If the
+ * conditions in proxy.h hold, this controller answers on the owner's behalf. */
 static struct response respond_not_owned(struct machine *machine, const struct heartbeat *heartbeat) {
     const char *owner = membership_shard(machine->shard)->owner;
     if (heartbeat->fencing_token <= machines_fencing_token(machine) && proxy_may_answer(machine) &&
@@ -99,8 +99,8 @@
     machine->address_unrecorded = true;
 }
 
-/* Tells whether a start with unknown outcome may still be carried out under the machine's current fencing token. The
- * machine's lease is then renewed only under a higher token, which rules that start out. */
+/* Returns whether a start with unknown outcome may still be carried out under the machine's current fencing token. If
+ * so, the worker's lease is renewed only under a higher token, which rules that start out. */
 static bool needs_token_raise(const struct machine *machine) {
     return machine->commands.start_outcome_unknown && !directives_start_in_flight(machine) &&
            machines_fencing_token(machine) <= machine->commands.unknown_start_token;
@@ -127,7 +127,7 @@
     return membership_may_answer_workers() ? apply_and_respond(machine, heartbeat) : retry_response();
 }
 
-/* Decides the response to the heartbeat. With store_lock held. */
+/* Decides the response to the heartbeat. Called with store_lock held. */
 static struct response respond(const struct heartbeat *heartbeat) {
     struct machine *machine = machines_find(heartbeat->machine_id);
     if (!store_synced()) return retry_response();
--- a/src/workers/heartbeat.h
+++ b/src/workers/heartbeat.h
@@ -4,9 +4,8 @@
 #include "../http/server.h"
 #include "../settings/settings.h"
 
-/* Must be called once, before the threads are started. The settings remain the caller's and must outlive the
- * threads. */
+/* Called once, before the threads are started. Keeps the pointer to the settings. */
 void heartbeat_init(const struct settings *settings);
-/* Replies to a request to the path for heartbeats. On the server's thread, without store_lock. */
+/* Replies to a request that carries a heartbeat. Called on a thread of the HTTP server, without store_lock. */
 void heartbeat_handle(struct http_request *request);
 #endif
--- a/src/workers/listed_tasks.c
+++ b/src/workers/listed_tasks.c
@@ -12,10 +12,11 @@
 #include "directives.h"
 
 #define SERVICE_SUCCESS_S 30.0 /* a service replica that runs longer than this counts as a success of its job */
-#define UNKNOWN_CAUSE_RETRY_DELAY_S 3.0 /* job's retry delay after a task ended for a cause unknown to its worker */
-#define NO_ROOM_RETRY_DELAY_S 1.0       /* job's retry delay after a worker had no room for a task */
+/* Delays until a job is retried whose task ended for a cause unknown to the worker, or found no room on the machine. */
+#define UNKNOWN_CAUSE_RETRY_DELAY_S 3.0
+#define NO_ROOM_RETRY_DELAY_S 1.0
 
-/* Returns the separator before the index in the task's name JOB/INDEX; NULL: the name has none. */
+/* Returns the separator before the index in the task's name JOB/INDEX, or NULL if the name has none. */
 static const char *find_separator(const struct listed_task *task) { return strrchr(task->name, '/'); }
 
 struct allocation *listed_tasks_find(const struct machine *machine, const struct listed_task *task) {
@@ -56,9 +57,9 @@
     return job && job->state == JOB_CANCELLED;
 }
 
-/* Needs no fencing token from the worker: a stop is safe under any token that the task was started under, and must not
- * wait until the worker shows the owner's token. When the owner changed every few seconds, each new owner's first
- * response renewed the worker's lease, and a cancelled task ran on beyond cancel_s. */
+/* This doesn't depend on the fencing token that the worker shows: a stop is safe whatever token the task was started
+ * under, and must not wait until the worker shows the owner's token. With such a wait, when the owner changed every few
+ * seconds, each new owner's first response renewed the worker's lease, and a cancelled task ran on beyond cancel_s. */
 void listed_tasks_collect_cancelled(struct machine *machine, const cJSON *tasks) {
     const cJSON *item;
     struct listed_task task;
@@ -91,7 +92,7 @@
     quarantine_record_success(job);
 }
 
-/* cause may be NULL: the worker gave none. */
+/* cause is NULL if the worker gave none. */
 static void handle_failure(const struct allocation *allocation, const char *cause) {
     struct job *job = allocation->job;
     log_debug("task %s/%d on %s ended: %s", job->spec.job_id, allocation->task, allocation->machine->id,
@@ -150,9 +151,9 @@
     return any_ended;
 }
 
-/* Tells whether an allocation that is not listed is absent for good. An allocation of this owner that was never listed
- * and need not stop is not: its start is sent again. A gang's allocation becomes absent after gang_start_s, since the
- * gang's other tasks wait for it. */
+/* Returns whether an allocation that is not listed is absent for good. An allocation that this owner made, that was
+ * never listed and whose stop is not requested is not absent: its start is sent again. But a gang's allocation counts
+ * as absent after gang_start_s, since the gang's other tasks wait for it. */
 static bool proven_absent(const struct allocation *allocation, double gang_start_s) {
     bool gang_lost =
         allocation->job->spec.kind == JOB_GANG && clock_seconds_since(allocation->allocated_at) > gang_start_s;
