--- a/src/workers/proxy_test.c
+++ b/src/workers/proxy_test.c
@@ -1,4 +1,4 @@
-/* Tests the answers to heartbeats on behalf of an owner that the zone cannot reach. */
+/* Tests the answers to heartbeats on behalf of an owner that is unreachable from the zone. */
 #include "workers/proxy.h"
 
 #include <glib.h>
@@ -26,7 +26,7 @@
         bool cancelled, may_be_in_flight;
     } rows[] = {
         {"cancelled and listed as running", WORKER_LISTED_TASK("running"), true, false},
-        {"cancelled and listed as ended, but still on record", WORKER_LISTED_TASK("ended"), true, false},
+        {"cancelled and listed as ended", WORKER_LISTED_TASK("ended"), true, false},
         {"cancelled and not listed", "", true, true},
         {"cancelled and listed under another attempt", "{\"task\":\"req-10001/0\",\"try\":4,\"state\":\"running\"}",
          true, true},
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -11,38 +11,38 @@
 #include "../provisioning/provisioning.h"
 #include "listed_tasks.h"
 
-#define RENTAL_RECORDING_MAX_S 5.0  /* longest time from a machine's rental to the record of it */
+#define RENTAL_RECORDING_MAX_S 5.0  /* longest time from a machine's rental until its record is written */
 #define TOKEN_PROBE_INTERVAL_S 1.5  /* shortest time between probes of a machine that shows an older fencing token */
-#define IGNORED_AFTER_STARTS_SENT 2 /* a start that was sent this often counts as ignored if its task is not listed */
+#define IGNORED_AFTER_STARTS_SENT 2 /* after this many, a start whose task is not listed counts as ignored */
 
-/* If a worker's lease expires earlier than this fraction of it after the last heartbeat, the response to that heartbeat
- * did not reach the worker. */
+/* If a worker's lease expires before this fraction of its duration has passed since the last heartbeat, the response to
+ * that heartbeat did not reach the worker. */
 #define EARLY_EXPIRY_FRACTION 0.7
 
 static const struct settings *settings;
 
 void reconciliation_init(const struct settings *new_settings) { settings = new_settings; }
 
-/* Tells whether the message has the required members and names no other machine, to which the address may have passed
- * since it was recorded. If another machine's or a malformed list of tasks were applied like an empty one, all
- * allocations of this machine would be released. */
+/* Returns whether the message has the required members and does not come from another machine, which may have got this
+ * machine's recorded address meanwhile. If another machine's list of tasks, or a malformed one, were applied, the
+ * allocations that it doesn't list would be released. */
 static bool is_well_formed(const struct machine *machine, const struct heartbeat *heartbeat) {
     return heartbeat->incarnation >= 0 && heartbeat->sequence >= 0 &&
            (!heartbeat->machine_id || strcmp(heartbeat->machine_id, machine->id) == 0) &&
            listed_tasks_valid(heartbeat->tasks);
 }
 
-/* Tells whether the message is newer than the last one applied. If not, it is a delayed or repeated copy. */
+/* Returns whether the message is newer than the last one applied. If it is not, it is a delayed or repeated copy. */
 static bool is_newer(const struct machine_agent *agent, const struct heartbeat *heartbeat) {
     return heartbeat->incarnation > agent->incarnation ||
            (heartbeat->incarnation == agent->incarnation && heartbeat->sequence > agent->sequence);
 }
 
-/* Handles a message that shows an older fencing token than the machine's. Either the new token has not reached the
- * machine, or the message is a copy, perhaps minutes old, from before it did. Such a message proves neither that the
- * machine is alive nor anything about its tasks, and gives no occupancy sample. A probe makes a live machine adopt the
- * new token at once. If heartbeats keep arriving with the older token, this controller's responses do not reach the
- * machine. */
+/* Handles a message that shows an older fencing token than the machine's current one. Either the current token has not
+ * reached the machine, or the message is a copy, perhaps minutes old, from before the token did. Such a message proves
+ * neither that the machine is alive nor anything about its tasks, and gives no occupancy sample. A probe makes a live
+ * machine adopt the current token at once. If heartbeats keep arriving with the older token, this controller's
+ * responses do not reach the machine. */
 static void handle_older_token(struct machine *machine, const struct heartbeat *heartbeat,
                                enum worker_channel channel) {
     if (channel == CHANNEL_HEARTBEAT) {
@@ -77,8 +77,8 @@
     }
 }
 
-/* Records the boot time of a machine that has just come up. Only a controller that has owned the machine since its
- * rental knows that it was not up before. */
+/* Records the boot time of a machine that has just come up, if this controller has owned the machine since its rental.
+ * Only such a controller knows that the machine was not up before. */
 static void record_boot(const struct machine *machine) {
     double boot_s = clock_time_of_day() - machine->created_at;
     if (!machine->had_task && boot_s < clock_seconds_since(machine->owned_since) + RENTAL_RECORDING_MAX_S)
@@ -90,8 +90,8 @@
     machine->agent.reported_token = fencing_token;
     liveness->last_heard = clock_now();
     liveness->unanswered_probes = 0;
-    /* The machine's first message may be the answer to a probe, long after the rental: its heartbeats are expected only
-     * from now on. Without this, one in sixteen machines was returned as soon as it came up, for lack of heartbeats. */
+    /* The machine's first message may be the answer to a probe, long after the rental. The timeout for its heartbeats
+     * starts now: without this, one in sixteen machines was returned as soon as it came up, for lack of heartbeats. */
     if (channel == CHANNEL_HEARTBEAT || !liveness->up) liveness->last_heartbeat = liveness->last_heard;
     if (!liveness->up) {
         log_info("machine %s: up", machine->id);
@@ -124,11 +124,11 @@
     }
 }
 
-/* Tells whether a seen or inherited task that the message does not list is absent. A heartbeat reflects all earlier
- * responses of this controller. The answer to a command may not, and so proves absence only if no response to a
- * heartbeat of this incarnation carried a start. The fencing token and the incarnation in the message rule out starts
- * in responses of other owners and to earlier incarnations. So after a takeover the running tasks are known as soon as
- * the machine has answered a probe; waiting for heartbeats took 20 s after a network partition. */
+/* Returns whether a task that was listed before or is inherited is absent if the message does not list it. A heartbeat
+ * reflects all earlier responses of this controller. The answer to a command may not, and so proves absence only if no
+ * response to a heartbeat of this incarnation carried a start. The fencing token and the incarnation in the message
+ * rule out starts in responses of other owners and to earlier incarnations. So after a takeover the running tasks are
+ * known as soon as the machine has answered a probe; waiting for heartbeats took 20 s after a network partition. */
 static bool proves_absence(const struct machine *machine, enum worker_channel channel) {
     return channel == CHANNEL_HEARTBEAT || machine->commands.start_incarnation < machine->agent.incarnation;
 }
--- a/src/workers/reconciliation.h
+++ b/src/workers/reconciliation.h
@@ -8,10 +8,9 @@
 #include "codec.h"
 #include "directives.h"
 
-/* Must be called once, before the threads are started. The settings remain the caller's and must outlive the
- * threads. */
+/* Called once, before the threads are started. Keeps the pointer to the settings. */
 void reconciliation_init(const struct settings *settings);
-/* Applies a heartbeat of an owned machine, or its answer to a command. Returns false if the message is malformed or no
- * newer than the last one applied; nothing has changed then. With store_lock held. */
+/* Applies a heartbeat of an owned machine, or its answer to a command. Returns false, and changes nothing, if the
+ * message is malformed or no newer than the last one applied. Called with store_lock held. */
 bool reconciliation_apply(struct machine *machine, const struct heartbeat *heartbeat, enum worker_channel channel);
 #endif
--- a/src/workers/reconciliation_test.c
+++ b/src/workers/reconciliation_test.c
@@ -17,7 +17,7 @@
 
 static struct settings settings;
 
-/* Each row has the tasks listed by two messages in turn, and whether the second one releases the allocation. */
+/* The rows give the tasks that two successive messages list, and whether the second message releases the allocation. */
 static void releases_only_what_is_proven_absent(void **state) {
     (void)state;
     int64_t fencing_token = membership_shard(0)->fencing_token;
@@ -38,11 +38,11 @@
          CHANNEL_COMMAND, false, false, false, 1},
         {"not listed by a command's answer, no response carried a start", WORKER_LISTED_TASK("running"), "", 1, 3, 0,
          CHANNEL_COMMAND, false, true, true, 0},
-        {"the same, but the outcome of a command is unknown", WORKER_LISTED_TASK("running"), "", 1, 3, 0,
-         CHANNEL_COMMAND, true, true, false, 0},
+        {"not listed by a command's answer, the outcome of another command is unknown", WORKER_LISTED_TASK("running"),
+         "", 1, 3, 0, CHANNEL_COMMAND, true, true, false, 0},
         {"not listed by a command's answer in a later incarnation than the starts", WORKER_LISTED_TASK("running"), "",
          2, 1, 0, CHANNEL_COMMAND, false, false, true, 1},
-        {"not listed, but the outcome of a command is unknown", WORKER_LISTED_TASK("running"), "", 1, 3, 0,
+        {"not listed by a heartbeat, the outcome of a command is unknown", WORKER_LISTED_TASK("running"), "", 1, 3, 0,
          CHANNEL_HEARTBEAT, true, false, false, 0},
         {"never listed: started again, not released", "", "", 1, 3, 0, CHANNEL_HEARTBEAT, false, false, false, 0},
         {"inherited and never listed: released, not started", "", "", 1, 3, 0, CHANNEL_HEARTBEAT, false, true, true, 0},
@@ -80,8 +80,8 @@
     store_unlock();
 }
 
-/* After a takeover, a start of the former owner may still be in flight: nothing is directed or released until the
- * worker shows the new owner's fencing token. */
+/* After a takeover, a start of the former owner may still be in flight. Until the worker shows the new owner's fencing
+ * token, it gets no directives and its allocations are not released. */
 static void takeover_waits_for_its_fencing_token(void **state) {
     (void)state;
     int64_t fencing_token = membership_shard(0)->fencing_token;
@@ -134,7 +134,7 @@
     store_unlock();
 }
 
-/* Copies of heartbeats may arrive seconds to minutes late, before and after a change of owner. */
+/* Copies of heartbeats may arrive seconds or minutes late, before or after a change of owner. */
 static void late_copies_are_ignored(void **state) {
     (void)state;
     int64_t fencing_token = membership_shard(0)->fencing_token;
@@ -174,8 +174,8 @@
     store_unlock();
 }
 
-/* A machine that boots slowly may be first heard by the answer to a command. Its heartbeats are expected only from then
- * on: such machines were returned as soon as they came up, for lack of heartbeats. */
+/* The first message of a machine that boots slowly may be the answer to a command. The timeout for its heartbeats
+ * starts then; without this, such machines were returned as soon as they came up, for lack of heartbeats. */
 static void first_answer_starts_heartbeat_timeout(void **state) {
     (void)state;
     int64_t fencing_token = membership_shard(0)->fencing_token;
@@ -194,7 +194,8 @@
     store_unlock();
 }
 
-/* A machine whose heartbeats arrive but which receives no responses or directives is not silent, but cannot be used. */
+/* A machine whose heartbeats arrive, but which receives no responses or directives, is not silent and still can't be
+ * used. It is detected by this count. */
 static void counts_ignored_responses(void **state) {
     (void)state;
     int64_t fencing_token = membership_shard(0)->fencing_token;
@@ -230,7 +231,8 @@
     store_unlock();
 }
 
-/* A heartbeat that no longer lists a task proves its absence only if no command in flight may start the task. */
+/* A heartbeat that no longer lists a task proves the task's absence only if no command is in flight that may start the
+ * task. */
 static void start_in_flight_keeps_its_allocation(void **state) {
     (void)state;
     int64_t fencing_token = membership_shard(0)->fencing_token;
--- a/src/workers/senders.c
+++ b/src/workers/senders.c
@@ -22,8 +22,8 @@
 #include "unregistered.h"
 
 #define DIRECTIVE_SENDER_THREADS 12
-#define PROBE_SENDER_THREADS 32 /* each hanging address occupies a thread until the timeout, and many hang at once */
-#define START_VALID_S 3.0       /* age up to which a command that starts a task may be sent */
+#define PROBE_SENDER_THREADS 32 /* each hanging machine occupies a thread until the timeout, and many hang at once */
+#define START_VALID_S 3.0       /* maximum age of a command that starts a task when it is sent */
 #define ANSWER_TIMEOUT_MS 1500
 #define LATE_ANSWER_MARGIN_S 0.3 /* a call that exceeds its timeout by more shows that this controller was delayed */
 #define URL_SIZE 160
@@ -33,12 +33,12 @@
     enum http_outcome http; /* HTTP_NOT_SENT also if the command was no longer valid */
     long status;            /* HTTP status; 0: not answered */
     cJSON *answer;          /* NULL: no answer, or not JSON */
-    bool valid;             /* the command was still valid when its turn to be sent came */
+    bool valid;             /* the command was still valid when it was about to be sent */
     bool in_time;           /* the call returned within its timeout and LATE_ANSWER_MARGIN_S */
 };
 
-/* A start is not sent late, after the controller was paused or the command waited in a long queue: by then the start
- * may have been dropped, or its job cancelled. */
+/* A start is not sent late, after the controller was paused or the command waited in a long queue: by then the
+ * allocation may have been released, or the job cancelled. */
 bool senders_command_still_valid(bool has_start, double age_s, bool owned, bool may_start) {
     return !has_start || (age_s < START_VALID_S && owned && may_start);
 }
@@ -48,7 +48,7 @@
 }
 
 static bool still_valid(const struct command *command) {
-    if (!command->has_start) return true; /* most commands are probes, and are sent without taking the lock */
+    if (!command->has_start) return true; /* without taking the lock, since most commands are probes */
     store_lock();
     struct machine *machine = machines_find(command->machine_id);
     bool valid = senders_command_still_valid(true, clock_seconds_since(command->decided_at),
@@ -57,8 +57,8 @@
     return valid;
 }
 
-/* Tells whether the worker has answered with its state. HTTP_CONFLICT means that it has another incarnation or fencing
- * token than the command. */
+/* Returns whether the worker has answered with its state. HTTP_CONFLICT means that it has another incarnation or
+ * fencing token than the command. */
 static bool worker_answered(const struct outcome *outcome) {
     return outcome->http == HTTP_ANSWERED && (outcome->status == HTTP_OK || outcome->status == HTTP_CONFLICT);
 }
@@ -71,8 +71,8 @@
         owned_shard_states[machine->shard].machine_suspected_at = clock_now();
 }
 
-/* Clears the machine's unknown outcome if the command's start has a known one. The outcomes of other commands do not
- * matter: attempts are unique, so a late stop or forget is harmless. */
+/* Marks the outcome of the machine's last start as known if the command is that start and was answered or not sent. The
+ * outcomes of commands without starts do not matter: attempts are unique, so a late stop or forget is harmless. */
 static void resolve_start_outcome(struct machine *machine, const struct command *command,
                                   const struct outcome *outcome) {
     struct machine_commands *commands = &machine->commands;
@@ -85,7 +85,7 @@
     }
 }
 
-/* Updates the machine's state from the outcome of a command. With store_lock held. */
+/* Updates the machine's state from the outcome of a command. Called with store_lock held. */
 static void apply_outcome(const struct command *command, const struct outcome *outcome) {
     struct machine *machine = machines_find(command->machine_id);
     if (!machine || !machine->commands.in_flight) return;
@@ -97,8 +97,9 @@
         struct heartbeat worker_state = codec_read_heartbeat(outcome->answer);
         reconciliation_apply(machine, &worker_state, CHANNEL_COMMAND);
     }
-    /* A command that was no longer valid is decided anew. After an answer to a command without starts, the worker has
-     * the fencing token, and directives that waited for that are sent now rather than at its next heartbeat. */
+    /* If the command was no longer valid, the dispatcher decides again what to send. After an answer to a command
+     * without starts, the worker has the fencing token, and directives that waited for that are sent now rather than at
+     * its next heartbeat. */
     if (!outcome->valid || (worker_answered(outcome) && !command->has_start)) machine->commands.send_pending = true;
 }
 
@@ -109,8 +110,8 @@
     struct timespec sent_at = clock_now();
     outcome.valid = still_valid(command);
     if (outcome.valid) {
-        /* http_call may send a request twice. For a start, the answer to the second copy would not tell the outcome of
-         * the first, which may still be in flight. */
+        /* http_call may send a request twice. For a start, the answer to the second copy would not prove the outcome of
+         * the first copy, which may still be in flight. */
         enum http_outcome (*send_request)(struct http_client *, const char *, const char *, const char *, long, long *,
                                           cJSON **) = command->has_start ? http_call_once : http_call;
         outcome.http =
@@ -133,7 +134,7 @@
     char *body = codec_write_command(command->fencing_token, *incarnation, command->directives);
     enum http_outcome http = http_call(client, "POST", url, body, ANSWER_TIMEOUT_MS, &status, &answer);
     free(body);
-    log_debug("machine %s: asked to stop cancelled tasks, status %ld", command->machine_id, status);
+    log_debug("machine %s: sent stops of cancelled tasks, status %ld", command->machine_id, status);
     struct heartbeat worker_state = codec_read_heartbeat(answer);
     bool other_incarnation = http == HTTP_ANSWERED && status == HTTP_CONFLICT && worker_state.machine_id &&
                              strcmp(worker_state.machine_id, command->machine_id) == 0 &&
--- a/src/workers/senders_test.c
+++ b/src/workers/senders_test.c
@@ -6,7 +6,8 @@
 
 #include "../../tests/standin/test_settings.h"
 
-/* After a pause, a controller does not send the starts that it decided on before. */
+/* A start is sent only soon after it was decided, by the owner, and while starts are allowed. After a pause, a
+ * controller must not send the starts that it decided before. */
 static void old_start_is_not_sent(void **state) {
     (void)state;
     static const struct {
--- a/src/workers/unregistered.c
+++ b/src/workers/unregistered.c
@@ -10,7 +10,7 @@
 #include "codec.h"
 #include "commands.h"
 
-#define ADOPTION_DELAY_S 8.0    /* time for the controller that rented a machine to record it */
+#define ADOPTION_DELAY_S 8.0    /* time that the controller which rented a machine has to record it */
 #define INSPECTION_INTERVAL_S 2 /* shortest time between two inspections of the same machine */
 
 struct inspection {
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -6,11 +6,11 @@
 #include "../http/server.h"
 #include "../settings/settings.h"
 
-/* Must be called once, before the threads are started. The settings must outlive the process's threads. */
+/* Called once, before the threads are started. Keeps the pointer to the settings. */
 void workers_init(const struct settings *settings);
 /* Starts the dispatcher and the senders. */
 void workers_start(void);
-/* Replies to a request to the path for heartbeats. Returns false, without a reply, for any other path. On the server's
- * thread, without store_lock. */
+/* Replies to a request if its path is that of heartbeats; for any other path, returns false without a reply. Called on
+ * a thread of the HTTP server, without store_lock. */
 bool workers_route(struct http_request *request);
 #endif
--- a/tests/standin/shard_owner.c
+++ b/tests/standin/shard_owner.c
@@ -44,7 +44,7 @@
 
 bool shard_owner_start_with_store(struct settings *settings) {
     char *text = test_settings_json();
-    bool started = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->state_address);
+    bool started = settings_parse(text, "f.json", settings, NULL) && standin_store_start(settings->store_address);
     g_free(text);
     if (started) shard_owner_start(settings);
     return started;
