--- a/rehearsal/main.c
+++ b/rehearsal/main.c
@@ -38,8 +38,8 @@
     return lock && flock(fileno(lock), LOCK_EX | LOCK_NB) == 0; /* held until the process ends */
 }
 
-/* Plays a run in a child process, so that the stand-ins start empty, and end with the child however it ends.
- * Returns false if the child ended without a result. */
+/* Plays a run in a child process. The stand-ins are threads of the child: they start empty for each run, and end with
+ * the child, also if the child crashes or is killed. Returns false if the child ended without a result. */
 static bool run_in_child(const struct options *options, const struct scenario *scenario, unsigned seed,
                          struct play_result *out) {
     int pipe_ends[2];
--- a/rehearsal/play.c
+++ b/rehearsal/play.c
@@ -91,7 +91,7 @@
 struct flood {
     struct play *play;
     int controller, team, first, end; /* first, end: indices of the whole flood's first job, and behind its last one */
-    bool accepted;                    /* whether all of them were accepted */
+    bool accepted;                    /* whether all of these jobs were accepted */
 };
 
 static gpointer flood_main(gpointer data) {
@@ -226,7 +226,7 @@
     return started;
 }
 
-/* Checks the history of tasks for each team, and prints what it shows. */
+/* Checks the history of tasks, and prints the figures of each team and the failed checks. */
 static bool check_history(const struct play *play, struct play_result *out) {
     bool passed = history_duplicate_starts(history_log()) == 0;
     if (!passed) print_event(play, "FAIL: a task was on two machines");
--- a/rehearsal/play.h
+++ b/rehearsal/play.h
@@ -7,12 +7,13 @@
 
 struct play_result {
     bool passed;
-    /* Of the first team of the scenario, from the first step until all jobs are done or the time for them is over. */
+    /* Of the first team of the scenario, from the first step until all jobs are done or the time allowed for the jobs
+     * is over. */
     double time_to_limit_s;     /* until the team held its limit; negative: it never did */
     double mean_utilisation;    /* mean share of its limit in use, 0 to 1; 0 without a limit */
     double longest_start_gap_s; /* the longest time without a start of a task while tasks waited */
     /* Of all teams and controllers. */
-    double longest_starvation_s; /* the longest time that a team was below its guarantee while it had work for it */
+    double longest_starvation_s; /* the longest wait of a task that fits into the rest of its team's guarantee */
     double busiest_cpu_time_s;   /* of the controller that used the most */
     int task_starts, store_changes, store_requests; /* since the first step */
 };
--- a/src/allocations/allocations.h
+++ b/src/allocations/allocations.h
@@ -1,5 +1,5 @@
-/* Allocations of tasks to machines: counts them per job and per machine, and requests their stop. records.h creates and
- * frees them when their records are read.
+/* Allocations of tasks to machines: counts allocations per job and per machine, and requests the stop of tasks.
+ * records.h creates and frees allocations when it reads their records.
  *
  * Called by the scheduler, by workers and by the packages that decide on machines, all with store_lock held. */
 #ifndef FF_ALLOCATIONS_H
--- a/src/allocations/allocations_test.c
+++ b/src/allocations/allocations_test.c
@@ -123,7 +123,7 @@
     put("run/req-20001/0", "{\"d\":\"0300\",\"f\":53,\"b\":\"2@i-2+0 4@i-1+7\"}");
     assert_int_equal(job->n_dirty_chunks, 1);
     /* A machine that is no longer on its page has been returned: its allocations are released, including inherited
-     * ones. */
+     * allocations. */
     put("fleet/0/0", NULL);
     assert_int_equal(allocations_count(job), 0);
     assert_null(machines_find("i-1"));
--- a/src/allocations/records.c
+++ b/src/allocations/records.c
@@ -188,7 +188,8 @@
     bool *in_record;             /* whether the record contains an entry of the task */
 };
 
-/* Finds the current allocation of each task in the chunk: of several, one that is not released. */
+/* Finds the current allocation of each task in the chunk. If a task has several allocations, an unreleased allocation
+ * takes precedence. */
 static void chunk_update_init(struct chunk_update *update, struct job *job, int first_task, int size) {
     update->job = job;
     update->range = (struct task_range){first_task, first_task + size};
@@ -207,7 +208,7 @@
     g_free(update->in_record);
 }
 
-/* Creates the allocations that the record contains and that don't exist yet. Returns false at a malformed entry. */
+/* Creates the allocations that the record contains and that do not exist yet. Returns false at a malformed entry. */
 static bool apply_entries(struct chunk_update *update, const struct allocation_record *record) {
     const char *text = record->entries;
     struct allocation_entry entry;
@@ -274,7 +275,7 @@
     struct chunk_update update;
     chunk_update_init(&update, job, first_task, size);
     bool complete = apply_entries(&update, &record) && (!data || cJSON_IsObject(data));
-    /* The entries after a malformed one can't be read, so any allocation may still be recorded and none is freed. */
+    /* The entries after a malformed entry cannot be read. Any allocation may still be recorded, so none is freed. */
     if (complete) {
         free_unrecorded(&update);
     } else {
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -18,6 +18,6 @@
 void api_start(void);
 
 /* Responds to the request or queues it, and takes ownership of it. Returns false and leaves the request alone if the
- * path doesn't belong to the API. Called on the HTTP server's thread, without store_lock. */
+ * path does not belong to the API. Called on the HTTP server's thread, without store_lock. */
 bool api_route(struct http_request *http);
 #endif
--- a/src/api/cancel.h
+++ b/src/api/cancel.h
@@ -14,6 +14,6 @@
  * cancelled. Does nothing if the job is already in a final state. The request may be of any kind; the job is known. */
 void cancel_add_record(const struct api_request *request, struct store_txn *txn, const char *key,
                        const struct job *job);
-/* Responds to a cancellation after its transaction was confirmed. job is NULL or not known if it doesn't exist. */
+/* Responds to a cancellation after its transaction was confirmed. job is NULL or not known if it does not exist. */
 void cancel_respond(const struct api_request *request, struct job *job);
 #endif
--- a/src/api/poll.h
+++ b/src/api/poll.h
@@ -1,5 +1,5 @@
 /* Poll queue: responds to polls from the mirror after the store has confirmed that the mirror is current. It has its
- * own thread, so that a burst of submissions doesn't delay polls. */
+ * own thread, so that a burst of submissions does not delay polls. */
 #ifndef FF_API_POLL_H
 #define FF_API_POLL_H
 #include "../http/server.h"
--- a/src/api/request.h
+++ b/src/api/request.h
@@ -48,6 +48,7 @@
     NEED_CANCELLATION, /* a prerequisite is cancelled, so the job has to be cancelled before the response */
 };
 /* Responds to a poll or a cancellation immediately if the mirror shows a final state, which never changes, or if the
- * store is unreachable. Returns what it still needs. Called on the HTTP server's thread, without store_lock. */
+ * store is unreachable. Returns what the request still needs. Called on the HTTP server's thread, without
+ * store_lock. */
 enum request_need request_try_answer(struct api_request *request);
 #endif
--- a/src/api/request_queue.h
+++ b/src/api/request_queue.h
@@ -19,6 +19,6 @@
 void request_queue_push(struct request_queue *queue, struct api_request *request);
 /* Waits until the queue has a request, then moves its requests to the batch, which gets at most max_requests. */
 void request_queue_take(struct request_queue *queue, GPtrArray *batch, guint max_requests);
-/* Like request_queue_take, but doesn't wait: the batch may stay as it is. */
+/* Like request_queue_take, but does not wait: the batch may stay as it is. */
 void request_queue_take_available(struct request_queue *queue, GPtrArray *batch, guint max_requests);
 #endif
--- a/src/api/responses.h
+++ b/src/api/responses.h
@@ -24,7 +24,7 @@
     REFUSAL_TEAM_UNKNOWN,
     REFUSAL_FITS_NO_MACHINE_TYPE,
     REFUSAL_ABOVE_TEAM_LIMIT,
-    /* A prerequisite is invalid or can't be checked; subject: its job id. */
+    /* A prerequisite is invalid or cannot be checked; subject: its job id. */
     REFUSAL_PREREQUISITE_ITSELF,
     REFUSAL_PREREQUISITE_SERVICE,
     REFUSAL_PREREQUISITE_UNKNOWN,
@@ -67,7 +67,7 @@
 /* The functions below are called with store_lock held. */
 
 /* Responds with the state of a known job. Called only if the store has just confirmed its record or the state is final.
- * Refuses the request if the job has to be cancelled because of a prerequisite and its record doesn't say so yet. */
+ * Refuses the request if the job has to be cancelled because of a prerequisite and its record does not say so yet. */
 void respond_job(struct http_request *http, const struct job *job);
 /* Responds to a submission that has just been accepted. */
 void respond_job_created(struct http_request *http, const struct job *job);
--- a/src/api/responses_test.c
+++ b/src/api/responses_test.c
@@ -17,7 +17,7 @@
     assert_int_equal(refusal_status(refusal.reason), status);
 }
 
-/* The status is 422 if a prerequisite is invalid, and 503 if it can't be read at the moment. */
+/* The status is 422 if a prerequisite is invalid, and 503 if it cannot be read at the moment. */
 static void refused_prerequisite_is_named(void **state) {
     (void)state;
     static const struct {
--- a/src/api/submit.h
+++ b/src/api/submit.h
@@ -18,9 +18,9 @@
 void submit_init(const struct settings *settings);
 /* Responds to a submission or queues it. Called on the HTTP server's thread, without store_lock. */
 void submit_receive(struct http_request *http);
-/* Checks the prerequisites of new jobs in the batch, and marks submissions with invalid ones as refused. Reads
- * prerequisites that aren't in the mirror from the store. Called on the write queue's thread, without store_lock,
- * before the batch is written. */
+/* Checks the prerequisites of new jobs in the batch, and marks a submission as refused if a prerequisite is invalid.
+ * Reads prerequisites that are not in the mirror from the store. Called on the write queue's thread, without
+ * store_lock, before the batch is written. */
 void submit_check_prerequisites(struct http_client *client, const GPtrArray *batch);
 
 /* The functions below are called with store_lock held. */
--- a/src/autoscaler/drain_eviction.h
+++ b/src/autoscaler/drain_eviction.h
@@ -3,8 +3,8 @@
 #define FF_AUTOSCALER_DRAIN_EVICTION_H
 #include "../machines/machines.h"
 
-/* Asks all tasks of the machine to stop if each of them loses almost nothing: tasks of arrays that save checkpoints,
- * and replicas that can start at once on another machine with their image. Otherwise asks none of them, since a machine
- * that keeps one task is not returned. */
+/* Asks all tasks of the machine to stop if each task loses almost nothing: tasks of arrays that save checkpoints, and
+ * replicas that can start at once on another machine with their image. Otherwise asks no task, since a machine that
+ * keeps one task is not returned. */
 void drain_eviction_stop_tasks(struct machine *machine);
 #endif
--- a/src/autoscaler/returns.c
+++ b/src/autoscaler/returns.c
@@ -54,7 +54,7 @@
         if (membership_owns(shard)) add_machines_of_shard(list, shard, has_tasks);
 }
 
-/* Machines with tasks come first: their tasks can't start elsewhere until the cloud has confirmed the return. */
+/* Machines with tasks come first: their tasks cannot start elsewhere until the cloud has confirmed the return. */
 int scale_in_plan_returns(char ids[][MACHINE_ID_SIZE], int max_ids, int *n_busy) {
     struct return_list list = {.ids = ids, .max_ids = max_ids};
     add_machines_of_owned_shards(&list, true);
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -36,12 +36,12 @@
 };
 
 /* Occupancy of a shard's machines of one kind, spot or on-demand. The kinds are kept apart because headroom on spot
- * machines is of no use to jobs that do not allow them. */
+ * machines is of no use to jobs that do not allow spot machines. */
 struct occupancy_summary {
     GArray *candidates;        /* struct drain_candidate */
     double occupied;           /* sum of occupancies */
     int n_machines;            /* machines that are up and not draining */
-    int n_without_full_window; /* those of n_machines that lack a full window of samples */
+    int n_without_full_window; /* counted in n_machines, but without a full window of samples */
     int n_draining;
 };
 
@@ -91,8 +91,8 @@
 }
 
 /* Returns whether drains may start in the shard: all tasks found a place, and at most one machine in MACHINES_PER_DRAIN
- * lacks a full window of samples. In a large fleet some machines have always just booted; while they are few, they
- * don't keep other machines from draining. */
+ * lacks a full window of samples. In a large fleet, some machines have booted recently at any time; while such machines
+ * are few, they do not keep other machines from draining. */
 static bool may_drain(int shard, const struct occupancy_summary *summary) {
     return summary->n_without_full_window * MACHINES_PER_DRAIN <= summary->n_machines &&
            !owned_shard_states[shard].has_unplaced_tasks;
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -15,7 +15,7 @@
 int scale_in_drains_to_start(int n_machines, double headroom, double margin, double admission_threshold,
                              int n_draining);
 /* Fills ids with at most max_ids machines whose return is recorded or that have no record, and sets *n_busy to the
- * number of them that hold tasks. Returns the number of ids. Runs on the cloud's thread. */
+ * number of these machines that hold tasks. Returns the number of ids. Runs on the cloud's thread. */
 int scale_in_plan_returns(char ids[][MACHINE_ID_SIZE], int max_ids, int *n_busy);
 /* Logs the periodic status line of a shard: pending tasks, machines, GPUs, occupancy and headroom. */
 void scale_in_log_status(int shard);
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -19,7 +19,7 @@
 #define OWNED_MIN_S 4        /* a newer owner may not have read yet which machines are on their way */
 #define FINISH_DEFAULT_S 120 /* time to finish a job if its class has no objective */
 #define RUNTIME_MIN_S 1.0    /* a task with a shorter run time counts as this in the backlog */
-#define RECENT_GANG_S 100    /* a shard runs gangs if one of them became ready within this time */
+#define RECENT_GANG_S 100    /* a shard runs gangs if a gang became ready within this time */
 #define SPARE_WEIGHT 1
 
 enum {
@@ -36,8 +36,8 @@
     shard_plan_init(loaded_settings);
 }
 
-/* State of planning the rentals for a job. first_machine is kept between tasks: at 4,000 machines, examining all of
- * them for each task took most of a controller's processor time. */
+/* State of planning the rentals for a job. first_machine is kept between tasks: at 4,000 machines, examining all
+ * machines for each task took most of a controller's processor time. */
 struct job_rental {
     struct job *job;
     bool within_guarantee;
@@ -79,7 +79,7 @@
     return false;
 }
 
-/* Returns the zone for the next task of a spread job: one that has no task of the job yet. NULL: any zone. */
+/* Returns the zone for the next task of a spread job: a zone that has no task of the job yet. NULL: any zone. */
 static const char *spread_zone(const struct job *job) {
     if (!job->spec.spread || job->allocations->len == 0) return NULL;
     for (int i = 0; i < settings->n_zones; i++)
@@ -207,7 +207,7 @@
     return n;
 }
 
-/* Requests spare machines for gangs. Headroom is a sum over machines: when it is scattered over many of them, gangs
+/* Requests spare machines for gangs. Headroom is a sum over machines: when it is scattered over many machines, gangs
  * find no room although no machine is rented for headroom. A shard that runs gangs therefore keeps one empty machine,
  * existing or booting, for each MACHINES_PER_SPARE machines, besides the machines for waiting tasks. */
 static void rent_spares(struct shard_plan *plan, const GArray *jobs) {
--- a/src/autoscaler/scale_out.h
+++ b/src/autoscaler/scale_out.h
@@ -6,7 +6,7 @@
 
 /* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void scale_out_init(const struct settings *settings);
-/* Fills requests with at most max_requests rental requests of all shards that this controller owns, those with the
- * highest weight first. Returns their number. Runs on the cloud's thread, with store_lock held. */
+/* Fills requests with at most max_requests rental requests of all shards that this controller owns, in descending order
+ * of weight. Returns their number. Runs on the cloud's thread, with store_lock held. */
 int scale_out_plan(struct rental_request *requests, int max_requests);
 #endif
--- a/src/autoscaler/shard_plan.c
+++ b/src/autoscaler/shard_plan.c
@@ -21,7 +21,7 @@
 void shard_plan_init(const struct settings *loaded_settings) { settings = loaded_settings; }
 
 /* Returns the number of the machine's GPUs that process the backlog of jobs that allow spot machines: all GPUs of a
- * spot machine, but only those that such jobs use on an on-demand machine. */
+ * spot machine; on an on-demand machine, only the GPUs that these jobs use. */
 static double backlog_gpus(const struct machine *machine) {
     if (machine->spot) {
         const struct machine_type *type = machine_types_find(machine->type_name);
--- a/src/autoscaler/shard_plan.h
+++ b/src/autoscaler/shard_plan.h
@@ -12,7 +12,7 @@
     int shard;
     GArray *machines;            /* struct planned_machine: empty, on their way, in other shards, or requested */
     guint first_requested;       /* index in machines of the first machine that this plan requests */
-    int n_present;               /* machines that exist or are on their way, less those that are leaving */
+    int n_present;               /* machines that exist or are on their way, except leaving machines */
     int n_requested;             /* machines requested for jobs */
     int n_on_demand_serving;     /* on-demand machines that are up, not draining and without a preemption notice */
     int n_up, n_overdue_booting; /* machines that are up; booting machines past their expected startup time */
--- a/src/cloud/capacity.h
+++ b/src/cloud/capacity.h
@@ -1,5 +1,5 @@
-/* Remembers which kinds of machines (type, zone, spot or on-demand) the cloud has just refused to rent. The functions
- * are called with store_lock held, except capacity_init. */
+/* Remembers which kinds of machines (type, zone, spot or on-demand) the cloud has refused to rent, and when they may be
+ * requested again. The functions are called with store_lock held, except capacity_init. */
 #ifndef FF_CLOUD_CAPACITY_H
 #define FF_CLOUD_CAPACITY_H
 #include "../model/machine.h"
--- a/src/cloud/client.c
+++ b/src/cloud/client.c
@@ -72,7 +72,7 @@
 
 /* Pauses calls after an error. The cloud does not count a call that it refused for exceeding the rate, so the call is
  * released. The pause after such a refusal is random: otherwise, controllers that start together keep calling at the
- * same moments, and one of them may be refused for 40 s. */
+ * same moments, and a controller may be refused for 40 s. */
 static void pause_after_error(const struct cloud_answer *answer) {
     if (cloud_answer_has_status(answer, HTTP_TOO_MANY_REQUESTS)) {
         pause_calls(g_random_double_range(OVER_RATE_PAUSE_MIN_S, OVER_RATE_PAUSE_MAX_S));
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -20,7 +20,7 @@
 #define RETURNS_PER_CALL_MAX 100
 #define URGENT_RETURNS_MIN 20    /* this many returns take precedence over rentals */
 #define RETURNS_WAIT_MAX_S 12    /* after this time without a return, any return takes precedence over rentals */
-#define RENTAL_REQUESTS_MAX 128  /* planned in one step; if a controller needs more, later steps plan them */
+#define RENTAL_REQUESTS_MAX 128  /* planned in one step; if a controller needs more, later steps plan the rest */
 #define CATALOGUE_INTERVAL_S 120 /* between the leader's reads of the catalogue */
 #define CATALOGUE_WAIT_S 6       /* without a catalogue, any controller reads it after this time */
 #define LIST_INTERVAL_MIN_S 2.5
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -16,7 +16,7 @@
 /* Functions of a higher layer that decide which machines to rent and to return. They are called with store_lock held,
  * on the cloud's thread. */
 struct cloud_planner {
-    /* Writes up to max_requests requests, those needed most first. Returns their number. */
+    /* Writes up to max_requests requests, the most needed first. Returns their number. */
     int (*plan_rentals)(struct rental_request *requests, int max_requests);
     /* Writes up to max_ids ids of machines to return, and to *n_busy how many of these hold tasks. Returns the number
      * of ids. */
@@ -25,7 +25,7 @@
 /* Called before cloud_start. */
 void cloud_set_planner(struct cloud_planner planner);
 
-/* Tells whether machines of this kind may be requested: false for some time after the cloud has refused them. Called
- * with store_lock held. */
+/* Tells whether machines of this kind may be requested: false for some time after the cloud has refused machines of
+ * this kind. Called with store_lock held. */
 bool cloud_may_rent(const char *type_name, const char *zone, bool spot);
 #endif
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -42,7 +42,7 @@
     PREREQUISITE_ITSELF,            /* the submission names its own job as a prerequisite */
     PREREQUISITE_SERVICE,           /* the prerequisite is a service, which is never done */
     PREREQUISITE_UNKNOWN,           /* no job with this id was accepted */
-    PREREQUISITE_UNREADABLE,        /* the record of the prerequisite can't be read */
+    PREREQUISITE_UNREADABLE,        /* the record of the prerequisite cannot be read */
     PREREQUISITE_STORE_UNAVAILABLE, /* the store did not answer, so the result is unknown */
 };
 
--- a/src/dependencies/dependencies_test.c
+++ b/src/dependencies/dependencies_test.c
@@ -28,8 +28,8 @@
 #define SUBMITTED_S 1000 /* time of day of the submission, in all records */
 
 /* Applies the record of a job to the mirror. due_s: the job's deadline, in seconds after the submission; prerequisites:
- * a JSON list; end_s: time of day when a done job ended, or 0 for a record without an end time, as the first version
- * wrote them. */
+ * a JSON list; end_s: time of day when a done job ended, or 0 for a record without an end time; the first version wrote
+ * such records. */
 static void put(const char *job_id, const char *team, const char *priority, double due_s, const char *prerequisites,
                 const char *state, double end_s) {
     char *ended = end_s > 0 ? g_strdup_printf(",\"end\":%f", end_s) : g_strdup("");
@@ -129,7 +129,7 @@
     g_string_free(prerequisites, TRUE);
 }
 
-/* A job inherits priority and deadline from all unfinished jobs that depend on it, including those of other teams. The
+/* A job inherits priority and deadline from all unfinished jobs that depend on it, including jobs of other teams. The
  * records of each row are read in both orders. */
 static void priority_and_deadline_come_from_unfinished_dependents(void **state) {
     (void)state;
--- a/src/dependencies/submission_check.c
+++ b/src/dependencies/submission_check.c
@@ -1,4 +1,5 @@
-/* Checks the prerequisites of a submission in the mirror. Those that are not in the mirror are read from the store. */
+/* Checks the prerequisites of a submission in the mirror. A prerequisite that is not in the mirror is read from the
+ * store. */
 #include <stdbool.h>
 #include <string.h>
 
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -69,7 +69,7 @@
     CURLcode result = curl_easy_perform(client->curl);
     if (result != CURLE_OK) {
         /* The number of bytes sent shows whether the server may have received the request; an abandoned connection
-         * attempt sends none later. libcurl's timings can't be used: with a coarse clock they may be 0 on a reused
+         * attempt sends none later. libcurl's timings cannot be used: with a coarse clock they may be 0 on a reused
          * connection. A request that is wrongly reported as not sent may start a task twice. */
         long bytes_sent = 0;
         curl_easy_getinfo(client->curl, CURLINFO_REQUEST_SIZE, &bytes_sent);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -19,7 +19,7 @@
 void http_client_free(struct http_client *client);
 
 /* Sends a request and waits at most timeout_ms for the response. A NULL body sends no body. On HTTP_ANSWERED, *status
- * is the HTTP status and *response is the parsed body, which the caller frees, or NULL if the body isn't JSON.
+ * is the HTTP status and *response is the parsed body, which the caller frees, or NULL if the body is not JSON.
  * Otherwise *status is 0 and *response is NULL. response may be NULL. */
 enum http_outcome http_call(struct http_client *client, const char *method, const char *url, const char *body,
                             long timeout_ms, long *status, cJSON **response);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -14,7 +14,7 @@
 typedef void (*http_handler)(struct http_request *request, void *context);
 
 /* Starts a server that listens on address, "HOST:PORT" with an IPv4 host, until the process ends. It has at most
- * max_connections connections at a time. Returns NULL if it can't listen on the address. */
+ * max_connections connections at a time. Returns NULL if it cannot listen on the address. */
 struct http_server *http_server_start(const char *address, unsigned max_connections, http_handler handler,
                                       void *context);
 
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -31,8 +31,8 @@
 
 int chunks_count(const struct job *job) { return chunks_count_of_size(job, chunks_size(job)); }
 
-/* Allocates the flags on first use, because this controller never uses those of most jobs. Returns false if the job's
- * record has not been read. */
+/* Allocates the flags on first use, because this controller never uses the flags of most jobs. Returns false if the
+ * job's record has not been read. */
 static bool ensure_flags(struct job *job) {
     if (!job->chunk_flags && job->spec.tasks > 0) job->chunk_flags = g_malloc0((gsize)chunks_count(job));
     return job->chunk_flags != NULL;
--- a/src/jobs/job_lists.h
+++ b/src/jobs/job_lists.h
@@ -15,7 +15,8 @@
 
 /* The functions below are called with store_lock held. */
 
-/* Return the unfinished jobs (struct job), the oldest first: those that are recorded and in no final state. */
+/* Return the unfinished jobs (struct job), the oldest first. A job is unfinished if it is recorded and in no final
+ * state. */
 GPtrArray *jobs_active(void);
 GPtrArray *jobs_active_in_shard(int shard);
 /* Returns the jobs of a shard that are in a final state and still have records of allocations. */
--- a/src/jobs/job_record.c
+++ b/src/jobs/job_record.c
@@ -9,7 +9,7 @@
 #include "job_spec.h"
 
 /* Fields of a record. A submission with prerequisites has a field of its own: the first version of the program, which
- * doesn't support prerequisites, finds no submission and ignores the job instead of starting it too early. */
+ * does not support prerequisites, finds no submission and ignores the job instead of starting it too early. */
 #define FIELD_SUBMISSION "spec"
 #define FIELD_SUBMISSION_WITH_PREREQUISITES "chained_spec"
 #define FIELD_STATE "state"
@@ -67,7 +67,7 @@
                           submission);
     cJSON_AddStringToObject(value, FIELD_STATE, state_names[state]);
     cJSON_AddNumberToObject(value, FIELD_SUBMITTED_AT, submitted_at);
-    /* Older versions don't know the shard field, so it is written only for a job outside its team's home shard. */
+    /* Older versions do not know the shard field, so it is written only for a job outside its team's home shard. */
     if (team >= 0 && shard >= 0 && shard != settings_home_shard(settings, team))
         cJSON_AddNumberToObject(value, FIELD_SHARD, shard);
     return value;
--- a/src/jobs/job_record.h
+++ b/src/jobs/job_record.h
@@ -8,7 +8,7 @@
 #include "../settings/settings.h"
 
 /* Called by jobs_init. Keeps the pointer to the settings. The functions below may then be called from any thread, with
- * or without store_lock, except those with a struct job. */
+ * or without store_lock, except the functions with a struct job as parameter. */
 void job_record_init(const struct settings *settings);
 
 /* The fields of a record that change. */
--- a/src/jobs/job_spec.c
+++ b/src/jobs/job_spec.c
@@ -74,7 +74,7 @@
     return true;
 }
 
-/* Returns the index of the text among n names, or -1 if the text is NULL or not among them. */
+/* Returns the index of the text among n names, or -1 if the text is NULL or is none of the names. */
 static int find_name(const char *text, const char *const *names, int n) {
     for (int i = 0; text && i < n; i++)
         if (strcmp(text, names[i]) == 0) return i;
--- a/src/jobs/job_spec.h
+++ b/src/jobs/job_spec.h
@@ -30,6 +30,6 @@
 int job_spec_read_team(const cJSON *submission, const struct settings *settings); /* -1: unknown */
 bool job_spec_names_prerequisites(const cJSON *submission);
 
-/* Removes all fields from the submission except those that job_spec_read requires. */
+/* Removes all fields from the submission except the fields that job_spec_read requires. */
 void job_spec_keep_required(cJSON *submission);
 #endif
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -18,7 +18,7 @@
 #define ZONE_PROBES_PER_S 4.0     /* to all machines of an unreachable zone together */
 #define PROBE_AFTER_INTERVALS 1.1 /* heartbeat intervals of silence after which a machine is probed */
 #define CHECKPOINT_STOP_LEAD_S 6  /* for the stop to reach the worker before it saves the checkpoint */
-#define HEARD_ZONE_MACHINES_MIN 4 /* in a zone with fewer machines up, hearing most of them proves nothing */
+#define HEARD_ZONE_MACHINES_MIN 4 /* in a zone with fewer machines up, hearing most machines proves nothing */
 #define HEARD_ZONE_PERCENT_MIN 80 /* percentage of these machines that has to be heard recently */
 
 const struct settings *liveness_settings;
@@ -28,9 +28,9 @@
     zones_reset();
 }
 
-/* Returns whether this controller hears enough machines to treat the silent ones as unreachable. If most machines are
- * silent, the controller itself is probably isolated, unless it still hears most machines of one zone: then the other
- * zones are unreachable. */
+/* Returns whether this controller hears enough machines to treat the silent machines as unreachable. If most machines
+ * are silent, the controller itself is probably isolated, unless it still hears most machines of one zone: then the
+ * other zones are unreachable. */
 static bool controller_hears_workers(const struct liveness_summary *summary, const struct zone_contact *contacts) {
     if (summary->heard * 2 >= summary->up - 1) return true;
     for (int i = 0; i < liveness_settings->n_zones; i++) {
@@ -49,15 +49,15 @@
     return fmax(PROBE_INTERVAL_S, check->contacts[zone].up / ZONE_PROBES_PER_S);
 }
 
-/* Returns the silence after which a machine of the shard is probed. It is shorter just after a machine did not answer a
- * probe, because the same failure may have hit a hundred machines at once. */
+/* Returns the silence after which a machine of the shard is probed. It is shorter for SUSPICION_WINDOW_S after a
+ * machine did not answer a probe, because the same failure may have hit a hundred machines at once. */
 static double probe_after_s(int shard) {
     if (clock_seconds_since(owned_shard_states[shard].machine_suspected_at) < SUSPICION_WINDOW_S)
         return SUSPICION_WINDOW_S / 2;
     return clock_to_seconds(liveness_settings->heartbeat_interval) * PROBE_AFTER_INTERVALS;
 }
 
-/* Probes a silent machine directly, since its heartbeat may just be delayed on its way through other controllers. */
+/* Probes a silent machine directly, since its heartbeat may be delayed on its way through other controllers. */
 static void probe_if_silent(struct machine *machine, const struct shard_check *check) {
     if (!machine->liveness.up || clock_seconds_since(machine->liveness.last_heard) <= probe_after_s(check->shard) ||
         clock_seconds_since(machine->commands.last_probe) <= probe_interval_s(machine, check))
@@ -116,8 +116,8 @@
         request_stop_with_checkpoint(allocation->job->allocations->pdata[i]);
 }
 
-/* After a preemption notice, lets tasks with checkpoints run as long as there is still time to save one, then stops
- * them. Requests the return of the machine once it is empty. */
+/* After a preemption notice, lets tasks that save checkpoints run while there is still time to save a checkpoint, then
+ * stops these tasks. Requests the return of the machine once it is empty. */
 static void handle_preemption_notice(struct machine *machine) {
     if (machine->liveness.preemption_notice_s < 0) return;
     double remaining_s =
--- a/src/liveness/liveness.h
+++ b/src/liveness/liveness.h
@@ -11,8 +11,8 @@
 /* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void liveness_init(const struct settings *settings);
 
-/* Probes up to three workers, chosen at random. Returns true if one of them answers or none of them has an address.
- * Called without store_lock, on membership's thread; each worker that does not answer takes up to half a second. */
+/* Probes up to three workers, chosen at random. Returns true if a worker answers or no worker has an address. Called
+ * without store_lock, on membership's thread; each worker that does not answer takes up to half a second. */
 bool liveness_probe_workers(struct http_client *client);
 
 /* Counts over the machines that are up and not being returned, of all shards that this controller owns. */
@@ -23,9 +23,9 @@
     double shortest_silence_s; /* time since any of the machines was heard; HUGE_VAL if none is up */
 };
 
-/* Returns whether this controller is isolated from its workers: so many machines are up that a silence of all of them
- * for shortest_silence_s can't be explained by failed machines. Every machine sends a heartbeat each
- * heartbeat_interval_s. Pure. */
+/* Returns whether this controller is isolated from its workers: so many machines are up that failed machines cannot
+ * explain a silence of all machines for shortest_silence_s. Every machine sends a heartbeat each heartbeat_interval_s.
+ * Pure. */
 bool liveness_controller_isolated(int n_up, double shortest_silence_s, double heartbeat_interval_s);
 
 /* The functions below are called with store_lock held. */
--- a/src/liveness/liveness_test.c
+++ b/src/liveness/liveness_test.c
@@ -8,7 +8,7 @@
 #include "liveness/return_checks.h"
 #include "liveness/zones.h"
 
-/* The more machines a zone has, the shorter the silence of all of them after which the zone counts as unreachable. */
+/* The more machines a zone has, the sooner a silence of all its machines makes the zone count as unreachable. */
 static void zone_silence_gets_shorter_with_more_machines(void **state) {
     (void)state;
     static const struct {
--- a/src/liveness/process_pause.h
+++ b/src/liveness/process_pause.h
@@ -2,8 +2,8 @@
  *
  * Messages that arrived during the pause have not been read yet, so the silence of a worker during that time does not
  * show that it is unreachable. The measurement of silence restarts at the end of the pause. Decisions made before the
- * pause don't rely on this: the age of commands and responses is checked when they are sent, and that of store reads
- * when they are used. */
+ * pause do not rely on this: the age of commands and responses is checked when they are sent, and the age of store
+ * reads when they are used. */
 #ifndef FF_PROCESS_PAUSE_H
 #define FF_PROCESS_PAUSE_H
 
--- a/src/liveness/return_checks.c
+++ b/src/liveness/return_checks.c
@@ -33,7 +33,8 @@
     }
 }
 
-/* Returns whether the machine may run tasks: it has listed them, or an earlier owner of the shard allocated them. */
+/* Returns whether the machine may run tasks: it has listed a task, or an earlier owner of the shard allocated a task to
+ * it. */
 static bool runs_tasks(const struct machine *machine) {
     for (guint i = 0; i < machine->allocations->len; i++) {
         const struct allocation *allocation = machine->allocations->pdata[i];
--- a/src/liveness/return_checks.h
+++ b/src/liveness/return_checks.h
@@ -14,7 +14,7 @@
     bool workers_heard;                  /* false: this controller may be isolated from the workers */
 };
 
-/* Returns whether heartbeats of the machine arrive but responses don't reach it: its lease expires although it is not
+/* Returns whether heartbeats of the machine arrive but responses do not reach it: its lease expires although it is not
  * silent.
  */
 bool return_checks_responses_lost(const struct machine *machine);
@@ -32,6 +32,6 @@
  * heartbeat_s is the time since its last heartbeat, cancel_s the time in which a cancelled task has to end. Pure. */
 bool return_checks_stop_overdue(double cancelled_s, double heartbeat_s, double lease_s, double cancel_s);
 /* Counts the replicas on the machine in replicas_at_risk of their jobs: they may have to start elsewhere soon, and
- * machines for them can be booted in the meantime. */
+ * machines for the replicas can be booted in the meantime. */
 void return_checks_note_replicas_at_risk(const struct machine *machine);
 #endif
--- a/src/liveness/silence.c
+++ b/src/liveness/silence.c
@@ -20,8 +20,8 @@
 }
 
 /* This time is shorter than every silence that has a consequence. When it was equal to the silence limit, a controller
- * that lost contact with all workers at once found the first ones silent while the others still counted as recently
- * heard, and returned healthy machines one after the other. */
+ * that lost contact with all workers at once found the first workers silent while the other workers still counted as
+ * recently heard, and returned healthy machines one after the other. */
 double silence_heard_recently_s(void) {
     return fmin(silence_heartbeat_due_s() + RECENT_MARGIN_S, silence_limit_s() * RECENT_LIMIT_FRACTION);
 }
--- a/src/liveness/zones.c
+++ b/src/liveness/zones.c
@@ -15,7 +15,7 @@
 #include "silence.h"
 
 #define NEVER_S 1e9               /* longer than any silence */
-#define ZONE_MACHINES_MIN 4       /* with fewer machines, an unreachable zone can't be told from failed machines */
+#define ZONE_MACHINES_MIN 4       /* with fewer machines, an unreachable zone cannot be told from failed machines */
 #define ZONE_MISSED_HEARTBEATS 5  /* heartbeats due from all machines of the zone together, none of which arrived */
 #define ZONE_SILENCE_MIN_S 1.5    /* silence limit of a zone with very many machines */
 #define ZONE_SILENCE_MARGIN_S 1   /* added to the time by which each machine's heartbeat is due */
--- a/src/machines/machines.h
+++ b/src/machines/machines.h
@@ -1,5 +1,5 @@
 /* The registry of machines, by id and by shard: all machines that a record or an allocation names, with the state that
- * the owner of their shard keeps about them.
+ * the owner of a machine's shard keeps about the machine.
  *
  * records.h applies the store's records to the registry. page_assignment.h chooses the page of its shard on which a
  * machine is recorded. */
@@ -38,7 +38,8 @@
 /* Frees the machine if neither a record nor an allocation names it. */
 void machines_free_unreferenced(struct machine *machine);
 
-/* Return lists of struct machine, which belong to the registry: all machines including stubs, or those of a shard. */
+/* Return lists of struct machine, which belong to the registry: all machines including stubs, or the machines of a
+ * shard. */
 GPtrArray *machines_all(void);
 GPtrArray *machines_of_shard(int shard);
 /* Returns the shard for a machine that no record names: the shard of the jobs allocated on it, or otherwise a shard
@@ -59,7 +60,8 @@
  * that the tasks are gone. */
 bool machines_is_unrecorded(const struct machine *machine);
 
-/* Unregistered machines: this controller rented or adopted them, and the next scheduling round records them. */
+/* Unregistered machines: machines that this controller rented or adopted, and that the next scheduling round
+ * records. */
 
 /* Returns the table id -> struct unregistered_machine, which belongs to the registry. */
 GHashTable *machines_unregistered(void);
--- a/src/machines/occupancy.c
+++ b/src/machines/occupancy.c
@@ -10,7 +10,7 @@
         const struct allocation *allocation = machine->allocations->pdata[i];
         const struct job_spec *spec = &allocation->job->spec;
         /* Tasks that allow spot machines only use idle capacity of on-demand machines, where they may be preempted. If
-         * they counted, on-demand machines would be rented and kept for them. */
+         * these tasks counted, on-demand machines would be rented and kept for these tasks. */
         if (allocation->released || (!machine->spot && spec->allows_spot)) continue;
         vcpus += spec->vcpus;
         gpus += spec->gpus;
--- a/src/machines/page_assignment.c
+++ b/src/machines/page_assignment.c
@@ -10,7 +10,7 @@
 #define PAGE_OVERHEAD_BYTES 600
 #define ENTRY_OVERHEAD_BYTES 72
 #define ADDRESS_BYTES 22 /* assumed for each address */
-/* The same bounds without images, which are left out of a page that would exceed the next limit with them. */
+/* The same bounds without images, which are left out of a page if it would otherwise exceed the next limit. */
 #define NEXT_PAGE_OVERHEAD_BYTES 104
 #define NEXT_ENTRY_OVERHEAD_BYTES 40
 #define NAME_OVERHEAD_BYTES 3 /* quotation marks and comma of a name in a list */
--- a/src/machines/records.c
+++ b/src/machines/records.c
@@ -30,8 +30,8 @@
     machine_page_read_images(page, record, machine->images);
 }
 
-/* Tells whether a record with a later mod revision places the machine elsewhere. Two pages may list the same machine:
- * one of the controller that rented it, and one of a controller that adopted it meanwhile. The later record takes
+/* Tells whether a record with a later mod revision places the machine elsewhere. Two pages may list the same machine: a
+ * page of the controller that rented it, and a page of a controller that adopted it meanwhile. The later record takes
  * precedence, whatever the order in which they are read. Otherwise a controller that reads both again may assign the
  * machine to the other shard and leave it out of its own page, and other controllers then release the tasks that run on
  * the machine. */
--- a/src/main.c
+++ b/src/main.c
@@ -42,7 +42,7 @@
     return g_option_context_parse(context, argc, argv, error);
 }
 
-/* Runs until the process is killed. Returns an exit status only if it can't listen. */
+/* Runs until the process is killed. Returns an exit status only if it cannot listen. */
 static int run(const struct settings *settings) {
     logging_init(getenv("LOG_LEVEL"));
     log_info("fieldfield " VERSION " on %s", settings->node);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -82,8 +82,8 @@
 
 /* Returns the JSON of a shard's record; the caller owns it. */
 cJSON *membership_shard_value(const char *owner, const char *incarnation, int64_t fencing_token);
-/* Returns how many seconds a controller waits before it probes the workers, after it has lost them this many times in a
- * row. Pure. */
+/* Returns how many seconds a controller waits before it probes the workers, after it has lost the workers this many
+ * times in a row. Pure. */
 double membership_worker_probe_delay_s(int consecutive_losses);
 /* Returns the fraction (0 to 1) of the store's write rate that a controller may use if it owns n_owned of n_shards
  * shards and n_live controllers are live. Pure. */
--- a/src/membership/membership_test.c
+++ b/src/membership/membership_test.c
@@ -16,7 +16,7 @@
     } cases[] = {
         {3, {0, 1, 2}, 3, -1, 0},         /* balanced: nothing moves */
         {3, {0, 0, 0}, 2, 0, 1},          /* a new node gets one shard */
-        {3, {0, 0, 1}, 2, -1, 0},         /* a difference of one stays, so that shards don't move back and forth */
+        {3, {0, 0, 1}, 2, -1, 0},         /* a difference of one stays, so that shards do not move back and forth */
         {3, {0, -1, 0}, 2, 1, 1},         /* an orphan goes first, to the node with the fewest shards */
         {3, {-1, -1, -1}, 1, 0, 0},       /* the only node takes all shards, one at a time */
         {3, {0, 0, 0}, 0, -1, 0},         /* there is no live node */
--- a/src/membership/reachability.c
+++ b/src/membership/reachability.c
@@ -30,8 +30,8 @@
 void membership_set_workers_unreachable(bool unreachable) {
     if (unreachable == workers.unreachable) return;
     workers.unreachable = unreachable;
-    /* If this controller can reach the workers but their heartbeats can't reach it, every probe succeeds, the shards
-     * move back, and the workers are soon lost again. The growing delay makes these moves rare. */
+    /* If this controller can reach the workers but the workers' heartbeats cannot reach it, every probe succeeds, the
+     * shards move back, and the workers are soon lost again. The growing delay makes these moves rare. */
     if (unreachable) {
         bool lost_again_soon = clock_seconds_since(workers.changed_at) < 2 * probe_delay_max_s;
         workers.consecutive_losses = lost_again_soon ? workers.consecutive_losses + 1 : 1;
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -24,7 +24,7 @@
  * start. Keeps the pointer to the settings. */
 void records_init(const struct settings *settings);
 
-/* The nodes are in the order in which their records were first read. Pointers to them stay valid. */
+/* The nodes are in the order in which their records were first read. Pointers to the nodes stay valid. */
 int records_node_count(void);
 const struct membership_node *records_node(int index);
 /* Returns NULL if no node of that name has ever had a record, or if the name is empty. */
--- a/src/membership/shard_assignment.h
+++ b/src/membership/shard_assignment.h
@@ -15,6 +15,6 @@
 
 /* Assigns a shard of an earlier incarnation of this controller to the current one, without waiting for the leader. */
 bool shard_assignment_reclaim(struct store_txn *txn);
-/* Assigns one shard; a shard goes first if its owner has failed or can't reach the workers. Called by the leader. */
+/* Assigns one shard; a shard goes first if its owner has failed or cannot reach the workers. Called by the leader. */
 bool shard_assignment_assign(struct store_txn *txn);
 #endif
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -13,7 +13,7 @@
 
 /* A job array has independent tasks, a gang starts and completes as one, a service runs until it is cancelled. */
 enum job_kind { JOB_ARRAY, JOB_GANG, JOB_SERVICE };
-/* In ascending order. Jobs of a higher priority may preempt those of a lower one. */
+/* In ascending order. Jobs of a higher priority may preempt jobs of a lower priority. */
 enum job_priority { PRIORITY_IDLE, PRIORITY_NORMAL, PRIORITY_HIGH, PRIORITY_PRODUCTION };
 /* The state in a job's record. A running job is recorded as queued. */
 enum job_state { JOB_QUEUED, JOB_DONE, JOB_CANCELLED };
@@ -24,7 +24,7 @@
     CHUNK_DIRTY = 2     /* this controller's data about the chunk differs from the record */
 };
 
-/* A job as its user submitted it. Resources are those of one task. */
+/* A job as its user submitted it. Resources are per task. */
 struct job_spec {
     char job_id[JOB_ID_SIZE];
     char *job_class, *image;
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -40,8 +40,8 @@
     struct timespec notice_received_at;
 };
 
-/* Commands to the machine, besides the responses to its heartbeats. Sent by workers; other packages set send_pending
- * and needs_token_probe to request them. */
+/* Commands to the machine, besides the responses to its heartbeats. Workers send the commands; other packages set
+ * send_pending and needs_token_probe to request commands. */
 struct machine_commands {
     bool send_pending;      /* directives may have to be sent */
     bool needs_token_probe; /* a probe must be sent, which shows the agent its fencing token and asks for its tasks */
@@ -61,7 +61,7 @@
 /* Ring buffer of the latest samples. Each component is the allocated fraction of the machine, from 0 to 1. */
 struct machine_occupancy {
     double samples[MACHINE_OCCUPANCY_SAMPLES][OCCUPANCY_COMPONENTS];
-    int n_samples; /* number of samples ever added; the latest ones overwrite the oldest */
+    int n_samples; /* number of samples ever added; the latest samples overwrite the oldest */
 };
 
 /* Progress of the machine's return to the cloud. The autoscaler, liveness and the cloud package request the return, and
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -11,12 +11,12 @@
 
 /* Called once, before any other function of the package. Keeps the pointer to the settings. */
 void peers_init(const struct settings *settings);
-/* Listens for requests of the peers. Returns false if it can't listen on the address. */
+/* Listens for requests of the peers. Returns false if it cannot listen on the address. */
 bool peers_listen(void);
 /* Starts the threads that send requests to the peers. Called after peers_listen. */
 void peers_start(void);
 /* Sends a hint to all peers, so that they read the store immediately. Called after this controller has written to the
- * store. Doesn't block, because the threads of the peers send the hint. */
+ * store. Does not block, because the threads of the peers send the hint. */
 void peers_notify_store_change(void);
 /* Returns whether any peer reported within the last 3 s that it had recently read the store. */
 bool peers_any_reads_store(void);
--- a/src/placement/bin_packing.c
+++ b/src/placement/bin_packing.c
@@ -14,12 +14,13 @@
 #define SCORE_OTHERS_BUSY 0.2 /* any other machine above the admission threshold */
 #define BUSY_OCCUPANCY_DIVISOR 4.0
 
-/* Adjustments of the base score. If no failure count is above 1, each adjustment outweighs the sum of those before it.
+/* Adjustments of the base score. If no failure count is above 1, each adjustment outweighs the sum of the adjustments
+ * listed before it.
  *
- * Empty machines come after used ones: headroom that is scattered over several machines leaves no room for gangs and
- * cannot be returned. A cached image outweighs the base score: fetching an image takes longer than the wait that users
- * accept. Spot machines come before on-demand ones for jobs that allow them. Machines on which jobs have failed come
- * after the rest, and machines on which this job has failed come after those. */
+ * Empty machines come after used machines: headroom that is scattered over several machines leaves no room for gangs
+ * and cannot be returned. A cached image outweighs the base score: fetching an image takes longer than the wait that
+ * users accept. For jobs that allow spot machines, spot machines come before on-demand machines. Machines on which
+ * jobs have failed come after machines without failures, and machines on which this job has failed come last. */
 #define SCORE_EMPTY_MACHINE (-5.0)
 #define SCORE_IMAGE_CACHED 10.0
 #define SCORE_SPOT_ALLOWED 40.0
--- a/src/placement/bin_packing.h
+++ b/src/placement/bin_packing.h
@@ -13,9 +13,9 @@
     const struct machine *reception_machine;
 };
 
-/* Returns the best of the machines for one task of the job, or NULL if none has room. `machines` holds struct machine.
- * If `zone` is not NULL, only machines in that zone are considered. `plans` holds this round's struct planned_task,
- * those of the job last (NULL: none). */
+/* Returns the best machine for one task of the job, or NULL if no machine has room. `machines` holds struct machine. If
+ * `zone` is not NULL, only machines in that zone are considered. `plans` holds this round's struct planned_task, the
+ * tasks of the job last (NULL: no tasks). */
 struct machine *placement_choose_machine(const GPtrArray *machines, const struct job *job, const char *zone,
                                          const struct placement_rules *rules, const GArray *plans);
 
--- a/src/placement/fit.h
+++ b/src/placement/fit.h
@@ -13,7 +13,7 @@
 
 /* Returns whether the job allows the machine's kind (spot or on-demand), type and zone, and is within the limit on a
  * spread job's tasks in one zone. `zone` is where a single-zone job already has tasks (NULL: nowhere yet). `plans`
- * holds this round's struct planned_task, those of the job last (NULL: none). */
+ * holds this round's struct planned_task, the tasks of the job last (NULL: no tasks). */
 bool placement_allowed(const struct machine *machine, const struct job *job, const char *zone, const GArray *plans);
 
 /* Returns the zone in which a single-zone job has tasks; NULL if it has none or is not a single-zone job. The string
--- a/src/placement/resources.h
+++ b/src/placement/resources.h
@@ -1,4 +1,4 @@
-/* CPUs, GPUs and memory of machines and tasks, and arithmetic on them. The functions are pure, but those that read a
+/* CPUs, GPUs and memory of machines and tasks, and arithmetic on them. The functions are pure; functions that read a
  * machine need store_lock. */
 #ifndef FF_PLACEMENT_RESOURCES_H
 #define FF_PLACEMENT_RESOURCES_H
--- a/src/preemption/preemptible.h
+++ b/src/preemption/preemptible.h
@@ -1,4 +1,4 @@
-/* Checks whether tasks may be preempted and what they lose by it. All functions need store_lock. */
+/* Checks whether tasks may be preempted and what tasks lose by a preemption. All functions need store_lock. */
 #ifndef FF_PREEMPTION_PREEMPTIBLE_H
 #define FF_PREEMPTION_PREEMPTIBLE_H
 #include <stdbool.h>
--- a/src/preemption/preemption_test.c
+++ b/src/preemption/preemption_test.c
@@ -58,7 +58,7 @@
     static const struct {
         const char *name;
         int n_machines, machine_index[2]; /* of each task of the array; task 1 has just started */
-        double gpus; /* requested by the job: the free GPUs of a machine plus those of one task of the array */
+        double gpus; /* requested by the job: the free GPUs of a machine plus the GPUs of one task of the array */
     } rows[] = {{"on two machines", 2, {0, 1}, 2}, {"on one machine", 1, {0, 0}, 1}};
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         char array_id[32], job_id[32];
--- a/src/priority/due.c
+++ b/src/priority/due.c
@@ -46,7 +46,7 @@
 double job_due_time(const struct settings *settings, const struct job *job, double now) {
     double age_s = now - job->ready_at;
     /* A job that has waited this long for its first task goes before the other jobs of its priority, so that late and
-     * large jobs don't wait forever. */
+     * large jobs do not wait forever. */
     if (age_s > FIRST_TASK_WAIT_MAX_S && !has_started_tasks(job)) return job->ready_at;
 
     double earliest_end_s = age_s + job->spec.runtime_s, missed_s = 0;
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -1,8 +1,8 @@
 /* Decides from failed tasks whether a job or a machine is at fault.
  *
  * A job that fails on several machines and has not completed any task is suspect: it is retried with one task at a time
- * and with growing delays. A machine on which several jobs fail, none of them suspect, is faulty: it is cordoned and
- * returned. Failures of a suspect job don't count against machines. A suspect job that completes a task is no longer
+ * and with growing delays. A machine on which several jobs fail that are not suspect is faulty: it is cordoned and
+ * returned. Failures of a suspect job do not count against machines. A suspect job that completes a task is no longer
  * suspect.
  *
  * Called by workers when a task ends, and by the packages that decide on jobs and machines. */
--- a/src/quota/allotments.c
+++ b/src/quota/allotments.c
@@ -202,8 +202,9 @@
     return sum;
 }
 
-/* Returns by how much an allotment is lowered: by the shortage, which is what the unassigned amount does not cover, at
- * least by one step, but never below `keep`. A closing allotment releases all that exceeds `keep`. */
+/* Returns by how much an allotment is lowered. The shortage is the part of the needed amount that the unassigned amount
+ * does not cover. If there is a shortage, the allotment is lowered by the shortage or by one step, whichever is more,
+ * but not below `keep`. A closing allotment is lowered to `keep`. */
 static int64_t amount_to_release(int64_t allotted, int64_t keep, int64_t shortage, int64_t step, bool closing) {
     int64_t spare = MAX(allotted - keep, 0);
     if (closing) return spare;
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -191,9 +191,9 @@
     return !unreadable && quota_shard_for_new_job(job->spec.team, job->spec.job_id) != shard;
 }
 
-/* Prepares a change that moves up to `moves_max` waiting jobs from this shard to the one that they belong in after
- * their team's number of shards has changed. Returns false if there are none. An allocation of such a job that is still
- * in flight fails, since the job's record has changed. */
+/* Prepares a change that moves up to `moves_max` waiting jobs from this shard to the shard that they belong in after
+ * their team's number of shards has changed. Returns false if it moves no job. An allocation of such a job that is
+ * still in flight fails, since the job's record has changed. */
 static bool move_jobs(struct change *change, int shard, int moves_max) {
     int n_moved = 0;
     GPtrArray *jobs = jobs_active_in_shard(shard);
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -65,7 +65,7 @@
 #define RESERVATION_PAUSE_TIMEOUTS 2
 
 /* Sets the job that the team's capacity is reserved for; NULL: none. Capacity is reserved for one job at a time, and no
- * longer than the timeout, so that a job that never fits doesn't keep its team's capacity idle. The timeout restarts
+ * longer than the timeout, so that a job that never fits does not keep its team's capacity idle. The timeout restarts
  * when the number of the job's allocated tasks changes. */
 static void update_reservation(struct quota_team *team_quota, const struct job *job) {
     double timeout_s = clock_to_seconds(quota_settings->quota.reservation_timeout);
--- a/src/quota/quota.c
+++ b/src/quota/quota.c
@@ -113,7 +113,7 @@
     bool may_preempt = true;
     guint counted = 0;
     struct quota_amount stopping_before[MACHINE_TASKS_MAX] = {{{0}}};
-    /* A checked task counts as stopping while the next ones are checked, since all tasks together must lie beyond the
+    /* A checked task counts as stopping while the next tasks are checked, since all tasks together must lie beyond the
      * guarantee. The second loop restores the amounts. */
     for (; counted < machine->allocations->len && counted < MACHINE_TASKS_MAX; counted++) {
         const struct allocation *allocation = machine->allocations->pdata[counted];
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -15,7 +15,8 @@
 
 static struct quota_amount gpus(int count) { return (struct quota_amount){{0, count * 1000}}; }
 
-/* A record of another form, or one that violates the invariant, is rejected. A valid one is written as it was read. */
+/* A record of another form, or a record that violates the invariant, is rejected. A valid record is written as it was
+ * read. */
 static void invalid_record_is_rejected(void **state) {
     (void)state;
     static const struct {
@@ -197,8 +198,8 @@
     }
 }
 
-/* After a team's number of shards was lowered, its other shards close: their allotments shrink to what is used, and
- * those that reach zero are removed. */
+/* After a team's number of shards was lowered, its other shards close: their allotments shrink to the amount in use. An
+ * allotment that reaches zero is removed. */
 static void closing_shards_release_what_they_do_not_use(void **state) {
     (void)state;
     struct quota_record record = quota_record_create(HOME_SHARD, CLUSTER_SHARDS, 3, gpus(12), gpus(5));
--- a/src/rebalancing/donation.h
+++ b/src/rebalancing/donation.h
@@ -4,7 +4,7 @@
 #include "../model/machine.h"
 #include "../priority/priority.h"
 
-/* Returns the machine of the shard that costs least to give to the job, among empty machines and those whose tasks may
- * all be preempted for the job. Returns NULL if there is none or the shard's own jobs come first. */
+/* Returns the machine of the shard that costs least to give to the job, among empty machines and machines whose tasks
+ * may all be preempted for the job. Returns NULL if there is no such machine or the shard's own jobs come first. */
 struct machine *donation_choose_machine(int shard, const struct priority_entry *entry);
 #endif
--- a/src/rebalancing/rebalancing.h
+++ b/src/rebalancing/rebalancing.h
@@ -11,8 +11,9 @@
 /* Must be called once, before the threads start. The settings are not copied and must stay valid. */
 void rebalancing_init(const struct settings *settings);
 
-/* Chooses machines of the shard for jobs of other shards, at most one for each other shard, and asks the tasks on them
- * to stop. A chosen machine is transferred once it is empty; if that takes too long, it stays in the shard. */
+/* Chooses machines of the shard for jobs of other shards, at most one machine for each other shard, and asks the tasks
+ * on the chosen machines to stop. A chosen machine is transferred once it is empty; if the tasks take too long to stop,
+ * it stays in the shard. */
 void rebalancing_plan(int shard);
 
 /* Returns whether the machine was chosen for a transfer and can be transferred in this round. */
--- a/src/rebalancing/waiting_job.c
+++ b/src/rebalancing/waiting_job.c
@@ -68,8 +68,8 @@
     return planned_machines;
 }
 
-/* Reserves room for the tasks of the job and returns whether all of them fit. Each machine is examined once: when all
- * machines were examined for each task of an array of 25,000 tasks, that took most of the processor time. */
+/* Reserves room for the tasks of the job and returns whether all tasks fit. Each machine is examined once: examining
+ * all machines for each task of an array of 25,000 tasks took most of the processor time. */
 static bool reserve_all(GArray *planned_machines, const struct job *job, int tasks) {
     const char *zone = placement_job_zone(job);
     for (guint i = 0; i < planned_machines->len && tasks > 0; i++) {
--- a/src/rebalancing/waiting_job.h
+++ b/src/rebalancing/waiting_job.h
@@ -5,7 +5,7 @@
 
 #include "../priority/priority.h"
 
-/* Which jobs are considered: those that need on-demand machines, or those that allow spot machines. */
+/* Which jobs are considered: jobs that need on-demand machines, or jobs that allow spot machines. */
 enum waiting_job_kind { WAITING_JOB_ON_DEMAND_ONLY, WAITING_JOB_ALLOWING_SPOT };
 
 /* Finds the first job of the shard, in its order, that waits for a machine because none of the shard's machines has
--- a/src/scheduler/isolation.c
+++ b/src/scheduler/isolation.c
@@ -8,7 +8,7 @@
 #include "round.h"
 
 #define STORE_READ_MAX_AGE_S 4.0 /* with an older read, the controller may no longer know which machines it owns */
-#define MACHINES_UP_MIN 4        /* with fewer machines up, isolation can't be detected */
+#define MACHINES_UP_MIN 4        /* with fewer machines up, isolation cannot be detected */
 #define HEARD_PERCENT_MIN 30     /* the network works if this percentage of the machines that are up sends heartbeats */
 
 static bool enough_workers_heard(const struct liveness_summary *summary) {
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -52,8 +52,8 @@
     return spec->kind == JOB_ARRAY && !spec->machine_types && !spec->zone && !spec->single_zone && !spec->spread;
 }
 
-/* Returns whether a task of `spec` needs at least the resources of a task of `other`, and can't use spot machines
- * unless that task can. */
+/* Returns whether a task of `spec` needs at least the resources of a task of `other`, and may use spot machines only if
+ * a task of `other` may. */
 static bool requests_at_least(const struct job_spec *spec, const struct job_spec *other) {
     return other->allows_spot >= spec->allows_spot && other->vcpus <= spec->vcpus && other->gpus <= spec->gpus &&
            other->memory_gb <= spec->memory_gb;
@@ -70,8 +70,8 @@
     if (is_unconstrained(spec) && unplaceable->n < UNPLACEABLE_SPECS_MAX) unplaceable->specs[unplaceable->n++] = spec;
 }
 
-/* Sums each team's usage of this shard, which is its whole usage unless the team is divided. Released allocations don't
- * count: their tasks are proven to be absent or ended. */
+/* Sums each team's usage of this shard, which is the team's whole usage unless the team is divided. Released
+ * allocations do not count: their tasks are proven to be absent or ended. */
 static void sum_team_usage(int shard, struct team_usage *usage) {
     const GPtrArray *lists[] = {jobs_active_in_shard(shard), jobs_ended_in_shard(shard)};
     for (size_t i = 0; i < G_N_ELEMENTS(lists); i++) {
@@ -159,7 +159,7 @@
 }
 
 /* Handles the jobs that are left to the next round because this round's budget is used up. Jobs that exceed the free
- * capacity are marked as unplaced now, so that machines are rented for them without delay. Otherwise a deployment
+ * capacity are marked as unplaced now, so that machines are rented for these jobs without delay. Otherwise a deployment
  * that starts without machines requests them half a minute late. */
 static void mark_unplaced(struct planning_pass *pass, guint first_entry) {
     for (guint i = first_entry; i < pass->order->len; i++) {
--- a/src/scheduler/plan_gang.c
+++ b/src/scheduler/plan_gang.c
@@ -110,13 +110,13 @@
     return reserved;
 }
 
-/* Reserves the free room for a gang that doesn't fit, and preempts other tasks for the rest of the gang if that makes
- * enough room. */
+/* Reserves the free room for a gang that does not fit, and preempts other tasks for the rest of the gang if preemption
+ * makes enough room. */
 static void make_room_for_gang(struct planning_pass *pass, const struct priority_entry *entry) {
     struct job *job = entry->job;
     struct gang_zone best_zone = preemption_gang_zone(entry, pass->machines);
     bool enough_with_preemption = best_zone.tasks_with_preemption >= job->spec.tasks;
-    /* If preemption can't make enough room, the gang waits in the zone in which machines are rented for it. */
+    /* If preemption cannot make enough room, the gang waits in the zone in which machines are rented for it. */
     const char *zone = !enough_with_preemption && job->zone ? job->zone : best_zone.name;
     int reserved = reserve_room(pass, job, zone);
     /* Preempting tasks for a part of the gang would be useless: a gang starts as a whole. */
--- a/src/scheduler/planning.h
+++ b/src/scheduler/planning.h
@@ -51,7 +51,7 @@
 /* Issues the next attempt number, which is higher than all before it. */
 int64_t planning_next_attempt(int shard);
 
-/* Plans a task of the job on the machine: reserves resources there, and adds them to the team's usage. */
+/* Plans a task of the job on the machine: reserves resources there, and adds these resources to the team's usage. */
 void planning_place_task(struct planning_pass *pass, struct job *job, int task, struct machine *machine,
                          int64_t attempt);
 
--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -33,7 +33,7 @@
     }
 }
 
-/* Returns the shard's jobs with unrecorded changes, except those in `staged`. The caller frees the array. */
+/* Returns the shard's jobs with unrecorded changes, except the jobs in `staged`. The caller frees the array. */
 static GPtrArray *jobs_with_progress(int shard, GHashTable *staged) {
     GPtrArray *jobs = g_ptr_array_new(), *lists[] = {jobs_active_in_shard(shard), jobs_ended_in_shard(shard)};
     for (size_t i = 0; i < G_N_ELEMENTS(lists); i++) {
@@ -45,7 +45,7 @@
     return jobs;
 }
 
-/* Stages the jobs with planned tasks, and removes them from `progress`. */
+/* Stages the jobs with planned tasks, and removes these jobs from `progress`. */
 static void stage_planned_jobs(struct scheduling_round *round, GPtrArray *progress) {
     const struct job *previous = NULL;
     for (guint i = 0; i < round->planned_tasks->len; i++) {
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -58,8 +58,9 @@
     store_wake_watch();
 }
 
-/* Handles a transaction that the store has rejected as invalid. For a while, records don't share transactions, so that
- * an invalid record doesn't affect others; a record that was rejected alone is skipped for REJECTED_KEY_PAUSE_S. */
+/* Handles a transaction that the store has rejected as invalid. For a while, records do not share transactions, so that
+ * an invalid record does not affect other records; a record that was rejected alone is skipped for
+ * REJECTED_KEY_PAUSE_S. */
 static void handle_invalid(const struct scheduling_round *round, const struct store_txn *transaction) {
     if (round->one_record_per_transaction || transaction->n_operations == 1) rejected_keys_add(transaction);
     owned_shard_states[round->shard].one_record_until = clock_now_plus(clock_from_seconds(2 * REJECTED_KEY_PAUSE_S));
@@ -93,8 +94,8 @@
 }
 
 /* Sends the round's transactions; returns true if another round should follow at once. A conflict drops only its own
- * transaction: when it also dropped the following ones, conflicts on the fencing counter, which all controllers raise,
- * kept a shard from allocating anything for minutes. */
+ * transaction: when it also dropped the following transactions, conflicts on the fencing counter, which all controllers
+ * raise, kept a shard from allocating anything for minutes. */
 static bool send_transactions(struct http_client *client, const struct scheduling_round *round) {
     bool sent_any = false;
     for (guint i = 0; i < round->transactions->len; i++) {
--- a/src/scheduler/scheduler_test.c
+++ b/src/scheduler/scheduler_test.c
@@ -161,7 +161,7 @@
     store_unlock();
 }
 
-/* A shard with recent gangs keeps one in seven of its machines empty, beyond what waiting tasks need. */
+/* A shard with recent gangs keeps one machine in seven empty, beyond what waiting tasks need. */
 static void shard_with_gangs_keeps_spare_machines(void **state) {
     (void)state;
     static const struct {
--- a/src/scheduler/stage_pages.c
+++ b/src/scheduler/stage_pages.c
@@ -71,8 +71,8 @@
     return true;
 }
 
-/* Moves machines off oversized pages: first those whose records are about to change, then the others if deferred
- * writes are due. */
+/* Moves machines off oversized pages: first machines whose records are about to change, then the other machines if
+ * deferred writes are due. */
 static void plan_oversized_pages(struct page_plan *plan) {
     bool is_target[MACHINE_PAGES_MAX] = {false};
     int n_targets = 0;
--- a/src/scheduler/store_limits_test.c
+++ b/src/scheduler/store_limits_test.c
@@ -1,6 +1,6 @@
 /* Tests of all kinds of transactions that an owner writes, under the store's next limits: 2 KiB per value and 4
- * operations per transaction, where the first version had 4 KiB and 8. No write exceeds them, whatever records the
- * first version left, and all changes are recorded within a few rounds. */
+ * operations per transaction, where the first version had 4 KiB and 8. No write exceeds the next limits, whatever
+ * records the first version left, and all changes are recorded within a few rounds. */
 #include <glib.h>
 #include <stdbool.h>
 #include <stdlib.h>
@@ -65,7 +65,7 @@
     machine->occupancy.n_samples = 6;
 }
 
-/* Puts n machines of the shard on pages as full as the first version filled them. Returns n. */
+/* Puts n machines of the shard on pages that are as full as pages of the first version. Returns n. */
 static int put_old_pages(struct machine **machines, int n) {
     char id[32], key[32];
     for (int page = 0; page * OLD_PAGE_MACHINES < n; page++) {
@@ -145,7 +145,7 @@
     store_unlock();
 }
 
-/* A record of the first version that exceeds the next limit is replaced by smaller ones in one transaction. Its job
+/* A record of the first version that exceeds the next limit is replaced by smaller records in one transaction. Its job
  * keeps all allocations, and the records are removed when the job ends. */
 static void wide_record_is_replaced_by_smaller_records(void **state) {
     (void)state;
@@ -185,7 +185,7 @@
 }
 
 /* Pages that exceed the next limit are emptied, while tokens of their machines are raised and machines are returned and
- * transferred. No machine is lost, and tasks on them stay allocated. */
+ * transferred. No machine is lost, and tasks on these machines stay allocated. */
 static void oversized_pages_are_emptied_without_losing_a_machine(void **state) {
     (void)state;
     enum { MACHINES = 3 * OLD_PAGE_MACHINES, RETURNED_INDEX = 50, TRANSFERRED_INDEX = 52 };
--- a/src/schema_version/schema_version.c
+++ b/src/schema_version/schema_version.c
@@ -21,7 +21,7 @@
     bool store_unreadable;
 } versions;
 
-/* Returns the version in a record, or 0 if the record was removed or can't be read. */
+/* Returns the version in a record, or 0 if the record was removed or cannot be read. */
 static int read_version(const cJSON *data) {
     int64_t version = 0;
     json_get_int64(data, "version", &version);
--- a/src/schema_version/schema_version.h
+++ b/src/schema_version/schema_version.h
@@ -27,8 +27,8 @@
 /* Returns whether the latest record of every controller contains version 3 or higher: each can read divided teams and
  * has settings that divide one. */
 bool schema_version_divided_quota_active(void);
-/* Marks the store as unreadable: it holds records of a layout that this version can't read. This controller then takes
- * no shard and doesn't become the leader. */
+/* Marks the store as unreadable: it holds records of a layout that this version cannot read. This controller then takes
+ * no shard and does not become the leader. */
 void schema_version_mark_store_unreadable(void);
 bool schema_version_store_unreadable(void);
 /* Adds the record of this controller's version to the transaction. Returns false, and adds nothing, if the record is up
--- a/src/schema_version/schema_version_test.c
+++ b/src/schema_version/schema_version_test.c
@@ -32,7 +32,7 @@
         bool active;
     } cases[] = {
         {"only this controller's record", "format/n0", "{\"version\":2}", false},
-        {"a controller that the settings don't name", "format/n7", "{\"version\":2}", false},
+        {"a controller that the settings do not name", "format/n7", "{\"version\":2}", false},
         {"the peer's node record removed", "node/n1", NULL, false},
         {"the peer's record is unreadable", "format/n1", "{\"version\":\"2\"}", false},
         {"the peer recorded an older version", "format/n1", "{\"version\":1}", false},
--- a/src/service/health.c
+++ b/src/service/health.c
@@ -10,7 +10,7 @@
 /* The store counts as readable for this time after the last successful read was sent. */
 #define STORE_READ_MAX_AGE_S 5
 
-/* A controller that can't read the store is unhealthy if a peer can, because the peer can serve the users. If no peer
+/* A controller that cannot read the store is unhealthy if a peer can, because the peer can serve the users. If no peer
  * can either, the controller stays healthy, and its responses tell users when to retry. */
 static bool is_healthy(void) {
     store_lock();
--- a/src/service/service_test.c
+++ b/src/service/service_test.c
@@ -202,7 +202,7 @@
     assert_int_equal(job->allocations->len, 1);
     machine_index = (int)g_ascii_strtoll(((struct allocation *)job->allocations->pdata[0])->machine->id + 2, NULL, 10);
     store_unlock();
-    /* The service rents more machines for this job, so that only one of several is silent. */
+    /* The service rents more machines for this job, so that only one of several machines is silent. */
     assert_int_equal(submit("req-90004", "standing", 4), 201);
     assert_true(wait_for_state("req-90004", "running", 10));
     standin_workers_set_machine_unreachable(machine_index);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,6 +1,6 @@
 /* The settings of a controller, from three files: the platform's file (JSON), the operators' tuning file and their file
- * of divided teams (both HCL). They are read once at the start and never change afterwards, so any thread may read them
- * without a lock. */
+ * of divided teams (both HCL). The files are read once at the start. The settings never change afterwards, so any
+ * thread may read them without a lock. */
 #ifndef FF_SETTINGS_H
 #define FF_SETTINGS_H
 #include <glib.h>
@@ -116,7 +116,8 @@
  * is none. */
 double settings_shortest_objective_s(const struct settings *settings, enum settings_objective_kind kind,
                                      const char *job_class, double default_s);
-/* Returns whether an objective of this kind names this class itself; one that applies to all classes doesn't count. */
+/* Returns whether an objective of this kind names this class itself; an objective that applies to all classes does not
+ * count. */
 bool settings_has_objective(const struct settings *settings, enum settings_objective_kind kind, const char *job_class);
 /* Returns the home shard of a team, which holds all its jobs unless the team is divided over several shards. */
 int settings_home_shard(const struct settings *settings, int team);
--- a/src/store/client.c
+++ b/src/store/client.c
@@ -13,7 +13,7 @@
 #include "request.h"
 
 /* Users' clients time out after 2 s for a poll and 5 s for a submission. The timeouts here are shorter, so that a user
- * still gets an error response if the store doesn't answer. */
+ * still gets an error response if the store does not answer. */
 enum { CHECK_TIMEOUT_MS = 1200, COMMIT_TIMEOUT_MS = 2000 };
 enum { READ_TIMEOUT_MS = 1500, GRANT_TIMEOUT_MS = 1500, RENEWAL_TIMEOUT_MS = 1200 };
 enum { GRANT_BODY_BYTES = 64, MS_PER_SECOND = 1000 };
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -18,7 +18,7 @@
                                struct store_response *response);
 
 /* Reads one key. If the key exists, returns STORE_OK and sets *data, which the caller frees, and *mod_revision. If it
- * doesn't exist, returns STORE_OK and sets *data to NULL and *revision to the store's revision. Otherwise returns
+ * does not exist, returns STORE_OK and sets *data to NULL and *revision to the store's revision. Otherwise returns
  * STORE_REJECTED. */
 enum store_result store_get(struct http_client *client, const char *key, cJSON **data, int64_t *mod_revision,
                             int64_t *revision);
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -28,7 +28,7 @@
     char text[STORE_KEY_BYTES];
 };
 
-/* The IDs of jobs and machines are limited to 63 bytes where they are read. An ID that doesn't fit into a key is a
+/* The IDs of jobs and machines are limited to 63 bytes where they are read. An ID that does not fit into a key is a
  * programming error and aborts the program, because a truncated key could be the key of another record. */
 struct store_key store_key_job(const char *job_id);
 /* Key of the allocations of one chunk of a job's tasks. */
@@ -39,7 +39,7 @@
 /* Key of the assignment of a shard to its owner. */
 struct store_key store_key_shard(int shard);
 
-/* The keys below end with a name from the settings. The length of names is not limited; one that doesn't fit is
+/* The keys below end with a name from the settings. The length of names is not limited; a name that does not fit is
  * truncated. */
 struct store_key store_key_node(const char *node);
 struct store_key store_key_schema_version(const char *node);
--- a/src/store/mirror.c
+++ b/src/store/mirror.c
@@ -14,7 +14,7 @@
 #include "mirror_updates.h"
 
 /* Number of revisions for which a removed key is remembered, so that a slow read that was sent before the removal
- * doesn't restore the key. */
+ * does not restore the key. */
 enum { REMOVED_KEY_RETENTION_REVISIONS = 5000 };
 enum { MS_PER_SECOND = 1000 };
 
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -24,7 +24,7 @@
 /* Keeps the pointer to the settings. */
 void store_mirror_init(const struct settings *settings);
 
-/* Locks the mirror and all state that is derived from it. The lock is held only briefly, never during I/O, and isn't
+/* Locks the mirror and all state that is derived from it. The lock is held only briefly, never during I/O, and is not
  * recursive. */
 void store_lock(void);
 void store_unlock(void);
@@ -37,7 +37,7 @@
 void store_apply(const char *key, const cJSON *data, int64_t mod_revision);
 /* Applies the operations of a committed transaction of this controller; revision is that of the store's response. */
 void store_apply_committed(const struct store_txn *txn, int64_t revision);
-/* Returns the key's mod revision, or 0 if the key doesn't exist. */
+/* Returns the key's mod revision, or 0 if the key does not exist. */
 int64_t store_key_revision(const char *key);
 /* Returns the revision of the store up to which all changes are applied. */
 int64_t store_revision(void);
--- a/src/store/mirror_updates.h
+++ b/src/store/mirror_updates.h
@@ -17,7 +17,8 @@
 /* Called after all changes of a watch are applied: records the revision up to which the mirror is now current, and when
  * the watch was sent. */
 void store_mirror_apply_watch(int64_t revision, struct timespec sent_at);
-/* Called after all records of a full read are applied: removes the keys that aren't in listed_keys and marks the mirror
- * as synced. revision and sent_at belong to the first page: the store's revision, and when the request was sent. */
+/* Called after all records of a full read are applied: removes the keys that are not in listed_keys and marks the
+ * mirror as synced. revision and sent_at belong to the first page: the store's revision, and when the request was
+ * sent. */
 void store_mirror_finish_full_read(GHashTable *listed_keys, int64_t revision, struct timespec sent_at);
 #endif
--- a/src/store/rate_budget.c
+++ b/src/store/rate_budget.c
@@ -20,7 +20,7 @@
 static const double factor_multiplier_after_rejection = 0.8;
 static const double pause_after_rejection_s = 0.12;
 
-/* The fraction of a full bucket that a priority leaves for the more urgent ones. */
+/* The fraction of a full bucket that a priority leaves for the more urgent priorities. */
 static const double reserve_fraction[STORE_PRIORITY_COUNT] = {
     [STORE_PRIORITY_LEASE] = -1e9, /* never held back */
     [STORE_PRIORITY_CANCEL] = 0,     [STORE_PRIORITY_ACCEPT] = 0.08,
--- a/src/store/rate_budget.h
+++ b/src/store/rate_budget.h
@@ -2,8 +2,8 @@
  *
  * The store limits two rates, of requests and of changes (operations in transactions), for all controllers together.
  * Each controller keeps a token bucket for each rate, refilled at its share of the rate. Less urgent priorities leave a
- * reserve in the buckets for the more urgent ones. Since the load is uneven, a controller may use a multiple of its
- * share: this factor grows with time, and is reduced when the store rejects a request as over the rate.
+ * reserve in the buckets for the more urgent priorities. Since the load is uneven, a controller may use a multiple of
+ * its share: this factor grows with time, and is reduced when the store rejects a request as over the rate.
  *
  * The functions may be called from any thread, with or without store_lock; the budget has its own lock. All rates are
  * per second. */
@@ -33,7 +33,7 @@
 void store_budget_set_change_fraction(int n_live, double change_fraction);
 
 /* Takes one request with this number of changes from the budget. Returns false, and takes nothing, if the budget
- * doesn't allow the request for the priority. */
+ * does not allow the request for the priority. */
 bool store_budget_take(enum store_priority priority, int n_changes);
 /* Records that the store has rejected a request as over this rate: reduces the factor for requests, for
  * STORE_RATE_CHANGES also that for changes, and briefly holds back all priorities but the first. */
--- a/src/store/request.h
+++ b/src/store/request.h
@@ -20,9 +20,9 @@
 /* The store's answer to a request, by its HTTP status, or the reason why there is no answer.
  *
  * NOT_SENT, OVER_RATE, UNAVAILABLE: the request was definitely not carried out. MALFORMED: it was definitely not
- * carried out, and won't be if it is sent again. NO_ANSWER: it may have been carried out, or may still be. COMPACTED:
- * the store no longer holds the events that a watch requests. The meaning of OK, CONFLICT and NOT_FOUND depends on the
- * request. */
+ * carried out, and will not be if it is sent again. NO_ANSWER: it may have been carried out, or may still be.
+ * COMPACTED: the store no longer holds the events that a watch requests. The meaning of OK, CONFLICT and NOT_FOUND
+ * depends on the request. */
 enum store_answer {
     STORE_ANSWER_OK,
     STORE_ANSWER_CONFLICT,
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -80,7 +80,8 @@
     g_free(value);
 }
 
-/* Waits for at most 3 s until the key exists, or doesn't exist, in the synced mirror. Returns whether that happened. */
+/* Waits for at most 3 s until the key exists, or does not exist, in the synced mirror. Returns whether that
+ * happened. */
 static bool wait_until_mirrored(const char *key, bool exists) {
     for (int i = 0; i < 60; i++) {
         store_lock();
--- a/src/store/transaction.h
+++ b/src/store/transaction.h
@@ -23,7 +23,7 @@
 /* Makes the transaction conditional on the key's mod revision; 0: the key must not exist. Further comparisons of the
  * same key are ignored. */
 void store_txn_compare(struct store_txn *txn, const char *key, int64_t mod_revision);
-/* Sets the key; the transaction takes ownership of the data. If lease isn't 0, the key is removed when that lease
+/* Sets the key; the transaction takes ownership of the data. If lease is not 0, the key is removed when that lease
  * expires. */
 void store_txn_put(struct store_txn *txn, const char *key, cJSON *data, int64_t lease);
 /* Removes the key. */
@@ -51,6 +51,6 @@
     const char *key;
     const cJSON *data; /* NULL: the key is removed */
 };
-/* Reads a change from JSON. The key is NULL if the JSON doesn't describe a change. */
+/* Reads a change from JSON. The key is NULL if the JSON does not describe a change. */
 struct store_change store_change_read(const cJSON *operation);
 #endif
--- a/src/workers/codec.h
+++ b/src/workers/codec.h
@@ -30,7 +30,7 @@
     int64_t attempt;
 };
 
-/* Reads the task's name and attempt. Returns false if one of them is absent or has the wrong type. */
+/* Reads the task's name and attempt. Returns false if the name or the attempt is absent or has the wrong type. */
 bool codec_read_task(const cJSON *item, struct listed_task *task);
 /* Returns the task's state. If the state is absent or unknown to this version, returns TASK_RUNNING, since the task may
  * run. */
--- a/src/workers/dispatcher.c
+++ b/src/workers/dispatcher.c
@@ -65,7 +65,8 @@
 }
 
 /* Returns whether the machine must be probed before it is sent directives. This includes a machine that left a command
- * unanswered: directives to a hundred machines that hang at the same time would delay those to all others. */
+ * unanswered: directives to a hundred machines that hang at the same time would delay the directives to all other
+ * machines. */
 static bool needs_probe(const struct machine *machine) {
     return machine->commands.needs_token_probe || machine->liveness.unanswered_probes > 0 ||
            machine->agent.reported_token < machines_fencing_token(machine);
--- a/src/workers/listed_tasks.c
+++ b/src/workers/listed_tasks.c
@@ -57,7 +57,7 @@
     return job && job->state == JOB_CANCELLED;
 }
 
-/* This doesn't depend on the fencing token that the worker shows: a stop is safe whatever token the task was started
+/* This does not depend on the fencing token that the worker shows: a stop is safe whatever token the task was started
  * under, and must not wait until the worker shows the owner's token. With such a wait, when the owner changed every few
  * seconds, each new owner's first response renewed the worker's lease, and a cancelled task ran on beyond cancel_s. */
 void listed_tasks_collect_cancelled(struct machine *machine, const cJSON *tasks) {
--- a/src/workers/listed_tasks.h
+++ b/src/workers/listed_tasks.h
@@ -14,7 +14,7 @@
 /* Returns whether tasks is an array in which every item names a task and an attempt. */
 bool listed_tasks_valid(const cJSON *tasks);
 /* Replaces the machine's unknown tasks with those listed tasks that belong to cancelled jobs and have not ended, so
- * that they are stopped. */
+ * that these tasks are stopped. */
 void listed_tasks_collect_cancelled(struct machine *machine, const cJSON *tasks);
 /* Applies the states of the listed tasks to their allocations, and replaces the machine's unknown tasks with the listed
  * tasks that have no allocation. Sets listed[i] to true if the machine's allocation i is listed; listed has
--- a/src/workers/reconciliation.c
+++ b/src/workers/reconciliation.c
@@ -24,8 +24,8 @@
 void reconciliation_init(const struct settings *new_settings) { settings = new_settings; }
 
 /* Returns whether the message has the required members and does not come from another machine, which may have got this
- * machine's recorded address meanwhile. If another machine's list of tasks, or a malformed one, were applied, the
- * allocations that it doesn't list would be released. */
+ * machine's recorded address meanwhile. If another machine's list of tasks, or a malformed list, were applied, the
+ * allocations that it does not list would be released. */
 static bool is_well_formed(const struct machine *machine, const struct heartbeat *heartbeat) {
     return heartbeat->incarnation >= 0 && heartbeat->sequence >= 0 &&
            (!heartbeat->machine_id || strcmp(heartbeat->machine_id, machine->id) == 0) &&
--- a/src/workers/reconciliation_test.c
+++ b/src/workers/reconciliation_test.c
@@ -194,7 +194,7 @@
     store_unlock();
 }
 
-/* A machine whose heartbeats arrive, but which receives no responses or directives, is not silent and still can't be
+/* A machine whose heartbeats arrive, but which receives no responses or directives, is not silent and still cannot be
  * used. It is detected by this count. */
 static void counts_ignored_responses(void **state) {
     (void)state;
--- a/src/workers/senders.c
+++ b/src/workers/senders.c
@@ -98,8 +98,8 @@
         reconciliation_apply(machine, &worker_state, CHANNEL_COMMAND);
     }
     /* If the command was no longer valid, the dispatcher decides again what to send. After an answer to a command
-     * without starts, the worker has the fencing token, and directives that waited for that are sent now rather than at
-     * its next heartbeat. */
+     * without starts, the worker has the fencing token, and directives that waited until the worker has the
+     * token are sent now, not only at the worker's next heartbeat. */
     if (!outcome->valid || (worker_answered(outcome) && !command->has_start)) machine->commands.send_pending = true;
 }
 
--- a/tests/cluster/compound_failures_test.c
+++ b/tests/cluster/compound_failures_test.c
@@ -166,8 +166,8 @@
     return NULL;
 }
 
-/* A cancellation and polls reach both controllers just as a job's last task ends. Once any answer gives a final state,
- * every later answer gives the same one. */
+/* A cancellation and polls reach both controllers at the moment when a job's last task ends. Once any answer gives a
+ * final state, every later answer gives the same state. */
 static void cancel_at_completion(void) {
     for (int i = 0; i < 12; i++) {
         char job_id[32], final_state[32] = "";
@@ -204,7 +204,7 @@
 }
 
 /* The owner of a team at its limit is killed while a machine of the team hangs, and one of the team's jobs is
- * cancelled. The limit holds, and the waiting tasks start once the cancelled ones have ended. */
+ * cancelled. The limit holds, and the waiting tasks start once the cancelled tasks have ended. */
 static void team_at_its_limit(void) {
     int owner =
         pair_team_owned_by(0) && !strcmp(pair_team_owned_by(0), "red") ? 0 : 1; /* green and red share a shard */
@@ -287,8 +287,8 @@
     assert_true(pair_wait_for_running_task("req-90001/0", 1, 20) && pair_wait_for_running_task("req-90001/1", 1, 20));
 }
 
-/* Every second transaction gets no useful answer and is carried out after newer ones, and a controller is killed and
- * restarted meanwhile. */
+/* Every second transaction gets no useful answer and is carried out after newer transactions. Meanwhile a controller is
+ * killed and restarted. */
 static void delayed_transactions(void) {
     submit_long_job("req-90001", 0, 2);
     standin_store_delay_transactions(1.5);
@@ -333,8 +333,8 @@
     standin_workers_duplicate_heartbeats(0);
 }
 
-/* Both controllers are down for longer than a worker's lease: all tasks end, and those of jobs that were not cancelled
- * start again. */
+/* Both controllers are down for longer than a worker's lease: all tasks end, and the tasks of jobs that were not
+ * cancelled start again. */
 static void all_controllers_down(void) {
     submit_long_job("req-90001", 0, 2);
     submit_long_job("req-90002", 1, 1);
--- a/tests/cluster/dependency_failures_test.c
+++ b/tests/cluster/dependency_failures_test.c
@@ -1,7 +1,7 @@
-/* Dependencies between jobs with two real controllers: a prerequisite that the other controller has just accepted, a
- * cancellation during completion, an owner killed between two jobs, and cancellations followed by a store outage. No
- * job starts before the records of its prerequisites are in the state `done`. A job whose prerequisite is cancelled is
- * cancelled too, and every poll returns that state.
+/* Dependencies between jobs with two real controllers: a prerequisite that the other controller accepted shortly
+ * before, a cancellation during completion, an owner killed between two jobs, and cancellations followed by a store
+ * outage. No job starts before the records of its prerequisites are in the state `done`. A job whose prerequisite is
+ * cancelled is cancelled too, and every poll returns that state.
  *
  * Each process runs one row, because every row needs stand-ins that start empty. */
 #include <glib.h>
@@ -97,7 +97,8 @@
     assert_int_equal(status / 100, 2);
 }
 
-/* A job is not rejected for an unknown prerequisite if the other controller has just accepted that prerequisite. */
+/* A job is not rejected for an unknown prerequisite if the other controller accepted that prerequisite shortly
+ * before. */
 static void prerequisite_accepted_elsewhere_is_known(void) {
     enum { PAIRS = 20 };
     char prerequisite[PAIRS][JOB_ID_BYTES], dependent[PAIRS][JOB_ID_BYTES], prereqs[40], spec[SPEC_BYTES];
--- a/tests/cluster/divided_teams_test.c
+++ b/tests/cluster/divided_teams_test.c
@@ -1,6 +1,6 @@
 /* Divided teams with three real controllers. Whatever fails, the tasks on machines never exceed a team's limit, no team
  * stays below its guarantee for long while it has work that fits, no task is on two machines, and every job ends. These
- * are checked against the workers' log of their tasks, not against the controllers' allocations.
+ * rules are checked against the workers' log of their tasks, not against the controllers' allocations.
  *
  * Each process runs one row, because every row needs stand-ins that start empty. */
 #include <glib.h>
@@ -150,8 +150,8 @@
 static void store_refuses_one_owner(void) { run_burst_with_fault(refuse_second_at_store, 6, admit_second_at_store); }
 static void delayed_transactions(void) { run_burst_with_fault(delay_transactions, 5, stop_delaying_transactions); }
 
-/* The store is out for longer than cancel_s while parts of the quota are moved between shards. Just before, the answer
- * to a transaction is lost and a job is cancelled. */
+/* The store is out for longer than cancel_s while parts of the quota are moved between shards. Shortly before the
+ * outage, the answer to a transaction is lost and a job is cancelled. */
 static void store_outage_during_rebalance(void) {
     struct burst red[CONTROLLERS];
     submit_red(0, "req-90001", "standing", 3);
--- a/tests/cluster/rolling_upgrade_test.c
+++ b/tests/cluster/rolling_upgrade_test.c
@@ -29,8 +29,8 @@
     OLD_RESTARTS,         /* the old controller is killed and restarted in its version, twice in a row */
     UPGRADED_KILLED,      /* the upgraded controller is killed: its shards move to the old one, and back */
     BOTH_RESTART,         /* both controllers are killed and restarted, each in its version */
-    CANCELLED_AT_NEW,     /* the upgraded controller confirms cancellations, and the old one carries them out */
-    CANCELLED_AT_OLD,     /* the old controller confirms cancellations, and the upgraded one carries them out */
+    CANCELLED_AT_NEW,     /* the upgraded controller confirms cancellations, and the old controller carries them out */
+    CANCELLED_AT_OLD,     /* the old controller confirms cancellations, and the upgraded controller carries them out */
     STORE_OUTAGE,         /* the store is out for 2 s */
     DELAYED_TRANSACTIONS, /* some transactions are carried out late */
 };
@@ -209,8 +209,8 @@
     assert_int_equal(standin_workers_starts_by_prefix("req-90003/"), 3);
 }
 
-/* Checks that, under the new limits, a wide job array whose record exceeds them is cancelled, and that another array of
- * the same width runs. */
+/* Checks that, under the new limits, a wide job array whose record exceeds these limits is cancelled, and that another
+ * array of the same width runs. */
 static void check_wide_arrays(void) {
     cancel_at(1, "req-90002");
     struct timespec start = clock_now();
--- a/tests/cluster/store_partition_test.c
+++ b/tests/cluster/store_partition_test.c
@@ -1,7 +1,7 @@
-/* The store refuses one of two controllers, and the other one confirms cancellations. Then the store is out for both
- * controllers for longer than the cancel deadline, while workers keep sending heartbeats to the refused controller. The
- * tasks of the cancelled jobs must still end by the deadline, those that had not started must not start, and other jobs
- * run on.
+/* The store refuses one of two controllers, and the other controller confirms cancellations. Then the store is out for
+ * both controllers for longer than the cancel deadline, while workers keep sending heartbeats to the refused
+ * controller. The tasks of the cancelled jobs must still end by the deadline, tasks of these jobs that had not started
+ * must not start, and other jobs run on.
  *
  * Each process runs one row, because every row needs stand-ins that start empty. */
 #include <glib.h>
--- a/tests/cluster/two_controllers_test.c
+++ b/tests/cluster/two_controllers_test.c
@@ -1,4 +1,4 @@
-/* Two controllers as real processes against the stand-ins: the store refuses one of them, both restart during an
+/* Two controllers as real processes against the stand-ins: the store refuses one controller, both restart during an
  * election, and both are killed with a full backlog. */
 #include <glib.h>
 #include <string.h>
@@ -47,8 +47,8 @@
     assert_int_equal(standin_workers_most_copies(), 1);
 }
 
-/* Polls the jobs in turn for the given seconds. Returns the longest time in seconds for which one of them had no
- * answer, or UNKNOWN_JOB_GAP_S if a poll got 404. */
+/* Polls the jobs in turn for the given seconds. Returns the longest time in seconds for which any job had no answer,
+ * or UNKNOWN_JOB_GAP_S if a poll got 404. */
 static double longest_answer_gap(char job_ids[][32], int n_jobs, double duration_s) {
     struct timespec start = clock_now(), last_answered[64];
     double longest = 0;
--- a/tests/standin/cluster.c
+++ b/tests/standin/cluster.c
@@ -33,7 +33,7 @@
 #define RETRY_INTERVAL_S 0.1
 #define WAIT_POLL_S 0.02
 
-/* One controller process, and what it is started with. */
+/* One controller process and its start parameters. */
 struct controller {
     const char *program;
     char name[NAME_BYTES];
@@ -44,7 +44,7 @@
 };
 static struct controller controllers[CLUSTER_CONTROLLERS_MAX];
 static struct cluster_settings cluster;
-static char cloud_address[ADDRESS_BYTES], unused_address[ADDRESS_BYTES]; /* nothing listens at the latter */
+static char cloud_address[ADDRESS_BYTES], unused_address[ADDRESS_BYTES]; /* nothing listens at unused_address */
 
 static const char *zone_of(int index) { return index ? "zb" : "za"; }
 
--- a/tests/standin/cluster.h
+++ b/tests/standin/cluster.h
@@ -15,7 +15,7 @@
 struct cluster_settings {
     int controllers;
     int shards;
-    const char *teams[CLUSTER_CONTROLLERS_MAX]; /* JSON list for each controller; NULL: that of the first */
+    const char *teams[CLUSTER_CONTROLLERS_MAX]; /* JSON list for each controller; NULL: the first controller's list */
     const char *next_limits;                    /* JSON of `state.next` in the settings; NULL: none */
     bool first_sees_no_peer;                    /* the first controller's seeds are at an address without a listener */
 };
@@ -25,7 +25,8 @@
 /* Kills all controllers and removes their files. */
 void cluster_teardown(void);
 
-/* These take effect when the controller is started next. They return false if a file can't be written. */
+/* The next three functions take effect when the controller is started next. cluster_set_quota_file and
+ * cluster_set_teams return false if they cannot write a file. */
 void cluster_set_program(int index, const char *program);
 bool cluster_set_quota_file(int index, const char *hcl); /* content of the file of divided teams; NULL: no file */
 bool cluster_set_teams(int index, const char *teams);    /* JSON list of the settings; kept, not copied */
@@ -34,9 +35,9 @@
 void cluster_kill_controller(int index);
 void cluster_pause_controller(int index); /* stops the whole process until it is resumed */
 void cluster_resume_controller(int index);
-/* CPU time that the controller's process has used; 0 if it doesn't run. */
+/* CPU time that the controller's process has used; 0 if the process does not run. */
 double cluster_cpu_time_s(int index);
-/* Sets whether the store refuses all requests of this controller, but not those of others. */
+/* Sets whether the store refuses all requests of this controller. Requests of other controllers are not refused. */
 void cluster_refuse_store(int index, bool refused);
 
 /* Whether the field of the store's record holds the controller's name. */
--- a/tests/standin/history.h
+++ b/tests/standin/history.h
@@ -1,5 +1,5 @@
-/* A history of the tasks that workers held, and checks and figures computed from it. They show what each team really
- * used, whatever the controllers' records say. Times and durations are in seconds. */
+/* A history of the tasks that workers held, and checks and figures computed from it. The history shows what each team
+ * really used, whatever the controllers' records say. Times and durations are in seconds. */
 #ifndef FF_STANDIN_HISTORY_H
 #define FF_STANDIN_HISTORY_H
 #include <stdbool.h>
@@ -21,7 +21,7 @@
 
 /* The most GPUs that the team's tasks held at the same time. */
 double history_peak_gpus(const struct history *history, const char *team);
-/* The fewest GPUs that they held at any time between from and to. */
+/* The fewest GPUs that the team's tasks held at any time between from and to. */
 double history_min_gpus(const struct history *history, const char *team, double from, double to);
 /* How many starts since `from` took the team above the limit. */
 int history_starts_above_limit(const struct history *history, const char *team, double limit, double from);
@@ -32,7 +32,7 @@
 int history_duplicate_starts(const struct history *history);
 /* The time since `from` until the team held so many GPUs; negative: it never did. */
 double history_time_to_reach_s(const struct history *history, const char *team, double from, double gpus);
-/* The longest time between from and to without a start of the team's, while one of its tasks waited. */
+/* The longest time between from and to for which tasks of the team waited before the team's next task was started. */
 double history_longest_start_gap_s(const struct history *history, const char *team, double from, double to);
 /* The mean share of the limit in use between from and to. */
 double history_mean_utilisation(const struct history *history, const char *team, double from, double to, double limit);
--- a/tests/standin/shard_owner.c
+++ b/tests/standin/shard_owner.c
@@ -20,7 +20,7 @@
 #define FIRST_REVISION 1000000 /* above all revisions of the stand-in of the store */
 #define FIRST_MACHINE 100000
 #define MACHINE_ID_BYTES 32
-#define OCCUPANCY_SAMPLES 6 /* with fewer a machine isn't returned */
+#define OCCUPANCY_SAMPLES 6 /* a machine with fewer samples is not returned */
 #define OWNERSHIP_POLL_S 0.1
 
 int64_t shard_owner_next_revision(void) {
--- a/tests/standin/shard_owner.h
+++ b/tests/standin/shard_owner.h
@@ -14,12 +14,13 @@
 /* Initialises the packages and waits up to 10 s until this process owns shard 0. Called without store_lock. */
 void shard_owner_start(const struct settings *settings);
 /* Reads the settings of test_settings.h, starts the stand-in of the store at their address, and calls
- * shard_owner_start. Returns false if the settings are invalid or the stand-in can't start. */
+ * shard_owner_start. Returns false if the settings are invalid or the stand-in cannot start. */
 bool shard_owner_start_with_store(struct settings *settings);
 
 /* The functions below are called with store_lock held. */
 
-/* Returns a higher mod revision at each call, above all that the stand-in of the store uses. */
+/* Returns a higher mod revision at each call. All of these mod revisions are higher than the mod revisions that the
+ * stand-in of the store uses. */
 int64_t shard_owner_next_revision(void);
 /* Applies a row as if it had been read from the store; json NULL: the row was removed. */
 void shard_owner_put(const char *key, const char *json);
@@ -28,7 +29,8 @@
 /* Adds a machine to shard 0 and to one of its pages: it is idle, with 16 CPUs, 2 GPUs and 64 GB, up, and has enough
  * samples of its occupancy to be returned. */
 struct machine *shard_owner_add_machine(const char *id, const char *zone, bool spot);
-/* Adds n such machines, in the zones in turn, and stores them in `all`. Writes each page once. */
+/* Adds n machines with the same properties, in the zones in turn, and stores the pointers in `all`. Writes each page
+ * once. */
 void shard_owner_add_machines(struct machine **all, int n, bool spot);
 /* Adds a queued job of team green, which belongs to shard 0, accepted `age` seconds ago. */
 struct job *shard_owner_add_job(const char *job_id, const char *shape, const char *priority, int tasks, double cpus,
--- a/tests/standin/store.c
+++ b/tests/standin/store.c
@@ -122,7 +122,7 @@
 }
 
 /* Paths arrive without their query, so the revision to start from is unknown. Every watch gets all events, and clients
- * drop those that they have applied. */
+ * drop the events that they have applied before. */
 static unsigned answer_watch(const char *rest, const cJSON *body, cJSON *answer) {
     (void)rest;
     (void)body;
--- a/tests/standin/store.h
+++ b/tests/standin/store.h
@@ -24,7 +24,8 @@
 void standin_store_inject(enum standin_store_fault fault);
 /* While an endpoint is refused, all requests to it get 503. */
 void standin_store_refuse_endpoint(int endpoint, bool refused);
-/* Every second transaction that writes gets 500 and is executed so many seconds later, after newer ones; 0: none is. */
+/* Every second transaction that writes gets 500 and is executed so many seconds later, after newer transactions. With 0
+ * seconds, no transaction is delayed. */
 void standin_store_delay_transactions(double seconds);
 /* Delays every answer by so many seconds. */
 void standin_store_delay_answers(double seconds);
@@ -51,6 +52,6 @@
 int standin_store_requests(void);
 /* Number of transactions that got 400 because of their size. */
 int standin_store_oversized(void);
-/* Number of changes of allocations or machine pages whose transaction doesn't compare the mod revision of the row. */
+/* Number of changes of allocations or machine pages whose transaction does not compare the mod revision of the row. */
 int standin_store_unguarded_changes(void);
 #endif
--- a/tests/standin/store_rows.h
+++ b/tests/standin/store_rows.h
@@ -37,7 +37,7 @@
 /* Returns false if there is no such lease. */
 bool standin_leases_renew(int64_t lease);
 bool standin_leases_exist(int64_t lease);
-/* Removes the leases that were not renewed within their TTL, with all rows attached to them. */
+/* Removes the leases that were not renewed within their TTL, and all rows attached to these leases. */
 void standin_leases_expire(void);
 
 /* Adds all rows and the revision to an answer. */
--- a/tests/standin/store_transaction.h
+++ b/tests/standin/store_transaction.h
@@ -16,6 +16,6 @@
 void standin_transaction_set_limits(double value_kb, int operations, int changes_per_s);
 /* Number of transactions that got 400 because of their size. */
 int standin_transaction_oversized(void);
-/* Number of changes of allocations or machine pages whose transaction doesn't compare the mod revision of the row. */
+/* Number of changes of allocations or machine pages whose transaction does not compare the mod revision of the row. */
 int standin_transaction_unguarded(void);
 #endif
--- a/tests/standin/test_cases.h
+++ b/tests/standin/test_cases.h
@@ -1,5 +1,5 @@
 /* Test programs whose cases are rows of a table. `PROGRAM CASE ...` runs one case. `PROGRAM --cases NAME...` runs none:
- * it compares the names with those of the table, so that no case is missing in CMakeLists.txt. */
+ * it compares the names with the names in the table, so that no case is missing in CMakeLists.txt. */
 #ifndef FF_STANDIN_TEST_CASES_H
 #define FF_STANDIN_TEST_CASES_H
 #include <stdbool.h>
@@ -17,7 +17,7 @@
 
 /* Whether the command line is `PROGRAM --cases NAME...`. */
 bool test_cases_are_listed(int argc, char **argv);
-/* Returns 0 if the names on the command line are those of the table, in its order. Otherwise prints the differences to
- * stderr and returns 1. */
+/* Returns 0 if the command line lists the names in the table, in the order of the table. Otherwise prints the
+ * differences to stderr and returns 1. */
 int test_cases_compare(struct test_case_table table, int argc, char **argv);
 #endif
--- a/tests/standin/test_settings.h
+++ b/tests/standin/test_settings.h
@@ -30,7 +30,7 @@
 
 #define TEST_ADDRESS_BYTES 32
 
-/* A loopback port that the system chose as free, as tests run in parallel and can't share a fixed one. */
+/* A loopback port that the system chose as free. Tests run in parallel, so they cannot share a fixed port. */
 static inline int test_free_port(void) {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     socklen_t length = sizeof address;
--- a/tests/standin/worker.c
+++ b/tests/standin/worker.c
@@ -111,7 +111,7 @@
     return directive;
 }
 
-/* Index of the directive's task with the same attempt; -1: the machine doesn't have it. */
+/* Index of the directive's task with the same attempt; -1: the machine does not have this task. */
 static int find_task(const struct standin_worker *worker, const struct standin_directive *directive) {
     for (guint i = 0; i < worker->tasks->len; i++) {
         const struct standin_task *task = &g_array_index(worker->tasks, struct standin_task, i);
--- a/tests/standin/worker.h
+++ b/tests/standin/worker.h
@@ -46,7 +46,7 @@
 cJSON *standin_worker_heartbeat(struct standin_worker *worker);
 /* Stores the fencing token of an answer or command. Returns false if it has none, or a newer token was seen before. */
 bool standin_worker_accept_token(struct standin_worker *worker, const cJSON *object);
-/* Whether the command has a fencing token that isn't stale, and names the machine's present incarnation. */
+/* Whether the command has a fencing token that is not stale, and names the machine's present incarnation. */
 bool standin_worker_accepts_command(const struct standin_worker *worker, const cJSON *command);
 
 /* One directive of a command or of the answer to a heartbeat. The strings belong to the JSON object. */
--- a/tests/standin/worker_messages.h
+++ b/tests/standin/worker_messages.h
@@ -21,8 +21,8 @@
 
 /* The functions below are called with store_lock held. */
 
-/* Adds a machine, the only one of its page, with allocations of one job from attempt 5 on. They were made by this
- * owner, or inherited from the shard's previous owner. */
+/* Adds a machine, the only machine of its page, with allocations of one job from attempt 5 on. The allocations were
+ * made by this owner, or inherited from the shard's previous owner. */
 struct machine *worker_add_machine(const char *id, const char *job_id, const char *allocations, bool inherited);
 /* Removes the machine's page and the job's allocations. */
 void worker_remove_machine(const char *job_id);
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -276,8 +276,8 @@
     return NULL;
 }
 
-/* Returns the next copy that is due, with the URL of the controller after the one that got the original; NULL: none is
- * due. */
+/* Returns the next copy that is due; NULL: no copy is due. Writes the address to send the copy to into url: the
+ * controller whose index follows the index of the controller that got the original. */
 static struct heartbeat_copy *next_copy(char *url) {
     pthread_mutex_lock(&workers.lock);
     struct heartbeat_copy *copy = g_queue_peek_head(workers.copies);
--- a/tests/standin/workers.h
+++ b/tests/standin/workers.h
@@ -16,14 +16,15 @@
 void standin_workers_add_controller(const char *node, const char *controller);
 /* Sets the port of the first machine; further machines use the ports above it. Called before a machine is added. */
 void standin_workers_set_first_port(int first);
-/* Sets how long a machine keeps its tasks running without an answer to a heartbeat. Unless set, it never kills them. */
+/* Sets after how many seconds without an answer to a heartbeat a machine kills its tasks. Without this call, machines
+ * do not kill tasks for that reason. */
 void standin_workers_set_lease(double seconds);
 
 /* For the stand-in of the cloud: adds a machine and returns its id, which stays valid; NULL: STANDIN_WORKERS_MAX
  * machines were added before. */
 const char *standin_workers_add(bool spot);
-/* For the stand-in of the cloud: switches the machine off. Returns false if it doesn't exist or was switched off
- * before. */
+/* For the stand-in of the cloud: switches the machine off. Returns false if the machine does not exist or was switched
+ * off before. */
 bool standin_workers_remove(const char *id);
 /* Number of machines that were added and not removed. */
 int standin_workers_alive(void);
@@ -40,7 +41,7 @@
     STANDIN_HANGS,            /* sends nothing; commands get an error and are executed when the fault ends */
     STANDIN_PARTITIONED       /* sends heartbeats to the first controller only; commands are lost */
 };
-/* Replaces the machine's fault; index -1: that of all machines. */
+/* Replaces the machine's fault; index -1: the faults of all machines. */
 void standin_workers_inject(int index, enum standin_worker_fault fault);
 /* Sets whether all machines are unreachable: they send no heartbeats, and commands are lost. */
 void standin_workers_set_unreachable(bool unreachable);
@@ -48,7 +49,8 @@
 void standin_workers_set_machine_unreachable(int index);
 /* Sends a copy of every heartbeat to the next controller, so many seconds later; 0: no copies. */
 void standin_workers_duplicate_heartbeats(double after_s);
-/* Makes workers send their heartbeats to this controller, until its answer makes them change. */
+/* Makes workers send their heartbeats to this controller. A worker changes to another controller when a heartbeat gets
+ * no answer, or an answer other than 200. */
 void standin_workers_report_to(int controller);
 /* Sets the time to fetch the images of tasks with this prefix; NULL: no task needs time. The prefix is kept, not
  * copied. */
