--- a/src/api/api.c
+++ b/src/api/api.c
@@ -18,32 +18,33 @@
 
 enum resource { RESOURCE_OTHER, RESOURCE_JOBS, RESOURCE_JOB, RESOURCE_CANCELLATION, RESOURCE_UNKNOWN };
 
-/* What a path names: PATH_JOBS, PATH_JOBS/ID or PATH_JOBS/ID/cancel, with the ID in job_id, not checked yet. */
+/* Returns the resource of a path: PATH_JOBS, PATH_JOBS/ID or PATH_JOBS/ID/cancel. Copies the ID to job_id without
+ * checking that it is valid. */
 static enum resource parse_path(const char *path, char job_id[JOB_ID_SIZE]) {
-    size_t prefix = strlen(PATH_JOBS "/");
+    size_t prefix_length = strlen(PATH_JOBS "/");
     if (strcmp(path, PATH_JOBS) == 0) return RESOURCE_JOBS;
-    if (strncmp(path, PATH_JOBS "/", prefix) != 0) return RESOURCE_OTHER;
-    const char *name = path + prefix, *slash = strchr(name, '/');
+    if (strncmp(path, PATH_JOBS "/", prefix_length) != 0) return RESOURCE_OTHER;
+    const char *id_start = path + prefix_length, *slash = strchr(id_start, '/');
     if (slash && strcmp(slash, PATH_CANCEL) != 0) return RESOURCE_UNKNOWN;
-    if (strlen(name) >= JOB_ID_SIZE + strlen(PATH_CANCEL)) return RESOURCE_UNKNOWN;
-    size_t length = slash ? (size_t)(slash - name) : strlen(name);
-    g_strlcpy(job_id, name, MIN(JOB_ID_SIZE, length + 1));
+    if (strlen(id_start) >= JOB_ID_SIZE + strlen(PATH_CANCEL)) return RESOURCE_UNKNOWN;
+    size_t id_length = slash ? (size_t)(slash - id_start) : strlen(id_start);
+    g_strlcpy(job_id, id_start, MIN(JOB_ID_SIZE, id_length + 1));
     return slash ? RESOURCE_CANCELLATION : RESOURCE_JOB;
 }
 
 bool api_route(struct http_request *http) {
     char job_id[JOB_ID_SIZE];
     enum resource resource = parse_path(http_path(http), job_id);
-    const char *method = resource == RESOURCE_JOB ? "GET" : "POST";
+    const char *allowed_method = resource == RESOURCE_JOB ? "GET" : "POST";
     if (resource == RESOURCE_OTHER) return false;
     if (resource == RESOURCE_UNKNOWN) {
-        respond_refused(http, REFUSAL_PATH_UNKNOWN);
-    } else if (strcmp(http_method(http), method) != 0) {
-        respond_refused(http, REFUSAL_METHOD_NOT_ALLOWED);
+        respond_refusal_reason(http, REFUSAL_PATH_UNKNOWN);
+    } else if (strcmp(http_method(http), allowed_method) != 0) {
+        respond_refusal_reason(http, REFUSAL_METHOD_NOT_ALLOWED);
     } else if (resource == RESOURCE_JOBS) {
         submit_receive(http);
     } else if (!job_id_valid(job_id)) {
-        respond_refused(http, REFUSAL_JOB_UNKNOWN);
+        respond_refusal_reason(http, REFUSAL_JOB_UNKNOWN);
     } else if (resource == RESOURCE_CANCELLATION) {
         cancel_receive(http, job_id);
     } else {
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -1,9 +1,10 @@
-/* The users' interface: submissions, polls and cancellations of jobs, as HTTP requests.
+/* The HTTP interface for users: submissions, polls and cancellations of jobs.
  *
- * A request takes one of three ways. What the mirror can answer for good (a job's final state) or can't answer at all
- * is answered at once, on the HTTP server's thread. Submissions, cancellations and whatever else has to write go to the
- * write queue (batch.h), polls to the poll queue (poll.h); a thread each sends one transaction for many requests and
- * answers once the store has confirmed it. Statuses and texts of all answers are in responses.h. */
+ * A request is handled in one of three ways. The HTTP server's thread responds immediately if the mirror shows a final
+ * state of the job, which never changes, or if the store is unreachable. Requests that write to the store go to the
+ * write queue (batch.h): submissions, cancellations, and polls that first have to cancel the job. Other polls go to the
+ * poll queue (poll.h). Each queue has one thread, which sends one transaction for many requests and responds after the
+ * store has confirmed it. responses.h defines the statuses and texts of all responses. */
 #ifndef FF_API_H
 #define FF_API_H
 #include <stdbool.h>
@@ -11,12 +12,12 @@
 #include "../http/server.h"
 #include "../settings/settings.h"
 
-/* Both by service, at the start and in this order; the settings have to outlive the process. */
+/* Both are called once by service at startup, in this order. Keeps the pointer to the settings. */
 void api_init(const struct settings *settings);
 /* Starts the threads of the two queues. */
 void api_start(void);
 
-/* Answers the request or queues it, and then owns it. False, and nothing done, if the path is not one of the API's. On
- * the HTTP server's thread, without the lock. */
+/* Responds to the request or queues it, and takes ownership of it. Returns false and leaves the request alone if the
+ * path doesn't belong to the API. Called on the HTTP server's thread, without store_lock. */
 bool api_route(struct http_request *http);
 #endif
--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -16,19 +16,19 @@
 #include "request_queue.h"
 #include "submit.h"
 
-#define ATTEMPTS_MAX 4
-#define ATTEMPTS_S 1.5  /* no new attempt after that */
-#define OVER_RATE_S 0.5 /* for so long a write above the rate is tried again */
-#define OVER_RATE_PAUSE_S 0.08
-#define CONFIRMED_S 1.5 /* so long after the request for it a confirmation of the store may be passed on */
+#define ATTEMPTS_MAX 4 /* not counting retries because of the rate */
+#define RETRY_PERIOD_S 1.5
+#define RATE_RETRY_PERIOD_S 0.5
+#define RATE_RETRY_DELAY_S 0.08
+#define CONFIRMATION_MAX_AGE_S 1.5 /* since the transaction was sent */
 
 static const struct settings *settings;
 static struct request_queue write_queue;
 
-/* The latest transaction of a batch, and what came of it. */
+/* The latest transaction of a batch and its result. */
 struct attempt {
     struct store_txn txn;
-    struct timespec sent;
+    struct timespec sent_at;
     enum store_result result;
 };
 
@@ -41,7 +41,7 @@
 
 /* ---- Writing ---- */
 
-/* An earlier request of the batch about the same job; NULL: none. */
+/* Returns the first request of the batch before index that concerns the same job, or NULL. */
 static const struct api_request *find_earlier(const GPtrArray *batch, guint index) {
     const struct api_request *request = batch->pdata[index];
     for (guint i = 0; i < index; i++) {
@@ -51,7 +51,8 @@
     return NULL;
 }
 
-/* With store_lock held. A job that is known by now needs a comparison only, unless it is to be cancelled. */
+/* Adds a request's comparison and write to the transaction. A known job is only compared, unless the request cancels
+ * it. Called with store_lock held. */
 static void add_request(const GPtrArray *batch, guint index, struct store_txn *txn) {
     struct api_request *request = batch->pdata[index];
     const struct api_request *earlier = find_earlier(batch, index);
@@ -80,8 +81,8 @@
     store_unlock();
 }
 
-/* Brings the mirror up to what the store's response shows of the keys that the transaction names. */
-static void apply_outcome(struct http_client *client, const GPtrArray *batch, const struct attempt *attempt,
+/* Updates the keys of the transaction in the mirror according to its result. */
+static void update_mirror(struct http_client *client, const GPtrArray *batch, const struct attempt *attempt,
                           const struct store_response *response) {
     if (attempt->result == STORE_OK) {
         store_lock();
@@ -91,8 +92,8 @@
     } else if (attempt->result == STORE_CONFLICT) {
         for (guint i = 0; i < response->conflicts->len; i++) store_refresh(client, response->conflicts->pdata[i]);
     } else if (attempt->result == STORE_UNKNOWN) {
-        /* The response is lost: the keys tell whether the transaction was applied. What may yet be applied late is a
-         * submission or a cancellation that its user repeats. */
+        /* The keys show whether the transaction was carried out. If it still is carried out later, this does no harm:
+         * it writes only submissions and cancellations that the users retry. */
         for (guint i = 0; i < batch->len; i++) {
             const struct api_request *request = batch->pdata[i];
             if (request->written && !request->repeated) store_refresh(client, store_key_job(request->job_id).text);
@@ -100,64 +101,64 @@
     }
 }
 
-/* Above the rate, while the store is in reach: the next scheduling round's writes go in a moment. If it were refused,
- * the user would be back a second later at the earliest. */
-static bool is_only_over_rate(enum store_result result, struct timespec began) {
-    if (result != STORE_REJECTED || clock_seconds_since(began) >= OVER_RATE_S) return false;
+/* Returns whether to retry a transaction that was rejected because of the rate although the store is reachable. The
+ * budget recovers shortly after the writes of a scheduling round, while a refused user waits at least 1 s. */
+static bool should_retry_for_rate(enum store_result result, struct timespec started_at) {
+    if (result != STORE_REJECTED || clock_seconds_since(started_at) >= RATE_RETRY_PERIOD_S) return false;
     return !store_is_unreachable();
 }
 
-/* Whether another attempt can't change the outcome, or comes too late. */
-static bool is_settled(enum store_result result, struct timespec began) {
+/* Returns whether another attempt can't change the result or would be too late. */
+static bool is_final(enum store_result result, struct timespec started_at) {
     return result == STORE_OK || result == STORE_REJECTED || result == STORE_INVALID ||
-           clock_seconds_since(began) > ATTEMPTS_S;
+           clock_seconds_since(started_at) > RETRY_PERIOD_S;
 }
 
-static enum store_priority priority_of(const GPtrArray *batch) {
+static enum store_priority batch_priority(const GPtrArray *batch) {
     for (guint i = 0; i < batch->len; i++)
         if (((const struct api_request *)batch->pdata[i])->kind == REQUEST_CANCEL) return STORE_PRIORITY_CANCEL;
     return STORE_PRIORITY_ACCEPT;
 }
 
-static void try_to_write(struct http_client *client, const GPtrArray *batch, enum store_priority priority,
-                         struct attempt *attempt) {
+static void send_transaction(struct http_client *client, const GPtrArray *batch, enum store_priority priority,
+                             struct attempt *attempt) {
     struct store_response response;
     store_txn_free(&attempt->txn);
     store_txn_init(&attempt->txn);
     fill_transaction(batch, &attempt->txn);
-    attempt->sent = clock_now();
+    attempt->sent_at = clock_now();
     attempt->result = store_commit(client, priority, &attempt->txn, &response);
-    apply_outcome(client, batch, attempt, &response);
+    update_mirror(client, batch, attempt, &response);
     store_response_clear(&response);
 }
 
-/* Writes the batch, in as many attempts as it takes, and leaves the last one in *attempt. */
+/* Sends the transaction of the batch, with retries, and stores the last attempt in *attempt. */
 static void write_batch(struct http_client *client, const GPtrArray *batch, struct attempt *attempt) {
-    enum store_priority priority = priority_of(batch);
-    struct timespec began = clock_now();
+    enum store_priority priority = batch_priority(batch);
+    struct timespec started_at = clock_now();
     for (int attempts = 0; attempts < ATTEMPTS_MAX;) {
-        try_to_write(client, batch, priority, attempt);
-        if (is_only_over_rate(attempt->result, began)) {
-            clock_sleep(clock_from_seconds(OVER_RATE_PAUSE_S));
+        send_transaction(client, batch, priority, attempt);
+        if (should_retry_for_rate(attempt->result, started_at)) {
+            clock_sleep(clock_from_seconds(RATE_RETRY_DELAY_S));
             continue;
         }
-        if (is_settled(attempt->result, began)) return;
+        if (is_final(attempt->result, started_at)) return;
         attempts++;
     }
 }
 
-/* ---- Answering ---- */
+/* ---- Responding ---- */
 
-static void respond_unwritten(const struct api_request *request, enum store_result result) {
+static void respond_unconfirmed(const struct api_request *request, enum store_result result) {
     bool over_rate = result == STORE_REJECTED && !store_is_unreachable();
     if (over_rate && refusal_status(request->refusal.reason) != HTTP_SERVICE_UNAVAILABLE) {
-        respond_refused(request->http, REFUSAL_WRITE_BUDGET);
+        respond_refusal_reason(request->http, REFUSAL_WRITE_BUDGET);
     } else {
-        respond_refused(request->http, REFUSAL_STORE_SILENT);
+        respond_refusal_reason(request->http, REFUSAL_STORE_NO_RESPONSE);
     }
 }
 
-static void respond_written(const struct api_request *request) {
+static void respond_confirmed(const struct api_request *request) {
     store_lock();
     struct job *job = jobs_find(request->job_id);
     switch (request->kind) {
@@ -176,15 +177,15 @@
 
 static void respond_to_batch(const GPtrArray *batch, const struct attempt *attempt) {
     enum store_result result = attempt->result;
-    /* The process was paused since: another controller may have answered with a newer state. Final states stay true,
-     * but are confirmed again as well. */
-    if (result == STORE_OK && clock_seconds_since(attempt->sent) > CONFIRMED_S) result = STORE_UNKNOWN;
+    /* The process was paused after sending the transaction, and another controller may have reported a newer state to
+     * the user since. The user has to retry even if the state is final and therefore still true. */
+    if (result == STORE_OK && clock_seconds_since(attempt->sent_at) > CONFIRMATION_MAX_AGE_S) result = STORE_UNKNOWN;
     for (guint i = 0; i < batch->len; i++) {
         struct api_request *request = batch->pdata[i];
         if (result == STORE_OK) {
-            respond_written(request);
+            respond_confirmed(request);
         } else {
-            respond_unwritten(request, result);
+            respond_unconfirmed(request, result);
         }
         request_free(request);
     }
--- a/src/api/batch.h
+++ b/src/api/batch.h
@@ -1,13 +1,13 @@
-/* Requests that write: submissions, cancellations, and polls of jobs that are to be cancelled with a prerequisite. The
- * write queue's thread puts them into one transaction, and answers them once the store has confirmed it. */
+/* Write queue: submissions, cancellations, and polls of jobs that have to be cancelled because of a prerequisite. Its
+ * thread puts many requests into one transaction and responds after the store has confirmed it. */
 #ifndef FF_API_BATCH_H
 #define FF_API_BATCH_H
 #include "../settings/settings.h"
 #include "request.h"
 
-/* By api_init and api_start. */
+/* Called by api_init and api_start. Keeps the pointer to the settings. */
 void batch_init(const struct settings *settings);
 void batch_start(void);
-/* Queues a request, and owns it from then on. On the HTTP server's thread, without the lock. */
+/* Queues a request and takes ownership of it. Called on the HTTP server's thread, without store_lock. */
 void batch_enqueue(struct api_request *request);
 #endif
--- a/src/api/latency.h
+++ b/src/api/latency.h
@@ -1,19 +1,19 @@
-/* How long users wait for answers: a histogram of the time from a request's arrival to its answer. Thread-safe; without
- * the lock. */
+/* Histogram of response times: the time from the arrival of a user's request to its response. Thread-safe; called
+ * without store_lock. */
 #ifndef FF_API_LATENCY_H
 #define FF_API_LATENCY_H
 #include <time.h>
 
-/* By api_init. */
+/* Called by api_init. */
 void latency_init(void);
-/* Counts an answer that is sent now, to a request that arrived at that instant. */
-void latency_record(struct timespec arrived);
+/* Counts a response that is sent now to a request that arrived at arrived_at. */
+void latency_record(struct timespec arrived_at);
 
-/* Answers in a period, and the time that they took. */
+/* The responses in a period and their response times. */
 struct latency_summary {
-    int answers;
-    double median_ms, p95_ms; /* 0 if there were no answers */
+    int responses;
+    double median_ms, p95_ms; /* 0 if there were no responses */
 };
-/* Answers since the last call, which starts the count anew. By service, for its status lines. */
+/* Returns the summary of the period since the last call. Called by service for the status lines. */
 struct latency_summary latency_take_summary(void);
 #endif
--- a/src/api/poll.c
+++ b/src/api/poll.c
@@ -15,16 +15,16 @@
 #include "request.h"
 #include "request_queue.h"
 
-#define ANSWER_WITHIN_S 2.0 /* users wait no longer for the answer to a poll */
-#define GATHER_S 0.08       /* for so long more polls are gathered where requests to the store are scarce */
-/* A batch of polls only compares: it may be so many times as large as one of writes. */
-#define BATCH_PER_TRANSACTION 4
+#define RESPONSE_TIMEOUT_S 2.0
+#define BATCH_DELAY_S 0.08 /* wait for more polls if requests to the store are scarce */
+/* The transaction of a batch has comparisons only, so it may have a multiple of the operations allowed for writes. */
+#define COMPARISONS_PER_OPERATION 4
 
 static const struct settings *settings;
 static struct request_queue poll_queue;
 
-/* After a conflict the keys concerned were read again, at a revision after the poll arrived. A read that failed leaves
- * the older record, which is not confirmed. */
+/* Returns whether the mirror still has the record that the store reported as changed. Changed keys are read again after
+ * the conflict; if that read fails, their records remain unconfirmed. */
 static bool is_outdated(const struct api_request *request, const struct store_response *response, const char *key) {
     for (guint i = 0; response->conflicts && i < response->conflicts->len; i++) {
         if (strcmp(response->conflicts->pdata[i], key) == 0)
@@ -36,23 +36,23 @@
 static void respond(const struct api_request *request, enum store_result result,
                     const struct store_response *response) {
     if (result != STORE_OK && result != STORE_CONFLICT) {
-        respond_refused(request->http, REFUSAL_STORE_UNREACHABLE);
+        respond_refusal_reason(request->http, REFUSAL_STORE_UNREACHABLE);
         return;
     }
-    if (clock_seconds_since(request->arrived) > ANSWER_WITHIN_S) {
-        /* This process was paused or is far behind: what was confirmed may be old by now. */
-        respond_refused(request->http, REFUSAL_POLL_EXPIRED);
+    if (clock_seconds_since(request->arrived_at) > RESPONSE_TIMEOUT_S) {
+        /* This process was paused or is overloaded, so the confirmed state may be outdated. */
+        respond_refusal_reason(request->http, REFUSAL_POLL_EXPIRED);
         return;
     }
     struct store_key key = store_key_job(request->job_id);
     store_lock();
     const struct job *job = jobs_find(request->job_id);
     if (is_outdated(request, response, key.text)) {
-        respond_refused(request->http, REFUSAL_RECORD_UNCONFIRMED);
+        respond_refusal_reason(request->http, REFUSAL_RECORD_UNCONFIRMED);
     } else if (job && job->known) {
         respond_job(request->http, job);
     } else {
-        respond_refused(request->http, REFUSAL_JOB_UNKNOWN);
+        respond_refusal_reason(request->http, REFUSAL_JOB_UNKNOWN);
     }
     store_unlock();
 }
@@ -68,8 +68,8 @@
     store_unlock();
 }
 
-/* One transaction without writes answers for a whole batch. */
-static void confirm(struct http_client *client, const GPtrArray *batch) {
+/* Confirms the records of a whole batch by one transaction without writes, and responds to all requests. */
+static void confirm_and_respond(struct http_client *client, const GPtrArray *batch) {
     struct store_txn txn;
     struct store_response response;
     store_txn_init(&txn);
@@ -85,14 +85,14 @@
     store_txn_free(&txn);
 }
 
-static void gather(GPtrArray *batch) {
-    guint most = (guint)settings->txn_ops * BATCH_PER_TRANSACTION;
+static void take_batch(GPtrArray *batch) {
+    guint max_requests = (guint)settings->txn_ops * COMPARISONS_PER_OPERATION;
     g_ptr_array_set_size(batch, 0);
-    request_queue_take(&poll_queue, batch, most);
-    /* The batch widens where requests are scarce: polls by the hundred, a request each, left none for allocations. */
+    request_queue_take(&poll_queue, batch, max_requests);
+    /* Hundreds of polls with one request each would leave no requests to the store for allocations. */
     if (batch->len < (guint)settings->txn_ops && store_budget_requests_scarce()) {
-        clock_sleep(clock_from_seconds(GATHER_S));
-        request_queue_take_waiting(&poll_queue, batch, most);
+        clock_sleep(clock_from_seconds(BATCH_DELAY_S));
+        request_queue_take_available(&poll_queue, batch, max_requests);
     }
 }
 
@@ -101,15 +101,15 @@
     struct http_client *client = http_client_new();
     GPtrArray *batch = g_ptr_array_new();
     for (;;) {
-        gather(batch);
-        confirm(client, batch);
+        take_batch(batch);
+        confirm_and_respond(client, batch);
     }
     return NULL;
 }
 
 void poll_receive(struct http_request *http, const char *job_id) {
     struct api_request *request = request_new(REQUEST_POLL, http, job_id);
-    switch (request_examine(request)) {
+    switch (request_try_answer(request)) {
         case NEED_NOTHING:
             break;
         case NEED_CONFIRMATION:
--- a/src/api/request.c
+++ b/src/api/request.c
@@ -14,36 +14,36 @@
     struct api_request *request = g_new0(struct api_request, 1);
     request->kind = kind;
     request->http = http;
-    request->arrived = clock_now();
+    request->arrived_at = clock_now();
     g_strlcpy(request->job_id, job_id, sizeof request->job_id);
     return request;
 }
 
 void request_free(struct api_request *request) {
-    latency_record(request->arrived);
+    latency_record(request->arrived_at);
     free(request->spec_text);
     g_strfreev(request->prerequisites);
     g_free(request);
 }
 
 void request_refuse(struct api_request *request, enum refusal_reason reason) {
-    respond_refused(request->http, reason);
+    respond_refusal_reason(request->http, reason);
     request_free(request);
 }
 
-enum request_need request_examine(struct api_request *request) {
+enum request_need request_try_answer(struct api_request *request) {
     store_lock();
     const struct job *job = jobs_find(request->job_id);
-    bool final = job && job->known && job->state != JOB_QUEUED, unreachable = store_unreachable();
+    bool is_final = job && job->known && job->state != JOB_QUEUED, is_unreachable = store_unreachable();
     bool must_cancel = job && dependencies_must_cancel(job);
-    if (final) respond_job(request->http, job);
+    if (is_final) respond_job(request->http, job);
     store_unlock();
-    if (final) {
+    if (is_final) {
         request_free(request);
         return NEED_NOTHING;
     }
-    if (unreachable) {
-        /* At once: asking a store that is out of reach would only use up the time that the user waits. */
+    if (is_unreachable) {
+        /* A request to the unreachable store would only delay the response. */
         request_refuse(request, REFUSAL_STORE_UNREACHABLE);
         return NEED_NOTHING;
     }
--- a/src/api/request_queue.h
+++ b/src/api/request_queue.h
@@ -1,4 +1,4 @@
-/* Requests that wait for a thread of the API. Thread-safe; without the lock. */
+/* Queue of requests that wait for a thread of the API. Thread-safe; called without store_lock. */
 #ifndef FF_API_REQUEST_QUEUE_H
 #define FF_API_REQUEST_QUEUE_H
 #include <glib.h>
@@ -6,19 +6,19 @@
 
 #include "request.h"
 
-/* The HTTP server's thread adds requests; one other thread takes them. */
+/* The HTTP server's thread adds requests; the queue's thread takes them. */
 struct request_queue {
     pthread_mutex_t lock;
     pthread_cond_t not_empty;
     GQueue *requests;
 };
 
-/* Before the queue is used. */
+/* Called once, before the queue is used. */
 void request_queue_init(struct request_queue *queue);
-/* Queues the request; one that finds the queue full is refused and freed. */
+/* Suspends and queues the request, or refuses and frees it if the queue is full. */
 void request_queue_push(struct request_queue *queue, struct api_request *request);
-/* Waits until there are requests, and adds them to the batch until it holds that many. */
-void request_queue_take(struct request_queue *queue, GPtrArray *batch, guint most);
-/* Adds those that are there, without waiting. */
-void request_queue_take_waiting(struct request_queue *queue, GPtrArray *batch, guint most);
+/* Waits until the queue has a request, then moves requests to the batch until it has max_requests. */
+void request_queue_take(struct request_queue *queue, GPtrArray *batch, guint max_requests);
+/* Like request_queue_take, without waiting. */
+void request_queue_take_available(struct request_queue *queue, GPtrArray *batch, guint max_requests);
 #endif
--- a/src/api/responses.c
+++ b/src/api/responses.c
@@ -6,16 +6,16 @@
 #include "../jobs/job_spec.h"
 #include "../jobs/jobs.h"
 
-#define BODY_BYTES 256
+#define BODY_SIZE 256
 
 struct refusal_response {
     enum http_status status;
-    int retry_after_s;  /* 0: no such header */
-    const char *format; /* of the text: may show the refusal's subject, and after it the limit of a record's bytes */
+    int retry_after_s;  /* 0: no Retry-After header */
+    const char *format; /* printf format of the text; arguments: subject (char *), maximum record size (size_t) */
 };
 
-#define TEAM JOB_SPEC_FIELD_TEAM
-#define PREREQUISITES JOB_SPEC_FIELD_PREREQUISITES
+#define TEAM_FIELD JOB_SPEC_FIELD_TEAM
+#define PREREQUISITES_FIELD JOB_SPEC_FIELD_PREREQUISITES
 
 static const struct refusal_response refusal_responses[] = {
     [REFUSAL_NONE] = {0, 0, ""},
@@ -25,17 +25,18 @@
     [REFUSAL_FIELD_INVALID] = {HTTP_BAD_REQUEST, 0, "%s: missing or invalid"},
     [REFUSAL_RECORD_TOO_LARGE] = {HTTP_BAD_REQUEST, 0, "%.40s: too long, a job's record may take %zu bytes"},
     [REFUSAL_JOB_UNKNOWN] = {HTTP_NOT_FOUND, 0, "no such job"},
-    [REFUSAL_TEAM_UNKNOWN] = {HTTP_UNPROCESSABLE, 0, TEAM ": unknown team"},
+    [REFUSAL_TEAM_UNKNOWN] = {HTTP_UNPROCESSABLE, 0, TEAM_FIELD ": unknown team"},
     [REFUSAL_FITS_NO_MACHINE_TYPE] = {HTTP_UNPROCESSABLE, 0, "a task fits no allowed machine type"},
     [REFUSAL_ABOVE_TEAM_LIMIT] = {HTTP_UNPROCESSABLE, 0, "needs more than the team's limit"},
-    [REFUSAL_PREREQUISITE_ITSELF] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES ": %s names itself"},
-    [REFUSAL_PREREQUISITE_SERVICE] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES ": %s is a service"},
-    [REFUSAL_PREREQUISITE_UNKNOWN] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES ": %s was never accepted"},
-    [REFUSAL_PREREQUISITE_UNREADABLE] = {HTTP_SERVICE_UNAVAILABLE, 2, PREREQUISITES ": the record of %s can't be read"},
+    [REFUSAL_PREREQUISITE_ITSELF] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES_FIELD ": %s names itself"},
+    [REFUSAL_PREREQUISITE_SERVICE] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES_FIELD ": %s is a service"},
+    [REFUSAL_PREREQUISITE_UNKNOWN] = {HTTP_UNPROCESSABLE, 0, PREREQUISITES_FIELD ": %s was never accepted"},
+    [REFUSAL_PREREQUISITE_UNREADABLE] = {HTTP_SERVICE_UNAVAILABLE, 2,
+                                         PREREQUISITES_FIELD ": the record of %s can't be read"},
     [REFUSAL_QUEUE_FULL] = {HTTP_TOO_MANY_REQUESTS, 2, "too many requests wait here"},
     [REFUSAL_WRITE_BUDGET] = {HTTP_TOO_MANY_REQUESTS, 1, "over the write budget"},
     [REFUSAL_STORE_UNREACHABLE] = {HTTP_SERVICE_UNAVAILABLE, 2, "the state service is out of reach"},
-    [REFUSAL_STORE_SILENT] = {HTTP_SERVICE_UNAVAILABLE, 2, "the state service did not answer"},
+    [REFUSAL_STORE_NO_RESPONSE] = {HTTP_SERVICE_UNAVAILABLE, 2, "the state service did not answer"},
     [REFUSAL_MACHINE_TYPES_UNKNOWN] = {HTTP_SERVICE_UNAVAILABLE, 1, "machine types are not known yet"},
     [REFUSAL_RECORD_UNCONFIRMED] = {HTTP_SERVICE_UNAVAILABLE, 1, "the state service did not answer"},
     [REFUSAL_POLL_EXPIRED] = {HTTP_SERVICE_UNAVAILABLE, 1, "the answer took too long"},
@@ -43,13 +44,13 @@
     [REFUSAL_PREREQUISITE_CANCELLED] = {HTTP_SERVICE_UNAVAILABLE, 1, "a job that it needs is cancelled"},
 };
 
-struct refusal refusal_about(enum refusal_reason reason, const char *subject) {
+struct refusal refusal_with_subject(enum refusal_reason reason, const char *subject) {
     struct refusal refusal = {.reason = reason};
     g_strlcpy(refusal.subject, subject, sizeof refusal.subject);
     return refusal;
 }
 
-struct refusal refusal_of_feasibility(enum job_feasibility feasibility) {
+struct refusal refusal_from_feasibility(enum job_feasibility feasibility) {
     static const enum refusal_reason reasons[] = {
         [JOB_FEASIBLE] = REFUSAL_NONE,
         [JOB_TEAM_UNKNOWN] = REFUSAL_TEAM_UNKNOWN,
@@ -59,16 +60,16 @@
     return (struct refusal){.reason = reasons[feasibility]};
 }
 
-struct refusal refusal_of_prerequisites(struct prerequisites_check check) {
+struct refusal refusal_from_prerequisites(struct prerequisites_check check) {
     static const enum refusal_reason reasons[] = {
         [PREREQUISITES_VALID] = REFUSAL_NONE,
         [PREREQUISITE_ITSELF] = REFUSAL_PREREQUISITE_ITSELF,
         [PREREQUISITE_SERVICE] = REFUSAL_PREREQUISITE_SERVICE,
         [PREREQUISITE_UNKNOWN] = REFUSAL_PREREQUISITE_UNKNOWN,
         [PREREQUISITE_UNREADABLE] = REFUSAL_PREREQUISITE_UNREADABLE,
-        [PREREQUISITE_STORE_UNAVAILABLE] = REFUSAL_STORE_SILENT,
+        [PREREQUISITE_STORE_UNAVAILABLE] = REFUSAL_STORE_NO_RESPONSE,
     };
-    return refusal_about(reasons[check.result], check.job_id ? check.job_id : "");
+    return refusal_with_subject(reasons[check.result], check.job_id ? check.job_id : "");
 }
 
 enum http_status refusal_status(enum refusal_reason reason) { return refusal_responses[reason].status; }
@@ -78,19 +79,19 @@
 }
 
 void respond_refusal(struct http_request *http, const struct refusal *refusal) {
-    char text[REFUSAL_TEXT_SIZE], body[BODY_BYTES];
+    char text[REFUSAL_TEXT_SIZE], body[BODY_SIZE];
     refusal_text(refusal, text, sizeof text);
     snprintf(body, sizeof body, "{\"error\":\"%s\"}", text);
     http_reply(http, refusal_status(refusal->reason), body, refusal_responses[refusal->reason].retry_after_s);
 }
 
-void respond_refused(struct http_request *http, enum refusal_reason reason) {
+void respond_refusal_reason(struct http_request *http, enum refusal_reason reason) {
     respond_refusal(http, &(struct refusal){.reason = reason});
 }
 
 static void respond_state(struct http_request *http, enum http_status status, const struct job *job, const char *state,
                           int done, int running) {
-    char body[BODY_BYTES];
+    char body[BODY_SIZE];
     snprintf(body, sizeof body, "{\"" JOB_SPEC_FIELD_ID "\":\"%s\",\"state\":\"%s\",\"done\":%d,\"running\":%d}",
              job->spec.job_id, state, done, running);
     http_reply(http, status, body, 0);
@@ -99,7 +100,7 @@
 void respond_job(struct http_request *http, const struct job *job) {
     int running;
     if (dependencies_must_cancel(job)) {
-        respond_refused(http, REFUSAL_PREREQUISITE_CANCELLED);
+        respond_refusal_reason(http, REFUSAL_PREREQUISITE_CANCELLED);
         return;
     }
     const char *state = jobs_state_name(job, &running);
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -21,42 +21,42 @@
 
 static bool is_refused(const struct api_request *request) { return request->refusal.reason != REFUSAL_NONE; }
 
-/* What becomes of a submission at its arrival. */
+/* How a submission is handled on arrival. SUBMIT_ANSWERED: the response was sent. */
 enum submit_decision { SUBMIT_ANSWERED, SUBMIT_STORE_UNREACHABLE, SUBMIT_MACHINE_TYPES_UNKNOWN, SUBMIT_QUEUED };
 
-/* Decides by what the mirror says, and refuses a new job that could never run. A final state is true for good, and is
- * answered at once. */
-static enum submit_decision decide(struct api_request *request, const struct job_spec *spec) {
+/* Decides how to handle a submission according to the mirror. Responds immediately if the job is in a final state,
+ * which never changes. Marks the submission of a new job that could never run as refused. */
+static enum submit_decision decide_on_arrival(struct api_request *request, const struct job_spec *spec) {
     enum submit_decision decision = SUBMIT_QUEUED;
     store_lock();
     const struct job *job = jobs_find(request->job_id);
-    bool known = job && job->known, to_check = !known && !is_refused(request);
+    bool known = job && job->known, needs_check = !known && !is_refused(request);
     if (known && job->state != JOB_QUEUED) {
         respond_job(request->http, job);
         decision = SUBMIT_ANSWERED;
     } else if (store_unreachable()) {
         decision = SUBMIT_STORE_UNREACHABLE;
-    } else if (to_check && !machine_types_known()) {
+    } else if (needs_check && !machine_types_known()) {
         decision = SUBMIT_MACHINE_TYPES_UNKNOWN;
-    } else if (to_check) {
+    } else if (needs_check) {
         request->refusal =
-            refusal_of_feasibility(job_check_feasible(spec, settings, machine_types_all(), machine_types_count()));
+            refusal_from_feasibility(job_check_feasible(spec, settings, machine_types_all(), machine_types_count()));
     }
     store_unlock();
     return decision;
 }
 
-/* The field whose value takes most of the record. */
+/* Returns the name of the field with the longest value, or "body" if there are no fields. */
 static const char *largest_field(const cJSON *submission) {
     const char *largest = "body";
-    size_t most = 0;
+    size_t max_length = 0;
     const cJSON *field;
     cJSON_ArrayForEach(field, submission) {
         char *text = cJSON_PrintUnformatted(field);
         size_t length = text ? strlen(text) : 0;
         free(text);
-        if (length <= most) continue;
-        most = length;
+        if (length <= max_length) continue;
+        max_length = length;
         largest = field->string;
     }
     return largest;
@@ -65,7 +65,7 @@
 static void queue_submission(struct api_request *request, const cJSON *submission) {
     request->spec_text = cJSON_PrintUnformatted(submission);
     if (!is_refused(request) && jobs_record_bytes(request->spec_text) > jobs_record_bytes_max())
-        request->refusal = refusal_about(REFUSAL_RECORD_TOO_LARGE, largest_field(submission));
+        request->refusal = refusal_with_subject(REFUSAL_RECORD_TOO_LARGE, largest_field(submission));
     batch_enqueue(request);
 }
 
@@ -74,15 +74,15 @@
     const char *invalid_field = job_spec_read(submission, settings, &spec);
     const char *job_id = job_spec_read_id(submission);
     if (!job_id) {
-        struct refusal refusal = refusal_about(REFUSAL_FIELD_INVALID, invalid_field);
+        struct refusal refusal = refusal_with_subject(REFUSAL_FIELD_INVALID, invalid_field);
         respond_refusal(http, &refusal);
         return;
     }
     struct api_request *request = request_new(REQUEST_SUBMIT, http, job_id);
-    if (invalid_field) request->refusal = refusal_about(REFUSAL_FIELD_INVALID, invalid_field);
+    if (invalid_field) request->refusal = refusal_with_subject(REFUSAL_FIELD_INVALID, invalid_field);
     request->team = invalid_field ? -1 : spec.team;
     request->prerequisites = g_steal_pointer(&spec.prerequisites);
-    enum submit_decision decision = decide(request, &spec);
+    enum submit_decision decision = decide_on_arrival(request, &spec);
     job_spec_clear(&spec);
     switch (decision) {
         case SUBMIT_ANSWERED:
@@ -102,7 +102,7 @@
 
 void submit_receive(struct http_request *http) {
     if (http_body_too_large(http)) {
-        respond_refused(http, REFUSAL_BODY_TOO_LARGE);
+        respond_refusal_reason(http, REFUSAL_BODY_TOO_LARGE);
         return;
     }
     size_t length;
@@ -121,7 +121,7 @@
         bool known = job && job->known;
         store_unlock();
         if (!known) {
-            request->refusal = refusal_of_prerequisites(
+            request->refusal = refusal_from_prerequisites(
                 dependencies_check_prerequisites(client, request->job_id, request->prerequisites));
         }
     }
--- a/src/api/submit.h
+++ b/src/api/submit.h
@@ -1,7 +1,9 @@
-/* Submissions: read and checked at their arrival, written in a batch, answered once the store has confirmed it.
+/* Submissions: read and checked on arrival, then written by the write queue, with a response after the store has
+ * confirmed the record.
  *
- * A submission is idempotent: an accepted job is known by its id, whatever a repetition of its submission looks like.
- * So one that can't be accepted is refused only once the store has shown that no job has its id. */
+ * Submissions are idempotent: if a job with the id was accepted before, the response has its state, whatever the rest
+ * of the submission contains. An invalid submission is therefore refused only after the store has confirmed that no job
+ * has its id. */
 #ifndef FF_API_SUBMIT_H
 #define FF_API_SUBMIT_H
 #include <glib.h>
@@ -12,18 +14,19 @@
 #include "../store/store.h"
 #include "request.h"
 
-/* By api_init. */
+/* Called by api_init. Keeps the pointer to the settings. */
 void submit_init(const struct settings *settings);
-/* Answers or queues a submission. On the HTTP server's thread, without the lock. */
+/* Responds to a submission or queues it. Called on the HTTP server's thread, without store_lock. */
 void submit_receive(struct http_request *http);
-/* Reads prerequisites that are not in the mirror from the store, and refuses submissions that may not name theirs. On
- * the write queue's thread, without the lock, before the batch is written. */
+/* Checks the prerequisites of new jobs in the batch, and marks submissions with invalid ones as refused. Reads
+ * prerequisites that aren't in the mirror from the store. Called on the write queue's thread, without store_lock,
+ * before the batch is written. */
 void submit_check_prerequisites(struct http_client *client, const GPtrArray *batch);
 
-/* With store_lock held. */
+/* The functions below are called with store_lock held. */
 
-/* Adds the record of a job that is not known to the transaction, unless the submission is to be refused. */
+/* Adds the record of a new job to the transaction, unless the submission is refused. */
 void submit_add_record(const struct api_request *request, struct store_txn *txn, const char *key);
-/* Answers a submission whose transaction is confirmed; job NULL or not known: it was not accepted. */
+/* Responds to a submission after its transaction was confirmed. job is NULL or not known if it was not accepted. */
 void submit_respond(const struct api_request *request, const struct job *job);
 #endif
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -5,39 +5,39 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MAX_MS 1500L
-#define KEPT_CONNECTIONS_MAX 4L
+#define CACHED_CONNECTIONS_MAX 4L
 #define RECEIVE_BUFFER_BYTES 16384L
-#define INITIAL_ANSWER_BYTES 1024
+#define INITIAL_RESPONSE_BYTES 1024
 
 struct http_client {
     CURL *curl;
     struct curl_slist *headers;
-    GString *answer; /* the body of the last one */
+    GString *response_body; /* of the latest request */
 };
 
-static size_t append_data(char *data, size_t size, size_t n, void *context) {
-    g_string_append_len(context, data, (gssize)(size * n));
+static size_t append_data(char *data, size_t size, size_t n, void *response_body) {
+    g_string_append_len(response_body, data, (gssize)(size * n));
     return size * n;
 }
 
 struct http_client *http_client_new(void) {
-    static gsize once = 0;
-    if (g_once_init_enter(&once)) {
-        /* No TLS: its tables cost memory and start-up time that the machine doesn't have to spare. */
+    static gsize curl_initialized = 0;
+    if (g_once_init_enter(&curl_initialized)) {
+        /* TLS is not initialized: all requests are plain HTTP, and its tables would cost memory and startup time. */
         curl_global_init(CURL_GLOBAL_NOTHING);
-        g_once_init_leave(&once, 1);
+        g_once_init_leave(&curl_initialized, 1);
     }
     struct http_client *client = g_new0(struct http_client, 1);
     client->curl = curl_easy_init();
-    client->answer = g_string_sized_new(INITIAL_ANSWER_BYTES);
+    client->response_body = g_string_sized_new(INITIAL_RESPONSE_BYTES);
     client->headers = curl_slist_append(NULL, "Content-Type: application/json");
     client->headers = curl_slist_append(client->headers, "Expect:");
     curl_easy_setopt(client->curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(client->curl, CURLOPT_HTTPHEADER, client->headers);
     curl_easy_setopt(client->curl, CURLOPT_WRITEFUNCTION, append_data);
-    curl_easy_setopt(client->curl, CURLOPT_WRITEDATA, client->answer);
+    curl_easy_setopt(client->curl, CURLOPT_WRITEDATA, client->response_body);
     curl_easy_setopt(client->curl, CURLOPT_PROXY, "");
-    curl_easy_setopt(client->curl, CURLOPT_MAXCONNECTS, KEPT_CONNECTIONS_MAX);
+    curl_easy_setopt(client->curl, CURLOPT_MAXCONNECTS, CACHED_CONNECTIONS_MAX);
     curl_easy_setopt(client->curl, CURLOPT_BUFFERSIZE, RECEIVE_BUFFER_BYTES);
     return client;
 }
@@ -46,15 +46,15 @@
     if (!client) return;
     curl_easy_cleanup(client->curl);
     curl_slist_free_all(client->headers);
-    g_string_free(client->answer, TRUE);
+    g_string_free(client->response_body, TRUE);
     g_free(client);
 }
 
 enum http_outcome http_call(struct http_client *client, const char *method, const char *url, const char *body,
-                            long timeout_ms, long *status, cJSON **answer) {
-    if (answer) *answer = NULL;
+                            long timeout_ms, long *status, cJSON **response) {
+    if (response) *response = NULL;
     *status = 0;
-    g_string_truncate(client->answer, 0);
+    g_string_truncate(client->response_body, 0);
     curl_easy_setopt(client->curl, CURLOPT_URL, url);
     curl_easy_setopt(client->curl, CURLOPT_TIMEOUT_MS, timeout_ms);
     curl_easy_setopt(client->curl, CURLOPT_CONNECTTIMEOUT_MS, MIN(timeout_ms, CONNECT_TIMEOUT_MAX_MS));
@@ -68,22 +68,22 @@
     curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST, method);
     CURLcode result = curl_easy_perform(client->curl);
     if (result != CURLE_OK) {
-        /* A connection attempt that was given up never completes later: nothing was sent. Whether anything was is
-         * told by the bytes; the times that curl keeps may read 0 on a kept connection where clocks tick coarsely, and
-         * a request taken for unsent is a start that may be made twice. */
-        long sent = 0;
-        curl_easy_getinfo(client->curl, CURLINFO_REQUEST_SIZE, &sent);
-        return sent <= 0 ? HTTP_NOT_SENT : HTTP_UNKNOWN;
+        /* The number of bytes sent shows whether the server can have the request; an abandoned connection attempt
+         * sends none later. libcurl's timings can't be used: with a coarse clock they may be 0 on a reused connection.
+         * A request that is wrongly taken as not sent may start a task twice. */
+        long bytes_sent = 0;
+        curl_easy_getinfo(client->curl, CURLINFO_REQUEST_SIZE, &bytes_sent);
+        return bytes_sent <= 0 ? HTTP_NOT_SENT : HTTP_UNKNOWN;
     }
     curl_easy_getinfo(client->curl, CURLINFO_RESPONSE_CODE, status);
-    if (answer) *answer = cJSON_ParseWithLength(client->answer->str, client->answer->len);
+    if (response) *response = cJSON_ParseWithLength(client->response_body->str, client->response_body->len);
     return HTTP_ANSWERED;
 }
 
 enum http_outcome http_call_once(struct http_client *client, const char *method, const char *url, const char *body,
-                                 long timeout_ms, long *status, cJSON **answer) {
+                                 long timeout_ms, long *status, cJSON **response) {
     curl_easy_setopt(client->curl, CURLOPT_FRESH_CONNECT, 1L);
-    enum http_outcome outcome = http_call(client, method, url, body, timeout_ms, status, answer);
+    enum http_outcome outcome = http_call(client, method, url, body, timeout_ms, status, response);
     curl_easy_setopt(client->curl, CURLOPT_FRESH_CONNECT, 0L);
     return outcome;
 }
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -11,13 +11,13 @@
 
 #include "../clock/clock.h"
 
-/* Very many connections are kept at once, so each is bounded. */
+/* Limits for each connection, because thousands are open at a time. */
 enum {
-    BODY_MAX = 64 * 1024,
+    BODY_MAX_BYTES = 64 * 1024,
     INITIAL_BODY_BYTES = 512,
-    CONNECTION_BYTES = 8192,
-    CONNECTION_IDLE_MAX_S = 90,
-    SERVER_STACK_BYTES = 256 * 1024
+    CONNECTION_MEMORY_BYTES = 8192,
+    CONNECTION_IDLE_TIMEOUT_S = 90,
+    SERVER_THREAD_STACK_BYTES = 256 * 1024
 };
 enum { HOST_BYTES = 64, PORT_MAX = 65535 };
 
@@ -32,39 +32,41 @@
     struct MHD_Connection *connection;
     char *method, *path;
     GString *body;
-    bool too_large, dispatched, suspended, answered;
+    bool body_too_large, dispatched, suspended, replied;
     struct http_server *server;
-    bool short_lived; /* its connection is closed when connections grow scarce */
+    bool close_if_scarce; /* the connection is closed with the reply if connections are scarce */
     unsigned status;
-    char *answer;
-    struct timespec decided; /* when the answer was */
+    char *response_body;
+    struct timespec replied_at; /* when http_reply was called */
     int retry_after_s;
 };
 
 const char *http_method(const struct http_request *request) { return request->method; }
 const char *http_path(const struct http_request *request) { return request->path; }
-bool http_body_too_large(const struct http_request *request) { return request->too_large; }
+bool http_body_too_large(const struct http_request *request) { return request->body_too_large; }
 const char *http_body(const struct http_request *request, size_t *length) {
     if (length) *length = request->body->len;
     return request->body->str;
 }
 
 void http_suspend(struct http_request *request) {
-    /* Suspended before it is queued anywhere, so that a fast answer can't be lost. */
+    /* The connection is suspended before any other thread can reply, because a reply resumes it. */
     request->suspended = true;
     MHD_suspend_connection(request->connection);
 }
 
-void http_close_when_crowded(struct http_request *request) { request->short_lived = true; }
+void http_close_when_connections_scarce(struct http_request *request) { request->close_if_scarce = true; }
 
-bool http_crowded(unsigned connections, unsigned max_connections) { return connections * 2 > max_connections; }
+bool http_connections_scarce(unsigned connections, unsigned max_connections) {
+    return connections * 2 > max_connections;
+}
 
 void http_reply(struct http_request *request, unsigned status, const char *body, int retry_after_s) {
     request->status = status;
-    request->decided = clock_now();
-    request->answer = g_strdup(body ? body : "{}");
+    request->replied_at = clock_now();
+    request->response_body = g_strdup(body ? body : "{}");
     request->retry_after_s = retry_after_s;
-    request->answered = true;
+    request->replied = true;
     if (request->suspended) MHD_resume_connection(request->connection);
 }
 
@@ -75,46 +77,50 @@
     cJSON_Delete(body);
 }
 
-#define ANSWER_FRESH_S 1.0 /* an answer decided longer ago is not sent */
+#define REPLY_MAX_AGE_S 1.0
 
-bool http_reply_expired(double age_s) { return age_s > ANSWER_FRESH_S; }
+bool http_reply_expired(double reply_age_s) { return reply_age_s > REPLY_MAX_AGE_S; }
 
-static void refuse_expired(struct http_request *request) {
-    if (request->status >= MHD_HTTP_INTERNAL_SERVER_ERROR || !http_reply_expired(clock_seconds_since(request->decided)))
+static void replace_expired_reply(struct http_request *request) {
+    if (request->status >= MHD_HTTP_INTERNAL_SERVER_ERROR ||
+        !http_reply_expired(clock_seconds_since(request->replied_at)))
         return;
-    g_free(request->answer);
-    request->answer = g_strdup("{\"error\":\"the answer is too old by now\"}");
+    g_free(request->response_body);
+    request->response_body = g_strdup("{\"error\":\"the answer is too old by now\"}");
     request->status = MHD_HTTP_SERVICE_UNAVAILABLE;
     request->retry_after_s = 1;
 }
 
-static enum MHD_Result send_answer(struct http_request *request) {
-    refuse_expired(request);
+static enum MHD_Result send_response(struct http_request *request) {
+    replace_expired_reply(request);
     struct MHD_Response *response =
-        MHD_create_response_from_buffer(strlen(request->answer), request->answer, MHD_RESPMEM_MUST_COPY);
+        MHD_create_response_from_buffer(strlen(request->response_body), request->response_body, MHD_RESPMEM_MUST_COPY);
     MHD_add_response_header(response, "Content-Type", "application/json");
     if (request->retry_after_s > 0) {
         char seconds[16];
         g_snprintf(seconds, sizeof seconds, "%d", request->retry_after_s);
         MHD_add_response_header(response, "Retry-After", seconds);
     }
-    /* Workers by the thousand must not shut out health checks and users, who come by the same address. The number is
-     * asked of the connection: a first request may come before the server's start has returned its daemon. */
-    const union MHD_ConnectionInfo *info = MHD_get_connection_info(request->connection, MHD_CONNECTION_INFO_DAEMON);
-    const union MHD_DaemonInfo *current =
-        info ? MHD_get_daemon_info(info->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS) : NULL;
-    if (request->short_lived && current && http_crowded(current->num_connections, request->server->max_connections))
+    /* Thousands of workers use the same address as users and health checks and must not take all connections. The
+     * daemon is read from the connection, because server->daemon may not be set yet when the first request arrives. */
+    const union MHD_ConnectionInfo *connection_info =
+        MHD_get_connection_info(request->connection, MHD_CONNECTION_INFO_DAEMON);
+    const union MHD_DaemonInfo *daemon_info =
+        connection_info ? MHD_get_daemon_info(connection_info->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS) : NULL;
+    if (request->close_if_scarce && daemon_info &&
+        http_connections_scarce(daemon_info->num_connections, request->server->max_connections))
         MHD_add_response_header(response, "Connection", "close");
     enum MHD_Result result = MHD_queue_response(request->connection, request->status, response);
     MHD_destroy_response(response);
     return result;
 }
 
-static enum MHD_Result on_request(void *cls, struct MHD_Connection *connection, const char *url, const char *method,
-                                  const char *version, const char *data, size_t *size, void **state) {
+static enum MHD_Result on_request(void *callback_context, struct MHD_Connection *connection, const char *url,
+                                  const char *method, const char *version, const char *data, size_t *size,
+                                  void **stored_request) {
     (void)version;
-    struct http_server *server = cls;
-    struct http_request *request = *state;
+    struct http_server *server = callback_context;
+    struct http_request *request = *stored_request;
     if (!request) {
         request = g_new0(struct http_request, 1);
         request->connection = connection;
@@ -122,12 +128,12 @@
         request->method = g_strdup(method);
         request->path = g_strdup(url);
         request->body = g_string_sized_new(INITIAL_BODY_BYTES);
-        *state = request;
+        *stored_request = request;
         return MHD_YES;
     }
     if (*size > 0) {
-        if (request->body->len + *size > BODY_MAX) {
-            request->too_large = true;
+        if (request->body->len + *size > BODY_MAX_BYTES) {
+            request->body_too_large = true;
         } else {
             g_string_append_len(request->body, data, (gssize)*size);
         }
@@ -139,22 +145,23 @@
         server->handler(request, server->context);
         if (request->suspended) return MHD_YES;
     }
-    if (!request->answered) return MHD_YES;
-    return send_answer(request);
+    if (!request->replied) return MHD_YES;
+    return send_response(request);
 }
 
-static void on_done(void *cls, struct MHD_Connection *connection, void **state, enum MHD_RequestTerminationCode code) {
-    (void)cls;
+static void on_request_completed(void *callback_context, struct MHD_Connection *connection, void **stored_request,
+                                 enum MHD_RequestTerminationCode code) {
+    (void)callback_context;
     (void)connection;
     (void)code;
-    struct http_request *request = *state;
+    struct http_request *request = *stored_request;
     if (!request) return;
     g_free(request->method);
     g_free(request->path);
     g_string_free(request->body, TRUE);
-    g_free(request->answer);
+    g_free(request->response_body);
     g_free(request);
-    *state = NULL;
+    *stored_request = NULL;
 }
 
 struct http_server *http_server_start(const char *address, unsigned max_connections, http_handler handler,
@@ -172,13 +179,14 @@
     server->handler = handler;
     server->context = context;
     server->max_connections = max_connections;
-    /* One epoll thread with suspended connections: a thread a connection would not fit the memory. */
+    /* One epoll thread serves all connections; one thread per connection would need too much memory. */
     server->daemon = MHD_start_daemon(
         MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, (uint16_t)port, NULL, NULL, on_request, server,
-        MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&listen_address, MHD_OPTION_NOTIFY_COMPLETED, on_done, NULL,
-        MHD_OPTION_CONNECTION_LIMIT, max_connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_BYTES,
-        MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)CONNECTION_IDLE_MAX_S, MHD_OPTION_THREAD_STACK_SIZE,
-        (size_t)SERVER_STACK_BYTES, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
+        MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&listen_address, MHD_OPTION_NOTIFY_COMPLETED, on_request_completed,
+        NULL, MHD_OPTION_CONNECTION_LIMIT, max_connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+        (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)CONNECTION_IDLE_TIMEOUT_S,
+        MHD_OPTION_THREAD_STACK_SIZE, (size_t)SERVER_THREAD_STACK_BYTES, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+        MHD_OPTION_END);
     if (!server->daemon) {
         g_free(server);
         return NULL;
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,5 +1,5 @@
-/* HTTP server: one epoll thread; a handler answers at once, or suspends the request and answers later from any thread.
- */
+/* HTTP server with one epoll thread. A handler replies to a request immediately, or suspends it and replies later from
+ * any thread. */
 #ifndef FF_HTTP_SERVER_H
 #define FF_HTTP_SERVER_H
 #include <cjson/cJSON.h>
@@ -9,33 +9,37 @@
 struct http_request;
 struct http_server;
 
-/* Called on the server's thread for each complete request. Answers with http_reply, or calls http_suspend and leaves
- * that to another thread. */
+/* Called on the server's thread for each complete request. Either calls http_reply, or calls http_suspend and lets
+ * another thread call http_reply. */
 typedef void (*http_handler)(struct http_request *request, void *context);
 
-/* Listens on "address:port" (IPv4) until the process ends; NULL where it can't. */
+/* Starts a server that listens on address, "HOST:PORT" with an IPv4 host, until the process ends. It has at most
+ * max_connections connections at a time. Returns NULL if it can't listen on the address. */
 struct http_server *http_server_start(const char *address, unsigned max_connections, http_handler handler,
                                       void *context);
 
-/* What the request says; the texts belong to it and live until it is answered. */
+/* Return parts of the request. The strings belong to the request and are valid until the reply. *length is set to the
+ * length of the body; length may be NULL. */
 const char *http_method(const struct http_request *request);
 const char *http_path(const struct http_request *request);
 const char *http_body(const struct http_request *request, size_t *length);
-/* The body was longer than 64 KiB; what http_body gives is cut short. */
+/* Returns whether the body was longer than 64 KiB; http_body then returns only a part of it. */
 bool http_body_too_large(const struct http_request *request);
 
-/* One of very many clients: its connection is closed with the answer once connections grow scarce. */
-void http_close_when_crowded(struct http_request *request);
-/* The answer comes later. Called before the request is handed to another thread. */
+/* Lets the server close the connection with the reply if connections are scarce. Called for requests of workers, which
+ * may use nearly all connections. */
+void http_close_when_connections_scarce(struct http_request *request);
+/* Delays the reply until another thread calls http_reply. Called before the request is passed to that thread. */
 void http_suspend(struct http_request *request);
-/* Answers; the request must not be used afterwards. A NULL body is an empty object; retry_after_s 0: no such header. */
+/* Replies to the request, which must not be used afterwards. A NULL body is sent as an empty JSON object. If
+ * retry_after_s is 0, the response has no Retry-After header. */
 void http_reply(struct http_request *request, unsigned status, const char *body, int retry_after_s);
-/* The same with a JSON body, which it takes over. */
+/* Like http_reply, with a JSON body, which is freed. */
 void http_reply_json(struct http_request *request, unsigned status, cJSON *body, int retry_after_s);
 
-/* Pure: half of the connections allowed are in use. */
-bool http_crowded(unsigned connections, unsigned max_connections);
-/* Pure: an answer decided so long ago is not sent any more: the process was paused in between, and what was true then
- * may have changed. */
-bool http_reply_expired(double age_s);
+/* Returns whether more than half of the allowed connections are in use. Pure. */
+bool http_connections_scarce(unsigned connections, unsigned max_connections);
+/* Returns whether a reply of this age is too old to be sent. The process must have been paused between http_reply and
+ * the sending, and the reply may no longer be true. Pure. */
+bool http_reply_expired(double reply_age_s);
 #endif
--- a/src/http/status.h
+++ b/src/http/status.h
@@ -1,4 +1,4 @@
-/* The HTTP statuses that the protocol uses. */
+/* HTTP status codes that this program sends or checks. */
 #ifndef FF_HTTP_STATUS_H
 #define FF_HTTP_STATUS_H
 
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -6,10 +6,10 @@
 
 #include "../clock/clock.h"
 
-/* An allocation takes up to 24 bytes with names of usual length. What doesn't fit is cut off by the caller of
- * allocations_value, who plans no more for a chunk that is full. */
+/* Maximum size of an allocation in a record if names have their usual length. With longer names, the scheduler plans no
+ * more tasks for a chunk than its record can hold. */
 #define ALLOCATION_BYTES 24
-#define OTHER_FIELDS_BYTES 256 /* all else in a record */
+#define OTHER_FIELDS_BYTES 256 /* the rest of a record */
 #define BYTES_PER_KB 1024
 
 static const struct settings *settings;
@@ -31,23 +31,24 @@
 
 int chunks_count(const struct job *job) { return chunks_count_of_size(job, chunks_size(job)); }
 
-/* Allocated when first needed: most jobs' chunks are never touched here. False for a job that is not known. */
-static bool has_flags(struct job *job) {
+/* Allocates the flags on first use, because this controller never uses those of most jobs. Returns false if the job is
+ * not known. */
+static bool ensure_flags(struct job *job) {
     if (!job->chunk_flags && job->spec.tasks > 0) job->chunk_flags = g_malloc0((gsize)chunks_count(job));
     return job->chunk_flags != NULL;
 }
 
 void chunks_set_size(struct job *job, int chunk_size) {
     if (chunks_size(job) == chunk_size) return;
-    bool dirty = job->n_dirty_chunks > 0;
+    bool any_dirty = job->n_dirty_chunks > 0;
     g_clear_pointer(&job->chunk_flags, g_free);
     job->n_recorded_chunks = job->n_dirty_chunks = 0;
     job->chunk_size = chunk_size;
-    for (int task = 0; dirty && task < job->spec.tasks; task += chunk_size) chunks_mark_dirty(job, task);
+    for (int task = 0; any_dirty && task < job->spec.tasks; task += chunk_size) chunks_mark_dirty(job, task);
 }
 
 void chunks_set_recorded(struct job *job, int chunk, bool recorded) {
-    if (!has_flags(job) || chunk >= chunks_count(job)) return;
+    if (!ensure_flags(job) || chunk >= chunks_count(job)) return;
     uint8_t *flags = &job->chunk_flags[chunk];
     job->n_recorded_chunks += recorded - ((*flags & CHUNK_RECORDED) != 0);
     job->n_dirty_chunks -= (*flags & CHUNK_DIRTY) != 0;
@@ -55,7 +56,7 @@
 }
 
 void chunks_mark_dirty(struct job *job, int task) {
-    if (!has_flags(job) || task < 0 || task >= job->spec.tasks) return;
+    if (!ensure_flags(job) || task < 0 || task >= job->spec.tasks) return;
     uint8_t *flags = &job->chunk_flags[task / chunks_size(job)];
     if (*flags & CHUNK_DIRTY) return;
     if (job->n_dirty_chunks == 0) job->dirty_since = clock_now();
--- a/src/jobs/chunks.h
+++ b/src/jobs/chunks.h
@@ -1,5 +1,6 @@
-/* Chunks: the record run/ID/N holds the allocations of the N-th chunk of a job's tasks. All chunks of a job have one
- * size. The first layout derived it from the store's limit, and its records don't name it; later records do. */
+/* Chunks of a job's tasks: the record run/ID/N holds the allocations of the tasks in chunk N. All chunks of a job have
+ * the same size. In the first layout, the size follows from the store's value limit and isn't recorded; later records
+ * contain their chunk size. */
 #ifndef FF_JOBS_CHUNKS_H
 #define FF_JOBS_CHUNKS_H
 #include <stdbool.h>
@@ -7,30 +8,33 @@
 #include "../model/job.h"
 #include "../settings/settings.h"
 
-#define CHUNK_SIZE_MIN 8 /* bits of done tasks are kept in whole bytes */
+#define CHUNK_SIZE_MIN 8 /* tasks; also the unit of chunk sizes, because the bits of done tasks fill whole bytes */
 #define CHUNK_SIZE_MAX 4096
 
-/* By jobs_init. */
+/* Called by jobs_init. Keeps the pointer to the settings. */
 void chunks_init(const struct settings *settings);
 
-/* Pure: the number of tasks whose record surely fits a value of that size. */
+/* Returns the chunk size for which records fit a value limit in KiB. Pure. */
 int chunks_size_for(double value_kb);
-/* The size of chunks in the first layout. */
+/* Returns the chunk size of the first layout. */
 int chunks_legacy_size(void);
 
-/* With store_lock held. */
+/* The functions below are called with store_lock held. */
 
-int chunks_size(const struct job *job); /* of the records that there are */
-/* How many chunks the job has with a given size, and with its present one. */
+/* Returns the chunk size of the job's current records. */
+int chunks_size(const struct job *job);
+/* Return the number of the job's chunks for a given chunk size, and for its current one. */
 int chunks_count_of_size(const struct job *job, int chunk_size);
 int chunks_count(const struct job *job);
 
-/* The job's records have that chunk size from now on; what was known of its chunks is dropped. */
+/* Sets the chunk size of the job's records and resets the flags of all chunks. If any chunk was dirty, all chunks
+ * become dirty. */
 void chunks_set_size(struct job *job, int chunk_size);
-/* A chunk's record was read or written, or found to be absent: what is known of the chunk is what the store says. */
+/* Sets whether the store has a record of the chunk, after the record was read, written or found to be absent. The chunk
+ * is no longer dirty. */
 void chunks_set_recorded(struct job *job, int chunk, bool recorded);
-/* What is known of the task differs from its chunk's record, which is to be written in the next scheduling round. */
+/* Marks the chunk of a task as dirty: its record is outdated and is written in the next scheduling round. */
 void chunks_mark_dirty(struct job *job, int task);
-/* The same for all chunks that are on record. */
+/* Marks all chunks that have a record as dirty. */
 void chunks_mark_recorded_dirty(struct job *job);
 #endif
--- a/src/jobs/feasibility.c
+++ b/src/jobs/feasibility.c
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-#define ROUNDING 1e-9 /* of sums and products of amounts */
+#define ROUNDING_TOLERANCE 1e-9
 
 static bool type_in_zone(const struct machine_type *type, const char *zone) {
     for (int i = 0; i < type->n_zones; i++)
@@ -16,8 +16,8 @@
     if (spec->machine_types && !g_strv_contains((const char *const *)spec->machine_types, type->type_name))
         return false;
     if (spec->zone && !type_in_zone(type, spec->zone)) return false;
-    return spec->vcpus <= type->vcpus + ROUNDING && spec->gpus <= type->gpus + ROUNDING &&
-           spec->memory_gb <= type->memory_gb + ROUNDING;
+    return spec->vcpus <= type->vcpus + ROUNDING_TOLERANCE && spec->gpus <= type->gpus + ROUNDING_TOLERANCE &&
+           spec->memory_gb <= type->memory_gb + ROUNDING_TOLERANCE;
 }
 
 static bool task_fits_any(const struct job_spec *spec, const struct machine_type *types, int n_types) {
@@ -26,16 +26,17 @@
     return false;
 }
 
-/* A limit of 0 is none. */
-static bool above_limit(double amount, double limit) { return limit > 0 && amount > limit + ROUNDING; }
+/* Returns whether the amount is above the limit; a limit of 0 means no limit. */
+static bool above_limit(double amount, double limit) { return limit > 0 && amount > limit + ROUNDING_TOLERANCE; }
 
 enum job_feasibility job_check_feasible(const struct job_spec *spec, const struct settings *settings,
                                         const struct machine_type *types, int n_types) {
     if (spec->team < 0) return JOB_TEAM_UNKNOWN;
     if (!task_fits_any(spec, types, n_types)) return JOB_FITS_NO_MACHINE_TYPE;
     const struct settings_team *team = &settings->teams[spec->team];
-    double at_once = spec->kind == JOB_ARRAY ? 1 : spec->tasks;
-    if (above_limit(at_once * spec->vcpus, team->cpus_max) || above_limit(at_once * spec->gpus, team->gpus_max))
+    double concurrent_tasks = spec->kind == JOB_ARRAY ? 1 : spec->tasks;
+    if (above_limit(concurrent_tasks * spec->vcpus, team->cpus_max) ||
+        above_limit(concurrent_tasks * spec->gpus, team->gpus_max))
         return JOB_ABOVE_TEAM_LIMIT;
     return JOB_FEASIBLE;
 }
--- a/src/jobs/feasibility.h
+++ b/src/jobs/feasibility.h
@@ -1,4 +1,4 @@
-/* Whether a submitted job could ever run. Pure; may be called from any thread. */
+/* Checks whether a submitted job could ever run. Pure; may be called from any thread. */
 #ifndef FF_JOBS_FEASIBILITY_H
 #define FF_JOBS_FEASIBILITY_H
 #include "../model/job.h"
@@ -8,11 +8,12 @@
 enum job_feasibility {
     JOB_FEASIBLE,
     JOB_TEAM_UNKNOWN,
-    JOB_FITS_NO_MACHINE_TYPE, /* of those that it allows, in the zone that it names */
-    JOB_ABOVE_TEAM_LIMIT,     /* a task, or all tasks of a job that runs them together */
+    JOB_FITS_NO_MACHINE_TYPE, /* of the types and zone that the submission allows */
+    JOB_ABOVE_TEAM_LIMIT,     /* one task of a job array, or all tasks of a gang or service */
 };
 
-/* By the API for a new submission. Returns the first of these that holds; n_types machine types are the catalogue. */
+/* Checks a new submission against the catalogue of n_types machine types. Returns JOB_FEASIBLE or the
+ * first reason against it, in the order of the enum. */
 enum job_feasibility job_check_feasible(const struct job_spec *spec, const struct settings *settings,
                                         const struct machine_type *types, int n_types);
 #endif
--- a/src/jobs/job_lists.h
+++ b/src/jobs/job_lists.h
@@ -1,7 +1,7 @@
-/* Lists of jobs by state and shard. They belong to the package and are changed by it alone.
+/* Lists of jobs by state and shard. Only this package changes them.
  *
- * A job is in the shard that its record names, or else in its team's home shard. Lists are kept by jobs_update_lists,
- * once a job's record or its allocations' were taken in. */
+ * A job is in the shard that its record names, or else in the home shard of its team. jobs_update_lists is called after
+ * the record of a job or of its allocations was applied. */
 #ifndef FF_JOBS_JOB_LISTS_H
 #define FF_JOBS_JOB_LISTS_H
 #include <glib.h>
@@ -10,19 +10,23 @@
 #include "../model/job.h"
 #include "../settings/settings.h"
 
-/* By jobs_init. */
+/* Called by jobs_init. Keeps the pointer to the settings. */
 void job_lists_init(const struct settings *settings);
 
-/* With store_lock held. */
+/* The functions below are called with store_lock held. */
 
-GPtrArray *jobs_active(void);         /* struct job, known and in no final state, oldest first */
-GPtrArray *jobs_active_of(int shard); /* those of a shard, oldest first */
-GPtrArray *jobs_ended_of(int shard);  /* in a final state, with allocations still on record */
-bool jobs_any_foreign(void);          /* an active job is in another shard than its team's home */
+/* Return the unfinished jobs (struct job): known and in no final state, the oldest first. */
+GPtrArray *jobs_active(void);
+GPtrArray *jobs_active_in_shard(int shard);
+/* Returns the jobs of a shard that are in a final state and still have records of allocations. */
+GPtrArray *jobs_ended_in_shard(int shard);
+/* Returns whether any unfinished job is outside its team's home shard. */
+bool jobs_any_outside_home_shard(void);
+/* Returns the shard of the job. */
 int jobs_shard(const struct job *job);
 
-/* Puts the job into the lists that it belongs to by now, and takes it out of the others. */
+/* Adds the job to the lists that it now belongs to, and removes it from the others. */
 void jobs_update_lists(struct job *job);
-/* Takes the job out of the lists of its shard and into those of another, as its record says; -1: its team's home. */
+/* Moves the job to the lists of the shard that its record names; -1: the home shard of its team. */
 void job_lists_move(struct job *job, int shard);
 #endif
--- a/src/jobs/job_record.c
+++ b/src/jobs/job_record.c
@@ -8,8 +8,8 @@
 #include "../clock/clock.h"
 #include "job_spec.h"
 
-/* Fields of a record. A submission with prerequisites has a name of its own: the first version, which knows none, must
- * not start such a job early. It finds no submission in the record and leaves the job alone. */
+/* Fields of a record. A submission with prerequisites is stored under a different name. The first version, which
+ * doesn't know prerequisites, then finds no submission and ignores the job instead of starting it early. */
 #define FIELD_SUBMISSION "spec"
 #define FIELD_SUBMISSION_WITH_PREREQUISITES "chained_spec"
 #define FIELD_STATE "state"
@@ -17,7 +17,7 @@
 #define FIELD_FINISHED "end"
 #define FIELD_SHARD "share"
 
-#define OTHER_FIELDS_BYTES 100 /* all of a record but the submission */
+#define OTHER_FIELDS_BYTES 100 /* maximum size of a record without the submission */
 #define BYTES_PER_KB 1024
 
 static const char *const state_names[] = {[JOB_QUEUED] = "queued", [JOB_DONE] = "done", [JOB_CANCELLED] = "cancelled"};
@@ -30,7 +30,7 @@
 
 /* ---- Reading ---- */
 
-/* What is no final state counts as queued. */
+/* Any state but done and cancelled is read as queued. */
 static enum job_state read_state(const cJSON *data) {
     const char *name = json_get_string(data, FIELD_STATE);
     for (int i = JOB_DONE; name && i <= JOB_CANCELLED; i++)
@@ -58,23 +58,24 @@
 
 /* ---- Writing ---- */
 
-/* Takes the submission over. */
-static cJSON *new_value(cJSON *submission, enum job_state state, double submitted, int shard) {
-    bool waits = job_spec_names_prerequisites(submission);
+/* Takes ownership of the submission. */
+static cJSON *new_record_value(cJSON *submission, enum job_state state, double submitted, int shard) {
+    bool has_prerequisites = job_spec_names_prerequisites(submission);
     int team = job_spec_read_team(submission, settings);
     cJSON *value = cJSON_CreateObject();
-    cJSON_AddItemToObject(value, waits ? FIELD_SUBMISSION_WITH_PREREQUISITES : FIELD_SUBMISSION, submission);
+    cJSON_AddItemToObject(value, has_prerequisites ? FIELD_SUBMISSION_WITH_PREREQUISITES : FIELD_SUBMISSION,
+                          submission);
     cJSON_AddStringToObject(value, FIELD_STATE, state_names[state]);
     cJSON_AddNumberToObject(value, FIELD_SUBMITTED, submitted);
-    /* In its team's home shard the record names none, so that it is the one that all versions know. */
+    /* Older versions don't know the shard field, so a job in its team's home shard has none. */
     if (team >= 0 && shard >= 0 && shard != settings_home_shard(settings, team))
         cJSON_AddNumberToObject(value, FIELD_SHARD, shard);
     return value;
 }
 
-cJSON *jobs_accepted_value(const char *spec_text, enum job_state state, double at, int shard) {
-    /* Parsed, not raw: the same value is applied to the mirror once it is written. */
-    return new_value(cJSON_Parse(spec_text), state, at, shard);
+cJSON *jobs_accepted_value(const char *spec_text, enum job_state state, double submitted, int shard) {
+    /* The submission is parsed, not added as raw text, because the value is applied to the mirror after the write. */
+    return new_record_value(cJSON_Parse(spec_text), state, submitted, shard);
 }
 
 cJSON *jobs_moved_value(const struct job *job, int shard) {
@@ -83,11 +84,11 @@
 
 cJSON *jobs_final_value(const struct job *job, enum job_state state) {
     cJSON *submission = cJSON_Parse(job->spec_text);
-    /* Accepted by the first version under the present limit, it may be too large to be rewritten under the next. What
-     * a record does not need in order to be read is of no use once the job is over. */
+    /* The first version accepted records up to the store's current value limit, which may be above the next one. Fields
+     * that aren't required to read the record are removed then; they have no use after the end of the job. */
     if (jobs_record_bytes(job->spec_text) > jobs_record_bytes_max()) job_spec_keep_required(submission);
-    cJSON *value = new_value(submission, state, job->submitted, job->shard);
-    /* From then on the times of its dependents count, for whoever owns them. */
+    cJSON *value = new_record_value(submission, state, job->submitted, job->shard);
+    /* Dependents become ready at this time; the controllers that own them read it from the record. */
     if (state == JOB_DONE) cJSON_AddNumberToObject(value, FIELD_FINISHED, clock_time_of_day());
     return value;
 }
--- a/src/jobs/job_spec.c
+++ b/src/jobs/job_spec.c
@@ -14,7 +14,7 @@
 #define NAME_LENGTH_MAX 199
 #define ZONE_LENGTH_MAX 99
 #define MACHINE_TYPES_MAX 100
-#define AMOUNT_LIMIT 1e9 /* amounts are below it */
+#define AMOUNT_LIMIT 1e9 /* exclusive */
 
 static const char *const kind_names[] = {[JOB_ARRAY] = "batch", [JOB_GANG] = "group", [JOB_SERVICE] = "standing"};
 static const char *const priority_names[] = {[PRIORITY_IDLE] = "idle",
@@ -38,17 +38,17 @@
     memset(spec, 0, sizeof *spec);
 }
 
-/* ---- Readers of one field. They return false if it is missing or invalid. ---- */
+/* ---- Readers of single fields. They return false if the field is missing or invalid. ---- */
 
 struct field_reading {
     const cJSON *submission;
     const struct settings *settings;
     const char *name;
-    void *member; /* of struct job_spec, of the type that the reader fills */
+    void *member; /* the member of struct job_spec to set; its type depends on the reader */
 };
 
-/* The field's value; NULL if it is absent or null. */
-static const cJSON *value_of(const struct field_reading *field) {
+/* Returns the field's value, or NULL if it is absent or null. */
+static const cJSON *field_value(const struct field_reading *field) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(field->submission, field->name);
     return cJSON_IsNull(value) ? NULL : value;
 }
@@ -74,7 +74,7 @@
     return true;
 }
 
-/* The index of the text among n names; -1: it is none of them, or NULL. */
+/* Returns the index of the text among n names, or -1 if it is not among them or NULL. */
 static int index_of(const char *text, const char *const *names, int n) {
     for (int i = 0; text && i < n; i++)
         if (strcmp(text, names[i]) == 0) return i;
@@ -104,7 +104,7 @@
 }
 
 static bool read_amount(const struct field_reading *field) {
-    const cJSON *value = value_of(field);
+    const cJSON *value = field_value(field);
     if (!cJSON_IsNumber(value)) return false;
     double amount = value->valuedouble;
     if (!isfinite(amount) || amount < 0 || amount >= AMOUNT_LIMIT) return false;
@@ -116,26 +116,28 @@
     return read_amount(field) && *(const double *)field->member > 0;
 }
 
-static bool read_optional_amount(const struct field_reading *field) { return !value_of(field) || read_amount(field); }
+static bool read_optional_amount(const struct field_reading *field) {
+    return !field_value(field) || read_amount(field);
+}
 
 static bool read_flag(const struct field_reading *field) {
-    const cJSON *value = value_of(field);
+    const cJSON *value = field_value(field);
     if (!cJSON_IsBool(value)) return false;
     *(bool *)field->member = cJSON_IsTrue(value);
     return true;
 }
 
 static bool read_zone(const struct field_reading *field) {
-    const cJSON *value = value_of(field);
+    const cJSON *value = field_value(field);
     if (!value) return true;
     if (!cJSON_IsString(value) || !*value->valuestring || strlen(value->valuestring) > ZONE_LENGTH_MAX) return false;
     *(char **)field->member = g_strdup(value->valuestring);
     return true;
 }
 
-/* An empty list allows no machine type; null, or no list, all of them. */
+/* An empty list allows no machine type. If the field is absent or null, all machine types are allowed. */
 static bool read_machine_types(const struct field_reading *field) {
-    const cJSON *list = value_of(field), *name;
+    const cJSON *list = field_value(field), *name;
     if (!list) return true;
     if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > MACHINE_TYPES_MAX) return false;
     char **names = g_new0(char *, (gsize)cJSON_GetArraySize(list) + 1);
@@ -148,9 +150,9 @@
     return true;
 }
 
-/* A list of ids in which each counts once; null and an empty list are none. */
+/* Drops duplicate ids. If the list is empty, null or absent, there are no prerequisites. */
 static bool read_prerequisites(const struct field_reading *field) {
-    const cJSON *list = value_of(field), *job_id;
+    const cJSON *list = field_value(field), *job_id;
     if (!list) return true;
     if (!cJSON_IsArray(list)) return false;
     if (cJSON_GetArraySize(list) == 0) return true;
@@ -168,7 +170,7 @@
 /* ---- The fields of a submission ---- */
 
 struct field {
-    const char *name; /* on the wire */
+    const char *name; /* in JSON */
     size_t member;    /* offset in struct job_spec */
     bool (*read)(const struct field_reading *field);
     bool required;
@@ -176,7 +178,7 @@
 
 #define MEMBER(name) offsetof(struct job_spec, name)
 
-/* In the order in which they are checked: the first invalid one is reported. */
+/* The fields in the order of their checks; the first invalid field is reported. */
 static const struct field fields[] = {
     {JOB_SPEC_FIELD_ID, MEMBER(job_id), read_job_id, true},
     {"jobclass", MEMBER(job_class), read_name, true},
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -17,7 +17,7 @@
 
 static struct {
     const struct settings *settings;
-    GHashTable *jobs; /* struct job by its id */
+    GHashTable *jobs; /* job id -> struct job */
     struct jobs_observer observers[OBSERVERS_MAX];
     int n_observers;
 } registry;
@@ -45,7 +45,7 @@
     return job;
 }
 
-/* Reads what never changes in a job's record. */
+/* Reads the submission in a job's first record, which never changes. Returns false if it is invalid. */
 static bool read_submission(struct job *job, const cJSON *data) {
     struct job_spec spec;
     const cJSON *submission = job_record_submission(data);
@@ -74,7 +74,7 @@
              job_record_state_name(job->state), now - job->submitted, job->ready_at > 0 ? now - job->ready_at : 0);
 }
 
-/* From now on only the state is asked for: what led there is freed. */
+/* Frees the data that is not needed in a final state. */
 static void enter_final_state(struct job *job, const struct job_record *record) {
     job->finished = record->finished;
     job->state = record->state;
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,7 +1,7 @@
-/* Jobs: every job that is known here, by its id, as the records in the store say. Records are taken in by the thread
- * that read or wrote them, and observers are called. Jobs are never freed: a pointer to one stays valid.
+/* The jobs that this controller knows, by id, according to the records in the store. The thread that reads or writes a
+ * record applies it here and calls the observers. Jobs are never freed, so a pointer to a job stays valid.
  *
- * This header includes the others of the package, but for feasibility.h. */
+ * This header includes all others of the package except feasibility.h. */
 #ifndef FF_JOBS_H
 #define FF_JOBS_H
 #include "../model/job.h"
@@ -13,22 +13,24 @@
 #include "progress.h"
 #include "task_bits.h"
 
-/* By service, at the start, after store_init; the settings have to outlive the process. */
+/* Called by service at startup, after store_init. Keeps the pointer to the settings. */
 void jobs_init(const struct settings *settings);
 
-/* Called when a job's record was taken in: with store_lock held, in the order of subscription. A member may be NULL. */
+/* Functions that are called after a job's record was applied, with store_lock held and in the order of subscription.
+ * Each may be NULL. */
 struct jobs_observer {
-    void (*added)(struct job *job);   /* its record was read for the first time; records come in any order */
-    void (*ended)(struct job *job);   /* its record says done or cancelled now */
-    void (*applied)(struct job *job); /* it is in the lists that it belongs to by now */
+    void (*added)(struct job *job);   /* the job is new; records are read in any order */
+    void (*ended)(struct job *job);   /* the job has entered a final state */
+    void (*applied)(struct job *job); /* any record was applied and the lists are updated */
 };
-/* At the start, before the mirror is started. */
+/* Called at startup, before the mirror is started. */
 void jobs_subscribe(struct jobs_observer observer);
 
-/* With store_lock held. */
+/* The functions below are called with store_lock held. */
 
-struct job *jobs_find(const char *job_id); /* NULL: not heard of */
-/* A job that is not heard of yet is added as not known: it is a prerequisite, or has an allocation, and its record is
- * still to come. */
+/* Returns the job with this id, or NULL. */
+struct job *jobs_find(const char *job_id);
+/* Returns the job with this id. If there is none, adds a job that is not known: it is a prerequisite or has an
+ * allocation, and its own record was not read yet. */
 struct job *jobs_find_or_stub(const char *job_id);
 #endif
--- a/src/jobs/progress.c
+++ b/src/jobs/progress.c
@@ -24,15 +24,15 @@
     }
 }
 
-void jobs_apply_done_bits(struct job *job, const char *bits, int from, int n) {
-    if (!job->done || from >= job->spec.tasks) return;
-    n = MIN(n, job->spec.tasks - from);
-    int done_before = task_bits_count(job->done, from, n);
-    int reported_before = task_bits_count(job->reported_done, from, n);
-    task_bits_read(bits, job->done, from, n);
-    task_bits_read(bits, job->reported_done, from, n);
-    job->n_done += task_bits_count(job->done, from, n) - done_before;
-    job->n_reported_done += task_bits_count(job->reported_done, from, n) - reported_before;
+void jobs_apply_done_bits(struct job *job, const char *bits_text, int first_task, int n_tasks) {
+    if (!job->done || first_task >= job->spec.tasks) return;
+    n_tasks = MIN(n_tasks, job->spec.tasks - first_task);
+    int done_before = task_bits_count(job->done, first_task, n_tasks);
+    int reported_before = task_bits_count(job->reported_done, first_task, n_tasks);
+    task_bits_read(bits_text, job->done, first_task, n_tasks);
+    task_bits_read(bits_text, job->reported_done, first_task, n_tasks);
+    job->n_done += task_bits_count(job->done, first_task, n_tasks) - done_before;
+    job->n_reported_done += task_bits_count(job->reported_done, first_task, n_tasks) - reported_before;
 }
 
 bool jobs_complete(const struct job *job) {
--- a/src/jobs/progress.h
+++ b/src/jobs/progress.h
@@ -1,17 +1,18 @@
-/* How far a job has come: which of its tasks are done or running. With store_lock held. */
+/* Progress of jobs: which tasks are done or running. The functions are called with store_lock held. */
 #ifndef FF_JOBS_PROGRESS_H
 #define FF_JOBS_PROGRESS_H
 #include <stdbool.h>
 
 #include "../model/job.h"
 
-/* A machine reported the task done; it is recorded in the next scheduling round. A gang completes together: one task is
- * enough for all. */
+/* Called when a machine has reported the task as done; the next scheduling round records it. The tasks of a gang
+ * complete together: if one is done, all are. */
 void jobs_mark_done(struct job *job, int task);
-/* A record says which of so many tasks are done; bits as in task_bits.h. */
-void jobs_apply_done_bits(struct job *job, const char *bits, int from, int n);
-/* All tasks are reported done, and the record does not say so yet. */
+/* Applies the done tasks in a record of n_tasks tasks from first_task on; task_bits.h defines the format of the text.
+ */
+void jobs_apply_done_bits(struct job *job, const char *bits_text, int first_task, int n_tasks);
+/* Returns whether all tasks are reported as done and the job's record does not say done yet. */
 bool jobs_complete(const struct job *job);
-/* The state that answers to users name, and how many of its tasks are allocated. */
+/* Returns the name of the state in responses to users, and sets *running to the number of allocated tasks. */
 const char *jobs_state_name(const struct job *job, int *running);
 #endif
--- a/src/jobs/task_bits.h
+++ b/src/jobs/task_bits.h
@@ -1,18 +1,21 @@
-/* Sets of a job's tasks: a bit a task. On record, the bits of a chunk of tasks are hexadecimal text; a chunk begins at
- * the start of a byte. Pure; of which thread may use a set, its owner says. */
+/* Sets of a job's tasks, with one bit per task. In records, the bits of a chunk of tasks are hexadecimal text; a chunk
+ * starts at a byte boundary. Pure; the owner of a set defines which threads may use it. */
 #ifndef FF_JOBS_TASK_BITS_H
 #define FF_JOBS_TASK_BITS_H
 #include <stdbool.h>
 #include <stdint.h>
 
-uint8_t *task_bits_new(int tasks);                 /* all zero; freed with g_free */
-bool task_bits_get(const uint8_t *bits, int task); /* bits NULL: an empty set */
+/* Creates an empty set; freed with g_free. */
+uint8_t *task_bits_new(int n_tasks);
+/* Returns whether the task is in the set. If bits is NULL, the set is empty. */
+bool task_bits_get(const uint8_t *bits, int task);
+/* Adds the task to the set. */
 void task_bits_set(uint8_t *bits, int task);
-/* How many of n tasks are in the set, from a given one. */
-int task_bits_count(const uint8_t *bits, int from, int n);
+/* Returns how many of the n_tasks tasks from first_task on are in the set. */
+int task_bits_count(const uint8_t *bits, int first_task, int n_tasks);
 
-/* The text of n tasks' bits from one at the start of a byte; freed with g_free. */
-char *task_bits_text(const uint8_t *bits, int from, int n);
-/* Adds the bits that the text sets to those of n tasks; text NULL: none. Reads as far as the text goes. */
-void task_bits_read(const char *text, uint8_t *bits, int from, int n);
+/* Returns the bits of n_tasks tasks as text; freed with g_free. first_task is the first task of a byte. */
+char *task_bits_text(const uint8_t *bits, int first_task, int n_tasks);
+/* Adds the tasks in the text to the set. A text that is too short sets only the first bits; NULL sets none. */
+void task_bits_read(const char *text, uint8_t *bits, int first_task, int n_tasks);
 #endif
--- a/src/json/json.c
+++ b/src/json/json.c
@@ -3,8 +3,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* From here on not every integer is a double. */
-#define INTEGER_LIMIT 9007199254740992.0
+/* 2^53: a double represents every smaller integer exactly. */
+#define EXACT_INTEGER_LIMIT 9007199254740992.0
 
 const char *json_get_string(const cJSON *object, const char *name) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, name);
@@ -13,16 +13,16 @@
 
 bool json_get_int64(const cJSON *object, const char *name, int64_t *out) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, name);
-    if (!cJSON_IsNumber(value) || value->valuedouble < 0 || value->valuedouble >= INTEGER_LIMIT) return false;
-    int64_t whole = (int64_t)value->valuedouble;
-    if ((double)whole != value->valuedouble) return false;
-    *out = whole;
+    if (!cJSON_IsNumber(value) || value->valuedouble < 0 || value->valuedouble >= EXACT_INTEGER_LIMIT) return false;
+    int64_t integer = (int64_t)value->valuedouble;
+    if ((double)integer != value->valuedouble) return false;
+    *out = integer;
     return true;
 }
 
-double json_get_double(const cJSON *object, const char *name, double otherwise) {
+double json_get_double(const cJSON *object, const char *name, double default_value) {
     const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, name);
-    return cJSON_IsNumber(value) ? value->valuedouble : otherwise;
+    return cJSON_IsNumber(value) ? value->valuedouble : default_value;
 }
 
 bool json_get_bool(const cJSON *object, const char *name) {
--- a/src/liveness/liveness.c
+++ b/src/liveness/liveness.c
@@ -146,8 +146,8 @@
 
 void liveness_check_machines(int shard, const struct liveness_summary *summary) {
     struct zone_contact contacts[SETTINGS_ZONES_MAX];
-    for (guint i = 0; i < jobs_active_of(shard)->len; i++)
-        ((struct job *)jobs_active_of(shard)->pdata[i])->replicas_at_risk = 0;
+    for (guint i = 0; i < jobs_active_in_shard(shard)->len; i++)
+        ((struct job *)jobs_active_in_shard(shard)->pdata[i])->replicas_at_risk = 0;
     zones_update(shard, contacts);
     struct shard_check check = {shard, contacts, controller_hears_workers(summary, contacts)};
     for (guint i = 0; i < machines_of_shard(shard)->len; i++) {
--- a/src/logging/logging.h
+++ b/src/logging/logging.h
@@ -1,9 +1,9 @@
-/* The log on standard error, one line a message, by level. */
+/* Logging to standard error, one line per message, filtered by level. */
 #ifndef FF_LOGGING_H
 #define FF_LOGGING_H
 #include <glib.h>
 
-/* Sets the level up to which messages are written: "error", "info" (also for NULL and anything else) or "debug". */
+/* Sets the most verbose level that is written: "error", "info" or "debug". NULL and any other value mean "info". */
 void logging_init(const char *level);
 
 #define log_error(...) g_log("fieldfield", G_LOG_LEVEL_CRITICAL, __VA_ARGS__)
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* The command line: reads the settings, starts the service, and logs its status from then on. */
+/* The command line: reads the options and settings, starts the service, and logs its status periodically. */
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -42,7 +42,7 @@
     return g_option_context_parse(context, argc, argv, error);
 }
 
-/* Runs until the process is killed; returns only where it can't listen. */
+/* Runs until the process is killed. Returns an exit status only if it can't listen. */
 static int run(const struct settings *settings) {
     logging_init(getenv("LOG_LEVEL"));
     log_info("fieldfield " VERSION " on %s", settings->node);
@@ -58,7 +58,7 @@
 }
 
 int main(int argc, char **argv) {
-    static struct settings settings; /* lives as long as the threads that read it */
+    static struct settings settings; /* static, because the threads keep pointers to it */
     struct options options = {NULL, NULL, FALSE, FALSE};
     g_autoptr(GError) error = NULL;
     if (!parse_options(&argc, &argv, &options, &error)) return usage_error(error->message);
--- a/src/priority/priority.c
+++ b/src/priority/priority.c
@@ -77,7 +77,7 @@
 
 GArray *priority_order_shard(int shard) {
     /* The demand of a divided team is summed over all its shards. */
-    const GPtrArray *jobs = any_team_divided ? jobs_active() : jobs_active_of(shard);
+    const GPtrArray *jobs = any_team_divided ? jobs_active() : jobs_active_in_shard(shard);
     return order_jobs(jobs, (struct order_filter){.shard = shard, .team = -1});
 }
 
--- a/src/quota/changes.c
+++ b/src/quota/changes.c
@@ -79,8 +79,8 @@
     if (team_quota->record.n_shards > 1 || team_quota->record.n_allotments > 1) return false;
     for (int shard = 0; shard < quota_settings->n_shards; shard++) {
         if (shard == team_quota->home_shard) continue;
-        if (has_job_of(jobs_active_of(shard), team_quota->team)) return false;
-        if (has_job_of(jobs_ended_of(shard), team_quota->team)) return false;
+        if (has_job_of(jobs_active_in_shard(shard), team_quota->team)) return false;
+        if (has_job_of(jobs_ended_in_shard(shard), team_quota->team)) return false;
     }
     return true;
 }
@@ -193,7 +193,7 @@
  * shards has changed. An allocation of such a job that is still in flight fails, since the job's record has changed. */
 static bool move_jobs(struct change *change, int shard, int moves_max) {
     int n_moved = 0;
-    GPtrArray *jobs = jobs_active_of(shard);
+    GPtrArray *jobs = jobs_active_in_shard(shard);
     if (!usage_known(shard)) return false;
     memset(change, 0, sizeof *change);
     store_txn_init(&change->txn);
@@ -247,7 +247,7 @@
 void quota_commit_changes(struct http_client *client) {
     static struct timespec last_move;
     store_lock();
-    bool in_use = quota_in_use(), foreign = jobs_any_foreign();
+    bool in_use = quota_in_use(), foreign = jobs_any_outside_home_shard();
     store_unlock();
     if (in_use) change_records(client);
     if ((in_use || foreign) && clock_seconds_since(last_move) > MOVE_INTERVAL_S) {
--- a/src/quota/demand.c
+++ b/src/quota/demand.c
@@ -31,7 +31,7 @@
     *lasting = (struct quota_amount){{0}};
     for (int i = 0; i < team_quota->record.n_allotments; i++) {
         int shard = team_quota->record.allotments[i].shard;
-        GPtrArray *lists[] = {jobs_active_of(shard), jobs_ended_of(shard)};
+        GPtrArray *lists[] = {jobs_active_in_shard(shard), jobs_ended_in_shard(shard)};
         for (size_t list = 0; list < G_N_ELEMENTS(lists); list++) {
             for (guint n = 0; n < lists[list]->len; n++) {
                 const struct job *job = lists[list]->pdata[n];
--- a/src/rebalancing/donation.c
+++ b/src/rebalancing/donation.c
@@ -21,7 +21,7 @@
 
 /* A job of the shard waits for a machine, and is of the same priority as the other's or a higher one. */
 static bool own_work_first(int shard, const struct job *other) {
-    const GPtrArray *jobs = jobs_active_of(shard);
+    const GPtrArray *jobs = jobs_active_in_shard(shard);
     for (guint i = 0; i < jobs->len; i++) {
         const struct job *job = jobs->pdata[i];
         if (job->unplaced && job->priority >= other->priority) return true;
--- a/src/rebalancing/rebalancing.c
+++ b/src/rebalancing/rebalancing.c
@@ -73,7 +73,7 @@
     cancel_overdue_transfers(shard);
     if (!search_due(shard)) return;
     for (int other = 0; other < rebalancing_settings->n_shards; other++)
-        if (other != shard && jobs_active_of(other)->len > 0) serve_shard(shard, other);
+        if (other != shard && jobs_active_in_shard(other)->len > 0) serve_shard(shard, other);
 }
 
 void rebalancing_init(const struct settings *settings) { rebalancing_settings = settings; }
--- a/src/scheduler/plan.c
+++ b/src/scheduler/plan.c
@@ -72,7 +72,7 @@
 /* Sums each team's usage of this shard. Unless a team is divided, this is its whole usage. Released allocations don't
  * count: their tasks are proven to be absent or ended. */
 static void sum_team_usage(int shard, struct team_usage *usage) {
-    const GPtrArray *lists[] = {jobs_active_of(shard), jobs_ended_of(shard)};
+    const GPtrArray *lists[] = {jobs_active_in_shard(shard), jobs_ended_in_shard(shard)};
     for (size_t i = 0; i < G_N_ELEMENTS(lists); i++) {
         for (guint k = 0; k < lists[i]->len; k++) {
             const struct job *job = lists[i]->pdata[k];
--- a/src/scheduler/round.c
+++ b/src/scheduler/round.c
@@ -23,7 +23,7 @@
 
 /* Stages the completions of one kind, and adds their jobs to `staged`. */
 static void stage_completions(struct scheduling_round *round, enum completion_kind kind, GHashTable *staged) {
-    GPtrArray *jobs = jobs_active_of(round->shard);
+    GPtrArray *jobs = jobs_active_in_shard(round->shard);
     for (guint i = 0; i < jobs->len && round->writes_left > 1; i++) {
         struct job *job = jobs->pdata[i];
         bool is_prerequisite = job->dependents != NULL;
@@ -35,7 +35,7 @@
 
 /* Returns the shard's jobs with unrecorded changes, except those in `staged`. The caller frees the array. */
 static GPtrArray *jobs_with_progress(int shard, GHashTable *staged) {
-    GPtrArray *jobs = g_ptr_array_new(), *lists[] = {jobs_active_of(shard), jobs_ended_of(shard)};
+    GPtrArray *jobs = g_ptr_array_new(), *lists[] = {jobs_active_in_shard(shard), jobs_ended_in_shard(shard)};
     for (size_t i = 0; i < G_N_ELEMENTS(lists); i++) {
         for (guint k = 0; k < lists[i]->len; k++) {
             struct job *job = lists[i]->pdata[k];
--- a/src/scheduler/run_round.c
+++ b/src/scheduler/run_round.c
@@ -27,7 +27,7 @@
 /* Called with store_lock held. Returns whether a prerequisite has completed but is not recorded as done. Its dependents
  * wait for the record, so its write takes precedence over ordinary progress. */
 static bool prerequisite_completed(int shard) {
-    const GPtrArray *jobs = jobs_active_of(shard);
+    const GPtrArray *jobs = jobs_active_in_shard(shard);
     for (guint i = 0; i < jobs->len; i++) {
         const struct job *job = jobs->pdata[i];
         if (job->dependents && jobs_complete(job)) return true;
--- a/src/service/health.c
+++ b/src/service/health.c
@@ -7,17 +7,17 @@
 #include "../peers/peers.h"
 #include "../store/store.h"
 
-/* A store that was read so lately is in reach. */
-#define STORE_READ_S 5
+/* The store counts as reachable for this time after a successful read. */
+#define STORE_READ_MAX_AGE_S 5
 
-/* Rejected by the store while peers are served, this node is down: others can help the users. In an outage that all
- * see, the nodes stay up and tell users when to come back. */
+/* A node that can't read the store is unhealthy if a peer can, because the peer can serve the users. If no peer can
+ * either, the node stays healthy, and its responses tell users when to retry. */
 static bool is_healthy(void) {
     store_lock();
     bool synced = store_synced();
-    bool sees_store = synced && clock_seconds_since(store_last_read_sent()) < STORE_READ_S;
+    bool reads_store = synced && clock_seconds_since(store_last_read_sent()) < STORE_READ_MAX_AGE_S;
     store_unlock();
-    return sees_store || (synced && !peers_any_reads_store());
+    return reads_store || (synced && !peers_any_reads_store());
 }
 
 bool health_route(struct http_request *request) {
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -30,7 +30,7 @@
 #include "../workers/workers.h"
 #include "health.h"
 
-/* Beside the sockets that the settings allow: standard streams, the servers' own descriptors. */
+/* Open files besides the sockets that the settings allow: standard streams and the descriptors of the servers. */
 #define OTHER_OPEN_FILES 64
 
 static void on_request(struct http_request *request, void *context) {
@@ -63,7 +63,7 @@
     liveness_init(settings);
 }
 
-/* What lower packages need of upper ones. */
+/* Passes functions of higher-level packages to the lower-level packages that call them. */
 static void connect_packages(void) {
     membership_add_announcement(quota_publish_views);
     membership_add_announcement(schema_version_announce);
@@ -76,7 +76,7 @@
     connect_packages();
 }
 
-/* The platform's limit is the one to keep to: the process's own may be far lower by default. */
+/* Raises the process's limit on open files, which may be far below the sockets that the settings allow. */
 static void raise_open_files(int sockets) {
     struct rlimit limit;
     rlim_t wanted = (rlim_t)sockets + OTHER_OPEN_FILES;
@@ -86,11 +86,13 @@
         log_info("open files are limited to %ld, below the %d sockets of the settings", (long)limit.rlim_cur, sockets);
 }
 
-/* Three quarters of the sockets serve users, workers and health checks; the rest are our own connections. */
+/* Returns the connections for users, workers and health checks: three quarters of the sockets. The rest is for other
+ * connections of this process, such as requests to the store and the cloud. */
 static unsigned server_connections(int sockets) { return (unsigned)sockets * 3 / 4; }
 
-/* Both addresses, before any thread of the packages runs: a program that ends because it cannot listen, while threads
- * of its libraries are starting, once ended by a segmentation fault instead of its status. */
+/* Listens on both addresses. Called before the packages start their threads: when the program exited because it could
+ * not listen while threads of its libraries were starting, it has ended with a segmentation fault instead of its exit
+ * status. */
 static bool listen_on_addresses(const struct settings *settings) {
     unsigned connections = server_connections(settings->sockets_max);
     return http_server_start(settings->bind, connections, on_request, NULL) && peers_listen();
--- a/src/service/service.h
+++ b/src/service/service.h
@@ -1,14 +1,14 @@
-/* The packages, wired together: for the program, and for tests that run it whole. */
+/* Initialises and starts all packages, for the program and for tests of the whole program. */
 #ifndef FF_SERVICE_H
 #define FF_SERVICE_H
 #include <stdbool.h>
 
 #include "../settings/settings.h"
 
-/* Initialises all packages, with no thread or connection yet. The settings are kept, not copied. */
+/* Initialises all packages without starting threads or opening connections. Keeps the pointer to the settings. */
 void service_init(const struct settings *settings);
-/* Listens and starts the threads; false where one of the two addresses cannot be listened on. */
+/* Listens on both addresses and starts the threads. Returns false if it can't listen on one of the addresses. */
 bool service_start(const struct settings *settings);
-/* Logs the status lines; called every ten seconds. */
+/* Logs the status lines. Called every 10 s. */
 void service_log_status(void);
 #endif
--- a/src/service/status.c
+++ b/src/service/status.c
@@ -1,4 +1,4 @@
-/* The periodic lines of the log: what this controller has to do, and how it stands with the store and the users. */
+/* Periodic status lines in the log: the load of this controller, its requests to the store and its response times. */
 #include "../api/latency.h"
 #include "../clock/clock.h"
 #include "../jobs/jobs.h"
@@ -8,32 +8,34 @@
 #include "../store/store.h"
 #include "service.h"
 
-#define INTERVAL_S 10.0 /* between two calls */
+#define STATUS_INTERVAL_S 10.0 /* between calls of service_log_status */
 
 static void log_load(void) {
-    static unsigned sent_before;
-    unsigned sent = store_budget_requests_sent();
+    static unsigned requests_sent_before;
+    unsigned requests_sent = store_budget_requests_sent();
     struct latency_summary latency = latency_take_summary();
     store_lock();
     log_info(
-        "status: %u unfinished jobs, %u machines, store %.1f requests/s (rate factor %.1f, of writes %.1f), store read "
-        "%.1f s ago, %d responses to users (median %.1f ms, p95 %.1f ms)",
-        jobs_active()->len, machines_all()->len, (sent - sent_before) / INTERVAL_S,
+        "status: %u unfinished jobs, %u machines, %.1f requests/s to the store (rate factor %.1f for requests, "
+        "%.1f for changes), last read of the store %.1f s ago, %d responses to users (median %.1f ms, p95 %.1f ms)",
+        jobs_active()->len, machines_all()->len, (requests_sent - requests_sent_before) / STATUS_INTERVAL_S,
         store_budget_rate_factor(STORE_RATE_REQUESTS), store_budget_rate_factor(STORE_RATE_CHANGES),
-        clock_seconds_since(store_last_read_sent()), latency.answers, latency.median_ms, latency.p95_ms);
+        clock_seconds_since(store_last_read_sent()), latency.responses, latency.median_ms, latency.p95_ms);
     quota_log_status();
     store_unlock();
-    sent_before = sent;
+    requests_sent_before = requests_sent;
 }
 
 static void log_writes(void) {
-    static struct store_write_counts before;
-    struct store_write_counts now = store_get_write_counts();
-    log_info("writes in 10 s: %u jobs, %u allocations, %u releases, %u machine pages, %u others",
-             now.jobs - before.jobs, now.allocations - before.allocations,
-             now.removed_allocations - before.removed_allocations, now.machine_records - before.machine_records,
-             now.other_records - before.other_records);
-    before = now;
+    static struct store_write_counts counts_before;
+    struct store_write_counts counts = store_get_write_counts();
+    log_info(
+        "writes to the store in 10 s: %u job records, %u allocation records, %u removals of allocation records, %u "
+        "machine records, %u other records",
+        counts.jobs - counts_before.jobs, counts.allocations - counts_before.allocations,
+        counts.removed_allocations - counts_before.removed_allocations,
+        counts.machine_records - counts_before.machine_records, counts.other_records - counts_before.other_records);
+    counts_before = counts;
 }
 
 void service_log_status(void) {
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -158,7 +158,7 @@
 }
 
 void heartbeat_handle(struct http_request *request) {
-    http_close_when_crowded(request);
+    http_close_when_connections_scarce(request);
     if (strcmp(http_method(request), "POST") == 0) {
         handle_post(request);
     } else {
