--- a/rehearsal/scenarios/owner-fails.hcl
+++ b/rehearsal/scenarios/owner-fails.hcl
@@ -1,5 +1,5 @@
-# A burst while an owner ends, comes back, is stopped past its lease, and loses the state service.
-what = "owners end, stand still and are cut off in the midst of bursts"
+# During bursts one controller is killed and restarted, one is paused past its lease, and one loses the state service.
+what = "controllers are killed, paused and cut off from the state service during bursts"
 controllers = 3
 machines = 16
 starved_most = 12.0
--- a/rehearsal/scenarios/takeover.hcl
+++ b/rehearsal/scenarios/takeover.hcl
@@ -1,5 +1,5 @@
-# The owner of a team's first share ends while 2,000 jobs of the team wait.
-what = "an owner ends with 2,000 jobs of one team"
+# The owner of a team's first share is killed while 2,000 jobs of the team wait.
+what = "an owner is killed while 2,000 jobs of its team wait"
 controllers = 3
 machines = 16
 starved_most = 12.0
--- a/src/autoscaler/scale_in_test.c
+++ b/src/autoscaler/scale_in_test.c
@@ -3,7 +3,7 @@
 
 #include <glib.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 
 /* Each drain reduces the headroom by 0.8 and starts only while the headroom is above the margin of 1.5 * 0.8. */
 static void drains_start_only_above_the_margin(void **state) {
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 #include "clock/clock.h"
 #include "http/client.h"
 #include "http/server.h"
--- a/src/liveness/liveness_test.c
+++ b/src/liveness/liveness_test.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 #include "liveness/return_checks.h"
 #include "liveness/zones.h"
 
--- a/src/liveness/process_pause_test.c
+++ b/src/liveness/process_pause_test.c
@@ -3,7 +3,7 @@
 
 #include <glib.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 
 static void only_a_long_wait_is_a_pause(void **state) {
     (void)state;
--- a/src/machine_types/machine_types_test.c
+++ b/src/machine_types/machine_types_test.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 
 static void apply(const char *json) {
     cJSON *catalogue = cJSON_Parse(json);
--- a/src/placement/placement_test.c
+++ b/src/placement/placement_test.c
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 
 static struct machine_type type = {.type_name = "g4", .vcpus = 16, .gpus = 4, .memory_gb = 64};
 
--- a/src/provisioning/provisioning_test.c
+++ b/src/provisioning/provisioning_test.c
@@ -3,7 +3,7 @@
 
 #include <glib.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 
 static void learned_startup_time_is_bounded(void **state) {
     (void)state;
--- a/src/quota/quota_test.c
+++ b/src/quota/quota_test.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 #include "json/json.h"
 #include "quota/record.h"
 
--- a/src/store/keys_test.c
+++ b/src/store/keys_test.c
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <string.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 
 static void keys_have_the_prefix_of_their_kind(void **state) {
     (void)state;
--- a/src/workers/senders_test.c
+++ b/src/workers/senders_test.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-#include "../../tests/standin/site.h"
+#include "../../tests/standin/test_settings.h"
 
 /* After a pause, a controller does not send the starts that it decided on before. */
 static void old_start_is_not_sent(void **state) {
