--- a/src/api/batch.c
+++ b/src/api/batch.c
@@ -16,7 +16,7 @@
 #include "request_queue.h"
 #include "submit.h"
 
-#define ATTEMPTS_MAX 4 /* not counting retries because of the rate */
+#define ATTEMPTS_MAX 4 /* not counting retries by should_retry_for_rate */
 #define RETRY_PERIOD_S 1.5
 #define RATE_RETRY_PERIOD_S 0.5
 #define RATE_RETRY_DELAY_S 0.08
@@ -92,7 +92,7 @@
     } else if (attempt->result == STORE_CONFLICT) {
         for (guint i = 0; i < response->conflicts->len; i++) store_refresh(client, response->conflicts->pdata[i]);
     } else if (attempt->result == STORE_UNKNOWN) {
-        /* The keys show whether the transaction was carried out. If it still is carried out later, this does no harm:
+        /* The records show whether the transaction was carried out. If it is carried out only later, this does no harm:
          * it writes only submissions and cancellations that the users retry. */
         for (guint i = 0; i < batch->len; i++) {
             const struct api_request *request = batch->pdata[i];
@@ -101,14 +101,14 @@
     }
 }
 
-/* Returns whether to retry a transaction that was rejected because of the rate although the store is reachable. The
- * budget recovers shortly after the writes of a scheduling round, while a refused user waits at least 1 s. */
+/* Returns whether to retry a transaction that was rejected although the store is reachable, presumably because of
+ * the write rate. The write budget recovers soon after a scheduling round, and a refused user waits at least 1 s. */
 static bool should_retry_for_rate(enum store_result result, struct timespec started_at) {
     if (result != STORE_REJECTED || clock_seconds_since(started_at) >= RATE_RETRY_PERIOD_S) return false;
     return !store_is_unreachable();
 }
 
-/* Returns whether another attempt can't change the result or would be too late. */
+/* Returns whether to stop: another attempt would have the same result, or would be too late. */
 static bool is_final(enum store_result result, struct timespec started_at) {
     return result == STORE_OK || result == STORE_REJECTED || result == STORE_INVALID ||
            clock_seconds_since(started_at) > RETRY_PERIOD_S;
@@ -177,8 +177,8 @@
 
 static void respond_to_batch(const GPtrArray *batch, const struct attempt *attempt) {
     enum store_result result = attempt->result;
-    /* The process was paused after sending the transaction, and another controller may have reported a newer state to
-     * the user since. The user has to retry even if the state is final and therefore still true. */
+    /* A confirmation is this old if the process was paused after it sent the transaction. Another controller may have
+     * reported a newer state to the user since. The user has to retry even if the state is final and still true. */
     if (result == STORE_OK && clock_seconds_since(attempt->sent_at) > CONFIRMATION_MAX_AGE_S) result = STORE_UNKNOWN;
     for (guint i = 0; i < batch->len; i++) {
         struct api_request *request = batch->pdata[i];
--- a/src/api/poll.c
+++ b/src/api/poll.c
@@ -89,7 +89,7 @@
     guint max_requests = (guint)settings->txn_operations_max * COMPARISONS_PER_OPERATION;
     g_ptr_array_set_size(batch, 0);
     request_queue_take(&poll_queue, batch, max_requests);
-    /* Hundreds of polls with one request each would leave no requests to the store for allocations. */
+    /* Hundreds of polls with one transaction each would use up the request budget that allocations need, too. */
     if (batch->len < (guint)settings->txn_operations_max && store_budget_requests_scarce()) {
         clock_sleep(clock_from_seconds(BATCH_DELAY_S));
         request_queue_take_available(&poll_queue, batch, max_requests);
--- a/src/api/request_queue.h
+++ b/src/api/request_queue.h
@@ -17,8 +17,8 @@
 void request_queue_init(struct request_queue *queue);
 /* Suspends and queues the request, or refuses and frees it if the queue is full. */
 void request_queue_push(struct request_queue *queue, struct api_request *request);
-/* Waits until the queue has a request, then moves requests to the batch until it has max_requests. */
+/* Waits until the queue has a request, then moves its requests to the batch, which gets at most max_requests. */
 void request_queue_take(struct request_queue *queue, GPtrArray *batch, guint max_requests);
-/* Like request_queue_take, without waiting. */
+/* Like request_queue_take, but doesn't wait: the batch may stay as it is. */
 void request_queue_take_available(struct request_queue *queue, GPtrArray *batch, guint max_requests);
 #endif
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -68,9 +68,9 @@
     curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST, method);
     CURLcode result = curl_easy_perform(client->curl);
     if (result != CURLE_OK) {
-        /* The number of bytes sent shows whether the server can have the request; an abandoned connection attempt
-         * sends none later. libcurl's timings can't be used: with a coarse clock they may be 0 on a reused connection.
-         * A request that is wrongly taken as not sent may start a task twice. */
+        /* The number of bytes sent shows whether the server may have received the request; an abandoned connection
+         * attempt sends none later. libcurl's timings can't be used: with a coarse clock they may be 0 on a reused
+         * connection. A request that is wrongly reported as not sent may start a task twice. */
         long bytes_sent = 0;
         curl_easy_getinfo(client->curl, CURLINFO_REQUEST_SIZE, &bytes_sent);
         return bytes_sent <= 0 ? HTTP_NOT_SENT : HTTP_UNKNOWN;
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -50,7 +50,7 @@
 }
 
 void http_suspend(struct http_request *request) {
-    /* The connection is suspended before any other thread can reply, because a reply resumes it. */
+    /* Called before any other thread can reply, because the reply resumes the connection. */
     request->suspended = true;
     MHD_suspend_connection(request->connection);
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -39,7 +39,7 @@
 
 /* Returns whether more than half of the allowed connections are in use. Pure. */
 bool http_connections_scarce(unsigned connections, unsigned max_connections);
-/* Returns whether a reply of this age is too old to be sent. The process must have been paused between http_reply and
- * the sending, and the reply may no longer be true. Pure. */
+/* Returns whether a reply of this age is too old to be sent. Such a reply may no longer be true, because the process
+ * was paused between http_reply and the sending. Pure. */
 bool http_reply_expired(double reply_age_s);
 #endif
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -9,7 +9,7 @@
 #include "../clock/clock.h"
 #include "../machine_types/machine_types.h"
 
-#define DEFAULT_STARTUP_S 60.0 /* the promised startup time of a machine type whose record names none */
+#define DEFAULT_STARTUP_S 60.0 /* replaces the promised startup time of a machine type if the cloud names none */
 
 /* With fewer recorded boots of a type than this, its expected startup time is the promised one times the factor. */
 #define LEARNING_SAMPLES_MIN 8
--- a/src/provisioning/provisioning.h
+++ b/src/provisioning/provisioning.h
@@ -27,7 +27,7 @@
 /* The following functions are pure and need no lock. */
 
 /* Returns the expected startup time in seconds: a high quantile of the n boot times, with a margin and within bounds
- * set by the promised time startup_s; or, if n is too small, startup_s with another margin. */
+ * set by startup_s, the time that the cloud promises; or, if n is too small, startup_s with another margin. */
 double provisioning_estimate_startup_s(const double *boot_s, int n, double startup_s);
 /* Returns how many overdue machines may be replaced at a time. */
 int provisioning_replacements_max(int machines_up);
--- a/src/service/health.c
+++ b/src/service/health.c
@@ -7,11 +7,11 @@
 #include "../peers/peers.h"
 #include "../store/store.h"
 
-/* The store counts as reachable for this time after a successful read. */
+/* The store counts as readable for this time after the last successful read was sent. */
 #define STORE_READ_MAX_AGE_S 5
 
-/* A node that can't read the store is unhealthy if a peer can, because the peer can serve the users. If no peer can
- * either, the node stays healthy, and its responses tell users when to retry. */
+/* A controller that can't read the store is unhealthy if a peer can, because the peer can serve the users. If no peer
+ * can either, the controller stays healthy, and its responses tell users when to retry. */
 static bool is_healthy(void) {
     store_lock();
     bool synced = store_synced();
--- a/src/service/service.c
+++ b/src/service/service.c
@@ -90,9 +90,9 @@
  * connections of this process, such as requests to the store and the cloud. */
 static unsigned server_connections(int sockets) { return (unsigned)sockets * 3 / 4; }
 
-/* Listens on both addresses. Called before the packages start their threads: when the program exited because it could
- * not listen while threads of its libraries were starting, it has ended with a segmentation fault instead of its exit
- * status. */
+/* Listens on the addresses for users and for peers. Called before the packages start their threads: if it fails, the
+ * program exits, and an exit while threads of its libraries were starting has ended in a segmentation fault instead of
+ * the exit status. */
 static bool listen_on_addresses(const struct settings *settings) {
     unsigned connections = server_connections(settings->sockets_max);
     return http_server_start(settings->listen_address, connections, on_request, NULL) && peers_listen();
--- a/src/sync/sync.h
+++ b/src/sync/sync.h
@@ -19,7 +19,7 @@
 /* Must be called before the first signal or wait. */
 void sync_wakeup_init(struct sync_wakeup *wakeup);
 void sync_wakeup_signal(struct sync_wakeup *wakeup);
-/* Waits for a signal until the timeout has passed, and clears the signal. */
+/* Waits for a signal, but not longer than the timeout, and clears it. */
 void sync_wakeup_wait(struct sync_wakeup *wakeup, struct timespec timeout);
 
 /* Starts a detached thread with a small stack. Returns 0, or the error number of pthread_create. */
